--- a/balance/cold.go
+++ b/balance/cold.go
@@ -6,46 +6,46 @@
 	"cicadarouter/fleet"
 )
 
-// Load pattern: the servers of a failure domain come back together, cold, and are
-// idle as far as each of a hundred hosts knows. One request of each host in the same
-// second is ten times what a cold server bears: it falls over, starts again, and is
-// cold anew. No host knows what the others send. So each host fills places at a cold
-// server at its part of what the server bears, and begins at a place of its turn drawn
-// by chance. All hosts together then send what is allowed, from the first second on,
-// and none has to be asked.
+// Load pattern: all servers of a failure domain restart together, cold, and look idle to
+// each of a hundred hosts. If each host sends one request in the same second, a cold server
+// gets ten times what it can handle; it fails, restarts, and is cold again. No host knows
+// what the others send. Each host therefore limits its requests to a cold server with a
+// token bucket that is refilled at the host's equal share of what the server can handle,
+// and that starts with a random fill. All hosts together keep to the allowed rate from the
+// first second on, without any coordination.
 
 const (
-	// coldShare is the part of what a cold server bears that hosts fill. Places come
-	// by chance: at a mean of 4 a second more than 16 come once in a million seconds,
-	// at 5.8 once in ten thousand.
+	// coldShare is the fraction of a cold server's capacity that hosts use. Requests arrive
+	// at random: with a mean of 4 per second, more than 16 in a second occur once in a
+	// million seconds; with a mean of 5.8, once in ten thousand.
 	coldShare = 0.7
-	// hostsUnknown is the number of hosts that is assumed before one is told: with too
-	// many a cold server stays idle for its few seconds, with too few it falls over.
+	// hostsUnknown is the number of hosts assumed until it is known. Too high a number
+	// leaves cold servers idle for the few seconds; too low a number overloads them.
 	hostsUnknown = 300
-	// mostColdPlaces bounds the places that a host saves for requests to come.
+	// mostColdPlaces is the size of the token bucket.
 	mostColdPlaces = 1.0
-	// mostColdWait bounds the wait for a place: no caller waits longer.
+	// mostColdWait bounds the wait for a token; no caller waits longer than that.
 	mostColdWait = time.Minute
 )
 
-// coldLimit is what cold servers of a service bear, by all hosts.
+// coldLimit is the request rate that one cold server of a service can handle.
 type coldLimit struct {
-	perSecond float64 // 0: not limited
+	perSecond float64 // from all hosts together; 0: not limited
 	hosts     int
 }
 
-// rate is this host's part, in requests a second.
+// rate returns this host's share, in requests per second.
 func (c coldLimit) rate() float64 { return coldShare * c.perSecond / float64(c.hosts) }
 
-// coldPlace is this host's place at a cold server.
+// coldPlace is this host's token bucket for a cold server.
 type coldPlace struct {
-	saved float64 // places, as of at
+	saved float64 // tokens as of at
 	at    time.Duration
-	drawn bool // the place in the turn, for this time of being cold
+	drawn bool // set once the bucket has its random fill for the current cold phase
 }
 
-// SetCold sets how many requests a second a cold server bears from all hosts, 0 for
-// any number, and how many hosts there are, 0 if that is not known.
+// SetCold sets how many requests per second, from all hosts together, a cold server can
+// handle (0: not limited), and the number of hosts (0: unknown).
 func (p *Pool) SetCold(perSecond float64, hosts int) {
 	if hosts <= 0 {
 		hosts = hostsUnknown
@@ -53,7 +53,8 @@
 	p.cold = coldLimit{perSecond: perSecond, hosts: hosts}
 }
 
-// noteCold draws this host's place in the turn when a server has become cold.
+// noteCold fills the token bucket at random when a server has become cold, and resets it
+// when the server is warm.
 func (p *Pool) noteCold(now time.Duration, server *Server) {
 	place := &server.coldPlace
 	switch {
@@ -64,16 +65,16 @@
 	}
 }
 
-// coldDoubt is for how long a server is taken for cold that may have started again and does
-// not say whether it is cold: two heartbeats of its entry.
+// coldDoubt is how long a server that may have restarted is assumed to be cold unless it
+// says whether it is: long enough for two heartbeats of its registry entry.
 const coldDoubt = 3 * time.Second
 
-// Doubt takes that a server's process may have started again under its ID, and reports
-// whether the server is to be asked if it is cold. While the registry can't be read nothing
-// else tells, and all hosts would send a cold server what a warm one does.
+// Doubt records that the server's process may have restarted under the same ID, and reports
+// whether the server should be asked if it is cold. While the registry can't be read there is
+// no other sign of a restart, and all hosts would send the cold server as much as a warm one.
 func (p *Pool) Doubt(now time.Duration, incarnation fleet.Incarnation) bool {
 	server := p.running(incarnation)
-	// Servers whose entries tell no start use each ID once.
+	// A server whose entry has no start number never reuses its ID.
 	if server == nil || p.cold.perSecond <= 0 || incarnation.Start == 0 || now < server.doubtUntil {
 		return false
 	}
@@ -82,7 +83,8 @@
 	return true
 }
 
-// ToldCold takes that a server said for how long it is still cold.
+// ToldCold records the server's statement that it stays cold for coldFor, or that it is warm
+// if coldFor is 0.
 func (p *Pool) ToldCold(now time.Duration, incarnation fleet.Incarnation, coldFor time.Duration) {
 	server := p.running(incarnation)
 	if server == nil {
@@ -93,8 +95,8 @@
 	p.Pump(now)
 }
 
-// coldWait is how long this host has no place at a server because it is cold; 0 if it
-// has one, or the server is not cold.
+// coldWait returns how long this host must wait for a token before it may send the server a
+// request. It is 0 if there is a token or the server is not cold.
 func (p *Pool) coldWait(now time.Duration, server *Server) time.Duration {
 	rate := p.cold.rate()
 	if rate <= 0 || !server.cold(now) {
@@ -111,7 +113,7 @@
 	return min(c.saved+rate*(now-c.at).Seconds(), mostColdPlaces)
 }
 
-// takeColdPlace notes that a request was given a server that may be cold.
+// takeColdPlace takes a token for a request that is sent to the server, if that is cold.
 func (p *Pool) takeColdPlace(now time.Duration, server *Server) {
 	rate := p.cold.rate()
 	if rate <= 0 || !server.cold(now) {
@@ -120,8 +122,9 @@
 	server.coldPlace.saved, server.coldPlace.at = server.coldPlace.savedAt(now, rate)-mostColdPlaces, now
 }
 
-// Speed returns a server's speed over its service's mean, as long as it is cold or names a
-// limit no more than makes it bear the few requests that it then takes.
+// Speed returns the server's speed relative to the mean of its service. A cold server counts
+// as slower by coldFactor, and the speed of a server that is cold or has a limit is capped at
+// what the few requests that it accepts amount to.
 func (p *Pool) Speed(now time.Duration, server *Server) float64 {
 	speed := 1 / server.Ratio()
 	if p.cold.perSecond > 0 && server.cold(now) {
@@ -133,11 +136,12 @@
 	return speed
 }
 
-// limitFill is the part of a limit that the keys of a server are to ask for. Requests come at
-// random: of those of a server that is asked for all of its limit, many find no place in time.
+// limitFill is the fraction of a server's limit that the keys it owns should use. Requests
+// arrive at random; at the full limit many of them would get no permit in time.
 const limitFill = 0.5
 
-// speedAt is the speed at which all slots of a server run some requests a second.
+// speedAt returns the relative speed at which the server, with all slots busy, completes
+// perSecond requests per second.
 func (p *Pool) speedAt(server *Server, perSecond float64) float64 {
 	return perSecond * p.mean.Seconds() / float64(max(server.Slots, 1))
 }
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -11,27 +11,27 @@
 	"cicadarouter/fleet"
 )
 
-// coldReturn is a load: the servers of a failure domain come back together, cold,
-// while requests wait at all hosts.
+// coldReturn is a workload in which all servers of a failure domain restart together, cold,
+// while requests arrive at all hosts.
 type coldReturn struct {
 	hosts, servers int
-	perSecond      float64 // what a cold server bears
-	told           int     // the number of hosts that is told; 0 for none
-	// restarts is the share of the hosts whose processes start again each second.
+	perSecond      float64 // request rate that a cold server can handle
+	told           int     // number of hosts given to the pools; 0 for unknown
+	// restarts is the fraction of the hosts whose processes restart each second.
 	restarts float64
 	keyed    bool
 	length   time.Duration
 	seed     uint64
 }
 
-// fixedOwner owns all keys by number: server key mod n.
+// fixedOwner assigns key k to server k mod n.
 type fixedOwner []string
 
 // OwnerOf implements Owner.
 func (f fixedOwner) OwnerOf(key uint16) (string, time.Duration) { return f[int(key)%len(f)], 0 }
 
-// busiestSecond plays the load and returns the most requests that one cold server got
-// in any second, from all hosts, and the mean.
+// busiestSecond runs the workload. It returns the most requests that one cold server got from
+// all hosts within any second, and the mean rate per server.
 func (c coldReturn) busiestSecond() (most int, mean float64) {
 	random := rand.New(rand.NewPCG(c.seed, 3))
 	var listed []fleet.Server
@@ -69,7 +69,7 @@
 				continue
 			}
 			arrivals[w.Server.ID] = append(arrivals[w.Server.ID], now)
-			// Its answer comes at once: the load is not what holds hosts back here.
+			// The request completes at once, so that the load does not limit the hosts.
 			pools[host].Done(now, w.Server, End{Outcome: Answered, Took: 300 * time.Millisecond, Objective: w.Objective})
 		}
 	}
@@ -87,38 +87,37 @@
 	return most, float64(total) / float64(c.servers) / c.length.Seconds()
 }
 
-// Symptom: the servers of a failure domain that comes back fall over again and again.
-// Sequence: they come back together, cold, while requests wait at 90 hosts; each host
-// knows them idle and sends each of them a request in the same second.
-// Cause: no host knew what the others send, and each judged the servers by their slots.
+// Guards against cold servers that fail again and again after their failure domain has come
+// back. Each of 90 hosts saw the servers idle, judged them by their slots without knowing what
+// the other hosts send, and sent each of them a request in the same second.
 func TestColdServersGetNoMoreThanTheyBear(t *testing.T) {
-	// The users' bound: 5.8 a second, times 1.5, and 8 more.
-	const bears, most = 5.8, 16
+	// Requirement: at most 1.5 times 5.8 requests in any second, plus 8.
+	const capacity, most = 5.8, 16
 	for name, load := range map[string]coldReturn{
-		"any server":           {hosts: 90, servers: 39, told: 90},
-		"owners of keys":       {hosts: 90, servers: 39, told: 90, keyed: true},
-		"hosts start again":    {hosts: 90, servers: 39, told: 90, restarts: 0.3},
-		"number of hosts open": {hosts: 90, servers: 39},
-		"a small fleet":        {hosts: 8, servers: 4, told: 8},
+		"any server":              {hosts: 90, servers: 39, told: 90},
+		"owners of keys":          {hosts: 90, servers: 39, told: 90, keyed: true},
+		"hosts restart":           {hosts: 90, servers: 39, told: 90, restarts: 0.3},
+		"unknown number of hosts": {hosts: 90, servers: 39},
+		"few hosts and servers":   {hosts: 8, servers: 4, told: 8},
 	} {
 		t.Run(name, func(t *testing.T) {
-			load.perSecond, load.length = bears, 4*time.Second
+			load.perSecond, load.length = capacity, 4*time.Second
 			for load.seed = 1; load.seed <= 3; load.seed++ {
 				got, mean := load.busiestSecond()
-				t.Logf("seed %d: %d in the busiest second, %.1f a second on average", load.seed, got, mean)
+				t.Logf("seed %d: %d in the busiest second, %.1f per second on average", load.seed, got, mean)
 				assert.Assert(t, got <= most, "seed %d: %d requests in one second", load.seed, got)
-				assert.Assert(t, mean > 0, "cold servers are used")
+				assert.Assert(t, mean > 0, "cold servers get no requests")
 			}
 			load.perSecond = 0
 			if got, _ := load.busiestSecond(); got <= most {
-				t.Errorf("this load does not show the failure: %d in the busiest second without a limit", got)
+				t.Errorf("this workload does not reproduce the failure: %d in the busiest second without a limit", got)
 			}
 		})
 	}
 }
 
-// A key whose owner is cold is rejected at once if its turn does not come in time, and
-// its caller is told to come back when the owner is warm.
+// A request whose key is owned by a cold server is rejected at once if no token is available
+// in time, with a retry delay of at most the time until the owner is warm.
 func TestColdOwnerTurnsAwayAtOnce(t *testing.T) {
 	p := NewPool("d", fixedOwner{"s"}, 1)
 	p.SetCold(5.8, 90)
@@ -135,32 +134,32 @@
 	assert.Assert(t, enter(3*time.Second).Server != nil, "the server is warm")
 }
 
-// Guards against a server that started again under its ID and gets what a warm one does
-// until the registry can be read.
+// Guards against a server that restarted under the same ID and gets as many requests as a warm
+// one until the registry can be read.
 func TestDoubtedServerIsCold(t *testing.T) {
 	p := NewPool("d", nil, 1)
 	listed := []fleet.Server{{ID: "again", Start: 7, Domain: "d", Slots: 6}, {ID: "once", Domain: "d", Slots: 6}}
 	p.SetServers(0, listed)
 	again, once := p.Servers()[0], p.Servers()[1]
-	assert.Assert(t, !p.Doubt(0, again.Incarnation()), "no service whose cold servers bear less")
+	assert.Assert(t, !p.Doubt(0, again.Incarnation()), "the service has no limit for cold servers")
 	p.SetCold(5.8, 90)
-	assert.Assert(t, !p.Doubt(0, once.Incarnation()), "an ID that is used once")
+	assert.Assert(t, !p.Doubt(0, once.Incarnation()), "IDs without a start number are not reused")
 	assert.Assert(t, !p.Doubt(0, fleet.Incarnation{ID: "again", Start: 6}), "an earlier incarnation")
 	assert.Assert(t, p.Doubt(0, again.Incarnation()))
-	assert.Assert(t, !p.Doubt(time.Millisecond, again.Incarnation()), "it is being asked")
+	assert.Assert(t, !p.Doubt(time.Millisecond, again.Incarnation()), "it is already being asked")
 	assert.Assert(t, again.cold(time.Millisecond) && !once.cold(time.Millisecond))
 	p.SetServers(time.Millisecond, listed)
-	assert.Assert(t, again.cold(time.Millisecond), "its entry is older than the doubt")
+	assert.Assert(t, again.cold(time.Millisecond), "its entry is older than the suspicion")
 	p.ToldCold(2*time.Millisecond, again.Incarnation(), time.Second)
 	assert.Assert(t, again.cold(time.Second) && !again.cold(1003*time.Millisecond))
 	assert.Assert(t, p.Doubt(2*time.Second, again.Incarnation()))
 	p.ToldCold(2*time.Second, again.Incarnation(), 0)
 	assert.Assert(t, !again.cold(2*time.Second), "it says that it is warm")
 	assert.Assert(t, p.Doubt(3*time.Second, again.Incarnation()))
-	assert.Assert(t, !again.cold(3*time.Second+coldDoubt), "a server that does not say is not cold for good")
+	assert.Assert(t, !again.cold(3*time.Second+coldDoubt), "a server that does not answer is not assumed cold forever")
 }
 
-// A cold server counts for what it bears when keys are placed.
+// When keys are assigned, a cold server counts for what it can handle.
 func TestSpeedOfAColdServer(t *testing.T) {
 	p := NewPool("d", nil, 1)
 	p.SetServers(0, []fleet.Server{{ID: "s", Domain: "d", Slots: 6, ColdUntil: time.Second}})
--- a/balance/kind.go
+++ b/balance/kind.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// mostKinds bounds the kinds of a service that are told apart.
+// mostKinds is the number of request classes that a service tells apart.
 const mostKinds = 16
 
-// kind is what a pool has measured of requests of one objective. Routes come
-// and go by hundreds; their objectives tell the kinds apart. A service that runs
-// requests of 36 ms and of 220 ms has no use for their mean: it takes the short
-// ones for late when they are not, and fast servers for slow.
+// kind holds what a pool has measured of requests with the same latency objective. There
+// are hundreds of routes and they change, so requests are classified by objective rather
+// than by route. A single mean would be useless for a service that runs requests of 36 ms
+// and of 220 ms: short requests would be judged late when they are not, and fast servers
+// would be judged slow.
 type kind struct {
-	// work is the smoothed time to an answer.
+	// work is the smoothed time to an answer of requests that met no queue at the server.
 	work time.Duration
-	// patience is what most callers wait in all, found by majority vote: all
-	// first attempts name the same time, later ones what is left of it.
+	// patience is the timeout that most callers use, found by majority vote: all first
+	// attempts state the same timeout, and retries state what is left of it.
 	patience time.Duration
 	votes    int
 }
 
-// of returns what is known of a waiter's kind; nil if too many are known.
+// of returns the request class of an objective, or nil if there are too many classes.
 func (p *Pool) of(objective time.Duration) *kind {
 	known := p.kinds[objective]
 	if known == nil && len(p.kinds) < mostKinds {
@@ -28,7 +29,7 @@
 	return known
 }
 
-// work returns the expected time to an answer for requests of an objective.
+// work returns the expected service time of requests with an objective.
 func (p *Pool) work(objective time.Duration) time.Duration {
 	if known := p.kinds[objective]; known != nil && known.work > 0 {
 		return known.work
@@ -36,7 +37,7 @@
 	return p.mean
 }
 
-// learnWork takes the time of an answer.
+// learnWork updates the service time of a request class from an answer.
 func (p *Pool) learnWork(objective, took time.Duration) {
 	known := p.of(objective)
 	if known == nil {
@@ -48,7 +49,7 @@
 	known.work += time.Duration(meanWeight * float64(took-known.work))
 }
 
-// vote takes what one caller waits.
+// vote counts the timeout of one request.
 func (k *kind) vote(patience time.Duration) {
 	switch {
 	case patience == k.patience:
@@ -60,13 +61,13 @@
 	}
 }
 
-// mostVotes bounds the votes, so that a change of the callers' patience is
-// noticed within as many requests.
+// mostVotes caps the votes. A change of the callers' timeout is therefore noticed within
+// that many requests.
 const mostVotes = 64
 
-// waited returns how long a caller has waited before this attempt, elsewhere or
-// after a rejection. An objective counts from its first attempt, and who comes
-// back as told should be served before who comes anew.
+// waited returns how long the caller has already waited before this attempt, at another
+// host or after a rejection. The objective counts from the caller's first attempt, and a
+// caller that retried when told to should be served before a new one.
 func (k *kind) waited(patience time.Duration) time.Duration {
 	if k.votes < mostVotes/4 || patience <= 0 || patience >= k.patience {
 		return 0
--- a/balance/kind_test.go
+++ b/balance/kind_test.go
@@ -9,22 +9,20 @@
 	"cicadarouter/fleet"
 )
 
-// Two objectives that stand for a short and a long kind of request.
+// Objectives of a class of short requests and of one of long requests.
 const (
 	short = 150 * ms
 	long  = 600 * ms
 )
 
-// ran lets the pool's server answer a request of an objective.
+// ran sends a request with an objective to the pool's server and completes it.
 func ran(p *Pool, now time.Duration, objective, took time.Duration, load *Load) {
 	w := enter(p, now, Waiter{Objective: objective})
 	p.Done(now, w.Server, End{Outcome: Answered, Took: took, Objective: objective, Load: load})
 }
 
-// Symptom: short requests are taken for late while they could still be answered
-// in time.
-// Sequence: a service runs requests of 20 ms and of 220 ms.
-// Cause: both were judged by the mean of all.
+// Guards against short requests that are judged late although they can still be answered in
+// time. A service runs requests of 20 ms and of 220 ms, and both were judged by their mean.
 func TestKindsAreJudgedByTheirOwnWork(t *testing.T) {
 	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 4})
 	for i := range 200 {
@@ -34,10 +32,10 @@
 	assert.Assert(t, p.work(short) < 30*ms && p.work(long) > 200*ms, "%v %v", p.work(short), p.work(long))
 	assert.Assert(t, !p.missed(80*ms, &Waiter{Objective: short}), "70 ms are left for 20 ms of work")
 	assert.Assert(t, p.missed(200*ms, &Waiter{Objective: long}), "400 ms are left for 220 ms of work")
-	assert.Equal(t, p.work(time.Hour), p.mean, "of an unknown kind the mean is expected")
+	assert.Equal(t, p.work(time.Hour), p.mean, "an unknown class is expected to take the mean")
 }
 
-// The number of kinds is bounded, whatever objectives routes name.
+// The number of request classes is bounded, whatever objectives the routes have.
 func TestKindsAreBounded(t *testing.T) {
 	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 4})
 	for i := range 10 * mostKinds {
@@ -46,10 +44,9 @@
 	assert.Equal(t, len(p.kinds), mostKinds)
 }
 
-// Symptom: a caller that comes back as told is turned away again and again.
-// Sequence: two callers wait; one has waited elsewhere before and names what is
-// left of its time.
-// Cause: the one that came back stood behind the one that came anew.
+// Guards against a caller that retries when told to and is rejected again and again. Of two
+// waiting callers, the one that had waited before and has less time left was served after
+// the new one.
 func TestWhoComesBackGoesFirst(t *testing.T) {
 	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 1})
 	const patience = 1200 * ms
@@ -68,10 +65,8 @@
 	assert.Assert(t, second.settled() && !first.settled())
 }
 
-// Symptom: a caller waits until its time is over and hears nothing.
-// Sequence: it comes back with 50 ms left, to a service that needs 100 ms, and
-// waits for a server.
-// Cause: it was given up only at its deadline.
+// Guards against a caller that gets no answer before its timeout. It retries with 50 ms left
+// while the service time is 100 ms, and was rejected only at its deadline.
 func TestTooLittleTimeIsToldAtOnce(t *testing.T) {
 	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 1})
 	ran(p, 0, long, 100*ms, nil)
@@ -85,9 +80,8 @@
 	assert.Equal(t, waiting.Rejected.Reason, Expired)
 }
 
-// Symptom: keys leave a server that is as fast as the others.
-// Sequence: it owns busy keys; its answers come late because requests wait there.
-// Cause: the time in its queue was taken for its speed.
+// Guards against keys that move away from a server which is as fast as the others. Requests
+// for its busy keys queue there, and the time in the queue was counted as service time.
 func TestFullServersAreNotSlow(t *testing.T) {
 	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 4})
 	for i := range 50 {
@@ -100,23 +94,23 @@
 	assert.Equal(t, p.servers.byID["a"].Ratio(), before)
 }
 
-// Symptom: requests wait half a second each and are then turned away.
-// Sequence: the servers of a service are full of other hosts' requests.
-// Cause: the expected wait took all slots of the service for this host's own.
+// Guards against requests that wait half a second each and are then rejected. The servers are
+// full of other hosts' requests, and the expected wait assumed all slots of the service for
+// this host.
 func TestPaceOfASharedService(t *testing.T) {
 	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 2})
 	patient := Waiter{Objective: 9 * time.Second, Deadline: 20 * time.Second}
 	now := time.Duration(0)
-	var under []*Waiter
+	var inFlight []*Waiter
 	for range 6 {
-		under = append(under, enter(p, now, patient))
+		inFlight = append(inFlight, enter(p, now, patient))
 	}
-	for range 6 { // a place each 200 ms, though the service takes 100 ms
+	for range 6 { // one slot every 200 ms, although the service time is 100 ms
 		now += 200 * ms
-		p.Done(now, under[0].Server, End{Outcome: Answered, Took: 100 * ms, Objective: patient.Objective})
-		under = append(under[1:], enter(p, now, patient))
+		p.Done(now, inFlight[0].Server, End{Outcome: Answered, Took: 100 * ms, Objective: patient.Objective})
+		inFlight = append(inFlight[1:], enter(p, now, patient))
 	}
-	const behindAll = 300 // ranks
+	const behindAll = 300 // priority levels
 	late := enter(p, now, Waiter{Objective: 300 * ms, Deadline: now + time.Second, Priority: behindAll})
 	assert.Assert(t, late.Rejected != nil, "gap %v", p.gap)
 }
--- a/balance/limited.go
+++ b/balance/limited.go
@@ -8,73 +8,73 @@
 	"cicadarouter/ratelimit"
 )
 
-// Load pattern: a server names a limit for all hosts together that is a fraction of what it
-// is asked for. Each request there needs a place, which one host gives out for all. The
-// pool says how many places its waiting requests want (Wishes), is told what became of it
-// (Reserved), and turns away at once what no place will come for in time.
+// Load pattern: a server announces a limit for all hosts together that is a fraction of its
+// demand. Each request then needs a permit, which one host, the scheduler, issues for all.
+// The pool tells how many permits its queued requests need (Wishes), is given the scheduler's
+// answer (Reserved), and rejects at once the requests that no permit will reach in time.
 
 const (
-	// aloneFor is how long a host that got no answer from the schedule of places keeps to
-	// its own part before it asks again.
+	// aloneFor is how long a host that got no answer from the scheduler limits itself to its
+	// fallback share before it asks again.
 	aloneFor = time.Second
-	// mostWishes bounds the places that are asked for at once.
+	// mostWishes is the most permits requested at once.
 	mostWishes = 16
-	// mostLimitRetry bounds what a caller is told who has to wait for a place: limits and
-	// the owners of keys change within seconds.
+	// mostLimitRetry bounds the retry delay given to a caller that has to wait for a permit or
+	// for the end of a backoff: limits and key owners change within seconds.
 	mostLimitRetry = 10 * time.Second
-	// spareWithin is how soon a place must be due that is reserved for requests to come,
-	// while others serve those that wait.
+	// spareWithin is how soon a prefetched permit must become valid: one that is reserved
+	// for later requests while other servers serve the queued ones.
 	spareWithin = 50 * time.Millisecond
 )
 
-// limit is what a pool knows of a server that names one.
+// limit is the state of a server's limit. The zero value means that there is none.
 type limit struct {
-	perSecond float64 // 0: none
-	places    []place // of this host, in the order in which they are due
-	asked     int     // places that are being reserved
-	spare     bool    // a place would have been used by a request that went elsewhere
-	// fullUntil is when the next place is due that this host could not have.
+	perSecond float64 // 0: not limited
+	places    []place // permits held by this host, in order of validity
+	asked     int     // permits requested and not yet answered
+	spare     bool    // set if the server would have been cheapest for a request but had no permit
+	// fullUntil is when the next permit becomes valid that the scheduler refused this host.
 	fullUntil time.Duration
-	// aloneUntil is until when the schedule counts as out of reach.
+	// aloneUntil is when this host asks the scheduler again after it could not be reached.
 	aloneUntil time.Duration
 	turn       ratelimit.Turn
-	// retryAt is when the caller last turned away was told to come back.
+	// retryAt is the retry time given to the last rejected caller.
 	retryAt time.Duration
 }
 
-// place is a request that this host may send, from a time on until another.
+// place is the right to send one request from one time until another.
 type place struct{ from, until time.Duration }
 
-// Wish is a number of places that a host wants at a server.
+// Wish asks the scheduler for permits at one server.
 type Wish struct {
 	Server fleet.Incarnation
 	Places int
-	// Within is how soon they must be due.
+	// Within is how soon the permits must become valid.
 	Within time.Duration
 }
 
-// Reservation is what became of a wish.
+// Reservation is the scheduler's answer to a Wish.
 type Reservation struct {
-	// Reached is set if the schedule answered.
+	// Reached is set if the scheduler answered.
 	Reached bool
-	// Asked is when the wish left.
+	// Asked is when the question was sent.
 	Asked time.Duration
-	// Waits are how long after Asked the places are due that this host was given.
+	// Waits tells for each granted permit how long after Asked it becomes valid.
 	Waits []time.Duration
-	// Full is how long after Asked the first place is due that it was not given; 0 if it
-	// was given all.
+	// Full is how long after Asked the first refused permit would become valid; 0 if all
+	// permits were granted.
 	Full time.Duration
 }
 
-// SetLimits takes the limits that servers name, in requests a second, and how many hosts
-// there are, 0 if that is not known.
+// SetLimits sets the limits that servers announced, in requests per second, and the number
+// of hosts (0: unknown).
 func (p *Pool) SetLimits(now time.Duration, limits map[fleet.Incarnation]float64, hosts int) {
 	if hosts <= 0 {
 		hosts = hostsUnknown
 	}
-	noneBefore := len(p.limits) == 0
+	hadNone := len(p.limits) == 0
 	p.limits, p.hosts = limits, hosts
-	if noneBefore && len(limits) == 0 {
+	if hadNone && len(limits) == 0 {
 		return
 	}
 	for _, server := range p.servers.order {
@@ -83,7 +83,7 @@
 	p.Pump(now)
 }
 
-// noteLimit takes the limit that a server names, if any.
+// noteLimit applies the current limit of a server, if any.
 func (p *Pool) noteLimit(now time.Duration, server *Server) {
 	perSecond := p.limits[server.Incarnation()]
 	switch {
@@ -100,14 +100,14 @@
 	return ratelimit.TurnInterval(perSecond, p.hosts)
 }
 
-// limited reports whether a server names a limit.
+// limited reports whether the server has a limit.
 func (s *Server) limited() bool { return s.limit.perSecond > 0 }
 
-// alone reports whether the host keeps to its own part, as the schedule is out of reach.
+// alone reports whether the host uses its fallback share because the scheduler could not be
+// reached.
 func (l *limit) alone(now time.Duration) bool { return now < l.aloneUntil }
 
-// hasPlace reports whether this host may send a request to a server as far as its limit
-// goes.
+// hasPlace reports whether the server's limit allows this host to send it a request now.
 func (p *Pool) hasPlace(now time.Duration, server *Server) bool {
 	l := &server.limit
 	if !server.limited() {
@@ -120,14 +120,14 @@
 	return l.alone(now) && l.turn.Wait(now, p.turnInterval(l.perSecond)) == 0
 }
 
-// mayGetPlace reports whether a place at a limited server may be due in time for a request
-// if it is asked for.
+// mayGetPlace reports whether the scheduler may still grant a permit at the server that
+// becomes valid in time for the request.
 func (p *Pool) mayGetPlace(now time.Duration, waiter *Waiter, server *Server) bool {
 	l := &server.limit
 	return !l.alone(now) && l.fullUntil <= now+p.patience(now, waiter)
 }
 
-// takePlace uses a place at a server that may name a limit.
+// takePlace uses up a permit for a request that is sent to the server, if that has a limit.
 func (p *Pool) takePlace(now time.Duration, server *Server) {
 	l := &server.limit
 	switch {
@@ -139,8 +139,8 @@
 	}
 }
 
-// placeWait returns how long a request waits at least for a place at a server behind a
-// number of others of this host; 0 if that is not known before places have been asked for.
+// placeWait returns the shortest time until the request that is number ahead in the queue
+// gets a permit at the server; 0 if there is no limit or nothing is known yet.
 func (p *Pool) placeWait(now time.Duration, server *Server, ahead int) time.Duration {
 	l := &server.limit
 	switch {
@@ -149,13 +149,13 @@
 	case ahead < len(l.places):
 		return max(l.places[ahead].from-now, 0)
 	case l.alone(now):
-		every := p.turnInterval(l.perSecond)
-		return l.turn.Wait(now, every) + time.Duration(ahead-len(l.places))*every
+		interval := p.turnInterval(l.perSecond)
+		return l.turn.Wait(now, interval) + time.Duration(ahead-len(l.places))*interval
 	}
 	return max(l.fullUntil-now, 0)
 }
 
-// slotsWithinLimit is how many of its slots a server can have busy.
+// slotsWithinLimit returns how many of the server's slots its limit can keep busy.
 func (p *Pool) slotsWithinLimit(server *Server) float64 {
 	if !server.limited() {
 		return float64(server.Slots)
@@ -163,14 +163,14 @@
 	return min(float64(server.Slots), server.limit.perSecond*p.mean.Seconds())
 }
 
-// patience is how much longer a request may wait for a server.
+// patience returns how much longer the request may wait for a server.
 func (p *Pool) patience(now time.Duration, waiter *Waiter) time.Duration {
-	most := min(p.longest(waiter)-(now-waiter.Entered), waiter.Deadline-now-p.work(waiter.Objective))
-	return max(most, 0)
+	remaining := min(p.longest(waiter)-(now-waiter.Entered), waiter.Deadline-now-p.work(waiter.Objective))
+	return max(remaining, 0)
 }
 
-// beyondLimit returns why a request can't be served in time because servers name limits,
-// or nil. A place that is not due in time leaves nothing to wait for.
+// beyondLimit returns why the request can't be served in time because of servers' limits, or
+// nil. If no permit becomes valid in time there is no point in waiting.
 func (p *Pool) beyondLimit(now time.Duration, waiter *Waiter) *RejectedError {
 	server, wait := p.nextPlace(now, waiter)
 	if server == nil || wait <= p.patience(now, waiter) {
@@ -180,8 +180,8 @@
 		Server: server.ID, Limit: server.limit.perSecond}
 }
 
-// nextPlace returns the server at which a request waits for a place, and how long it will
-// at least; nil if it waits for anything else.
+// nextPlace returns the server whose permit the request waits for, and the shortest time
+// until it gets one. It returns nil if the request waits for anything else.
 func (p *Pool) nextPlace(now time.Duration, waiter *Waiter) (next *Server, wait time.Duration) {
 	if waiter.Keyed && p.owner != nil {
 		id, _ := p.owner.OwnerOf(waiter.Key)
@@ -199,16 +199,16 @@
 		if !server.limited() || p.hasPlace(now, server) {
 			return nil, 0
 		}
-		if due := p.placeWait(now, server, 0); next == nil || due < wait {
-			next, wait = server, due
+		if permitWait := p.placeWait(now, server, 0); next == nil || permitWait < wait {
+			next, wait = server, permitWait
 		}
 	}
 	return next, wait
 }
 
-// limitRetry returns when a caller is to come back for whom no place is due in time. Those
-// whom all hosts turn away come back one by one, as places are due: each host tells its own
-// at intervals at which all hosts together reach the limit.
+// limitRetry returns the retry delay for a caller that gets no permit in time. Retries
+// should arrive at the rate at which permits become valid: each host spaces its rejected
+// callers so that the retries of all hosts together match the limit.
 func (p *Pool) limitRetry(now time.Duration, server *Server, wait time.Duration) time.Duration {
 	l := &server.limit
 	spacing := time.Duration(float64(p.hosts) / l.perSecond * float64(time.Second))
@@ -221,8 +221,8 @@
 	return max(l.retryAt-now, leastRetryAfter)
 }
 
-// Wishes returns the places that are to be reserved for the requests that wait. Until
-// Reserved is called for a server, it is not returned again.
+// Wishes returns the permits to request for the queued requests. A server is not returned
+// again until Reserved has been called for it.
 func (p *Pool) Wishes(now time.Duration) []Wish {
 	if len(p.limits) == 0 {
 		return nil
@@ -244,7 +244,7 @@
 	return wishes
 }
 
-// wish returns what is to be reserved at a server.
+// wish returns the permits to request at one server; Places is 0 or less if there are none.
 func (p *Pool) wish(now time.Duration, server *Server) Wish {
 	wish := Wish{Server: server.Incarnation()}
 	keyed, unkeyed := 0, 0
@@ -270,8 +270,8 @@
 	return wish
 }
 
-// wants reports whether a waiting request could use a place at a limited server: that of
-// its key's owner, or the one that it would cost least at.
+// wants reports whether the queued request could use a permit at the limited server: if the
+// server owns its key or, without keys, if the server would have been the cheapest.
 func (p *Pool) wants(waiter *Waiter, server *Server) bool {
 	if !waiter.Keyed || p.owner == nil {
 		return server.limit.spare
@@ -280,9 +280,9 @@
 	return id == server.ID
 }
 
-// reservedPlaces counts the places that this host has, or has asked for, at all servers.
-// Requests that any server may take would otherwise have some reserved at each, and leave
-// none to other hosts.
+// reservedPlaces counts the permits that this host holds or has requested at all servers. If
+// they were ignored, a request that any server can take would reserve a permit at each
+// server and leave none to other hosts.
 func (p *Pool) reservedPlaces() int {
 	count := 0
 	for _, server := range p.servers.order {
@@ -291,28 +291,28 @@
 	return count
 }
 
-// Reserved takes what became of a wish.
-func (p *Pool) Reserved(now time.Duration, incarnation fleet.Incarnation, got Reservation) {
+// Reserved applies the scheduler's answer.
+func (p *Pool) Reserved(now time.Duration, incarnation fleet.Incarnation, reservation Reservation) {
 	server := p.running(incarnation)
 	if server == nil || !server.limited() {
 		return
 	}
 	l := &server.limit
 	l.asked = 0
-	if !got.Reached {
+	if !reservation.Reached {
 		l.aloneUntil = now + aloneFor
 		p.Pump(now)
 		return
 	}
-	for _, wait := range got.Waits {
-		due := got.Asked + wait
+	for _, wait := range reservation.Waits {
+		due := reservation.Asked + wait
 		l.places = append(l.places, place{from: due, until: due + ratelimit.PlaceKept})
 	}
-	if got.Full > 0 {
-		l.fullUntil = got.Asked + got.Full
+	if reservation.Full > 0 {
+		l.fullUntil = reservation.Asked + reservation.Full
 	}
 	p.Pump(now)
 }
 
-// Limits returns how many servers name limits, as last told by SetLimits.
+// Limits returns the number of servers that have a limit, as last set with SetLimits.
 func (p *Pool) Limits() int { return len(p.limits) }
--- a/balance/limited_fuzz_test.go
+++ b/balance/limited_fuzz_test.go
@@ -14,44 +14,45 @@
 	"cicadarouter/ratelimit"
 )
 
-// The users' rule for a limit.
+// Required behavior: a limit applies ruleContact after its first announcement, to hosts that
+// have known it for ruleTold, and is counted over any ruleWindow.
 const (
 	ruleContact = 3 * time.Second
 	ruleTold    = 500 * ms
 	ruleWindow  = 4 * time.Second
 )
 
-// fuzzHost is one host as it is, through the lives of its process.
+// fuzzHost is one host. Its process may be restarted.
 type fuzzHost struct {
 	pool   *Pool
 	ledger notice.Ledger[float64]
 	life   int
-	begun  time.Duration // when this life did
-	told   time.Duration // when it first got an answer that names a limit in this life; -1 before
-	cut    bool          // from the schedule
+	begun  time.Duration // start of the current process
+	told   time.Duration // when the current process first got an answer with a limit; -1 before
+	cut    bool          // set while the scheduler can't be reached
 }
 
-// fuzzSend is a request that reached the server.
+// fuzzSend is a request sent to the server.
 type fuzzSend struct {
 	at      time.Duration
-	counted bool // its host had been told and was in touch
+	counted bool // whether the limit applies: the host knew the limit and had not just restarted
 }
 
-// limitWorld is one limited server, hosts, and whoever schedules its places. Answers,
-// questions for places and news take times that are drawn, so they overtake each other, and
-// answers get lost.
+// limitWorld simulates one limited server, several hosts, and the scheduler of its permits.
+// The delays of answers, permit requests and notifications are random, so they overtake each
+// other, and some are lost.
 type limitWorld struct {
 	t      *rapid.T
 	events agenda
 	keyed  bool
 	server fleet.Server
 	hosts  []*fuzzHost
-	// limits are those that the server named, each from a time on.
+	// limits are the limits that the server announced, each valid from a time on.
 	limits []struct {
 		from      time.Duration
 		perSecond float64
 	}
-	schedule *ratelimit.Schedule // nil while no process may schedule
+	schedule *ratelimit.Schedule // nil while no process may act as scheduler
 	sends    []fuzzSend
 }
 
@@ -63,7 +64,7 @@
 	return time.Duration(rapid.IntRange(from, to).Draw(w.t, label)) * ms
 }
 
-// named returns the limit that the server names.
+// named returns the limit that the server currently announces.
 func (w *limitWorld) named() float64 { return w.limits[len(w.limits)-1].perSecond }
 
 func (w *limitWorld) name(now time.Duration, perSecond float64) {
@@ -73,7 +74,7 @@
 	}{now, perSecond})
 }
 
-// start starts a host's process, which knows nothing.
+// start starts a new process of a host, without any state.
 func (w *limitWorld) start(now time.Duration, h *fuzzHost) {
 	var owner Owner
 	if w.keyed {
@@ -85,7 +86,7 @@
 	h.pool.SetServers(now, []fleet.Server{w.server})
 }
 
-// request is one that comes to a host.
+// request queues a request at a host.
 func (w *limitWorld) request(now time.Duration, h *fuzzHost) {
 	waiter := &Waiter{Keyed: w.keyed, Arrived: now, Deadline: now + 2*time.Second, Objective: time.Second, Ready: make(chan struct{})}
 	h.pool.Enter(now, waiter)
@@ -93,7 +94,7 @@
 	w.wish(now, h)
 }
 
-// wait looks again and again whether a request was given the server.
+// wait polls until the request is assigned the server or rejected.
 func (w *limitWorld) wait(now time.Duration, h *fuzzHost, pool *Pool, waiter *Waiter) {
 	switch {
 	case h.pool != pool || waiter.Rejected != nil:
@@ -111,11 +112,11 @@
 
 func (w *limitWorld) send(now time.Duration, h *fuzzHost, pool *Pool, waiter *Waiter) {
 	told := h.told >= 0 && now-h.told >= ruleTold
-	inTouch := h.life == 1 || now-h.begun >= ruleContact // a restart excuses its host
+	inTouch := h.life == 1 || now-h.begun >= ruleContact // the limit does not apply right after a restart
 	w.sends = append(w.sends, fuzzSend{at: now, counted: told && inTouch})
-	w.at(now+w.millis("run", 1, 150), func(said time.Duration) {
+	w.at(now+w.millis("run time", 1, 150), func(said time.Duration) {
 		perSecond := w.named()
-		w.at(said+w.millis("way back", 1, 60), func(heard time.Duration) {
+		w.at(said+w.millis("return delay", 1, 60), func(heard time.Duration) {
 			w.answer(heard, h, pool, waiter, notice.News[float64]{Value: perSecond, Sent: now, Heard: heard})
 		})
 	})
@@ -136,14 +137,14 @@
 	w.wish(now, h)
 }
 
-// spread tells the other hosts a little later, or too late, or not at all.
+// spread forwards the limit to the other hosts, with a random delay; some messages are lost.
 func (w *limitWorld) spread(now time.Duration, from *fuzzHost) {
 	told, _ := from.ledger.Tell(now, 0, 8)
 	for _, h := range w.hosts {
 		if h == from || rapid.IntRange(0, 3).Draw(w.t, "lost") == 0 {
 			continue
 		}
-		w.at(now+w.millis("news", 1, 1500), func(now time.Duration) {
+		w.at(now+w.millis("notification delay", 1, 1500), func(now time.Duration) {
 			for _, each := range told {
 				each.SentAgo, each.HeardAgo = each.SentAgo+1, each.HeardAgo+1
 				if h.ledger.Take(each.Server, each.News(now)) {
@@ -154,12 +155,12 @@
 	}
 }
 
-// wish has a host's wishes answered by the schedule, late or not at all.
+// wish passes a host's reservation requests to the scheduler; some answers are lost.
 func (w *limitWorld) wish(now time.Duration, h *fuzzHost) {
 	pool := h.pool
 	for _, wish := range pool.Wishes(now) {
 		lost := rapid.IntRange(0, 9).Draw(w.t, "answer lost") == 0
-		w.at(now+w.millis("there", 1, 40), func(at time.Duration) {
+		w.at(now+w.millis("request delay", 1, 40), func(at time.Duration) {
 			got := Reservation{Asked: now}
 			if !h.cut && w.schedule != nil {
 				got = w.reserve(at, h, wish, got)
@@ -167,7 +168,7 @@
 			if lost {
 				got = Reservation{Asked: now}
 			}
-			w.at(at+w.millis("back", 1, 150), func(now time.Duration) {
+			w.at(at+w.millis("answer delay", 1, 150), func(now time.Duration) {
 				if h.pool == pool {
 					pool.Reserved(now, wish.Server, got)
 				}
@@ -193,7 +194,7 @@
 	return got
 }
 
-// check counts over all hosts, as the rule does.
+// check compares the requests of all hosts, in each window, with the limit.
 func (w *limitWorld) check() {
 	var counted []time.Duration
 	for _, send := range w.sends {
@@ -210,8 +211,8 @@
 	}
 }
 
-// mostAllowed returns what the highest limit allows that was named in a span or shortly
-// before it; any number if for some of it there was none.
+// mostAllowed returns the most requests allowed by the highest limit that was announced during
+// or shortly before the span; it does not restrict spans that include a time without a limit.
 func (w *limitWorld) mostAllowed(from, to time.Duration) float64 {
 	highest := 0.0
 	for i, limit := range w.limits {
@@ -226,9 +227,9 @@
 	return 1.5*ruleWindow.Seconds()*highest + 5
 }
 
-// However hosts start again, are cut off from the schedule or lose its answers, however
-// control passes, and in whatever order answers and news come, the hosts together keep to a
-// server's limit.
+// Tests that the hosts together keep to a server's limit while hosts restart, lose contact with
+// the scheduler or lose its answers, while the scheduler changes, and in whatever order answers
+// and notifications arrive.
 func TestLimitHoldsOverAllHosts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &limitWorld{t: t, keyed: rapid.Bool().Draw(t, "keyed"), server: fleet.Server{ID: "a", Domain: "d", Slots: 1000}, schedule: &ratelimit.Schedule{}}
@@ -252,17 +253,17 @@
 	})
 }
 
-// turn draws what happens next.
+// turn executes one random event.
 func (w *limitWorld) turn(now time.Duration) {
 	h := w.hosts[rapid.IntRange(0, len(w.hosts)-1).Draw(w.t, "host")]
-	switch rapid.IntRange(0, 59).Draw(w.t, "what") {
+	switch rapid.IntRange(0, 59).Draw(w.t, "event") {
 	case 0:
 		w.start(now, h)
 	case 1:
 		h.cut = !h.cut
-	case 2: // control passes: nobody schedules before the predecessor has stopped
+	case 2: // the scheduler changes: there is none until the predecessor has stopped
 		w.schedule = nil
-		w.at(now+w.millis("succession", 100, 5500), func(time.Duration) { w.schedule = &ratelimit.Schedule{} })
+		w.at(now+w.millis("handover", 100, 5500), func(time.Duration) { w.schedule = &ratelimit.Schedule{} })
 	case 3:
 		if now > time.Second && w.named() > 0 {
 			w.name(now, w.named()*rapid.Float64Range(0.3, 3).Draw(w.t, "change"))
--- a/balance/limited_replay_test.go
+++ b/balance/limited_replay_test.go
@@ -12,47 +12,47 @@
 	"cicadarouter/ratelimit"
 )
 
-// division is how hosts divide a limit.
+// division is how hosts share a limit.
 type division int
 
 const (
-	// byPlaces: one schedule gives out places to all hosts, on demand.
+	// byPlaces: one scheduler issues permits to all hosts on demand.
 	byPlaces division = iota
-	// equalParts: each host has a schedule of its equal part.
+	// equalParts: each host schedules an equal part of the limit by itself.
 	equalParts
-	// eachAll: each host keeps to the whole limit by itself.
+	// eachAll: each host schedules the whole limit by itself.
 	eachAll
-	// outOfReach: the schedule never answers.
+	// outOfReach: the scheduler never answers.
 	outOfReach
 )
 
 const (
-	// newsAfter is how long after one host has heard of a limit all others have.
+	// newsAfter is the delay until a limit that one host learned is known to all hosts.
 	newsAfter = 250 * ms
-	// askTime is how long a question for places takes, there and back.
+	// askTime is the round-trip time of a permit request.
 	askTime = 4 * ms
 )
 
-// limitedUse is what a limited server got, from 3 s after it first named its limit on.
+// limitedUse is what a limited server got, from 3 s after it first announced its limit.
 type limitedUse struct {
 	perSecond float64
-	// fullest is the most in 4 s, mean the number a second.
+	// fullest is the most requests in any 4 s; mean is the rate per second.
 	fullest int
 	mean    float64
 }
 
-// allowed is the most that the users' rule allows in 4 s.
+// allowed returns the most requests that the requirement allows in 4 s.
 func (u limitedUse) allowed() float64 { return 1.5*4*u.perSecond + 5 }
 
 func (u limitedUse) String() string {
-	return fmt.Sprintf("%d in 4 s, %.1f a second", u.fullest, u.mean)
+	return fmt.Sprintf("%d in 4 s, %.1f per second", u.fullest, u.mean)
 }
 
-// modelLimits are the limits that servers of a replay name in its middle third.
+// modelLimits simulates servers that announce limits in the middle third of a run.
 type modelLimits struct {
 	w        *world
 	from, to time.Duration
-	known    []map[fleet.Incarnation]float64 // by host
+	known    []map[fleet.Incarnation]float64 // limits known to each host
 	places   map[string]*ratelimit.Schedule
 	got      map[string][]time.Duration
 }
@@ -65,7 +65,7 @@
 	return l
 }
 
-// named returns the limit that a server names at a time; 0 for none.
+// named returns the limit that a server announces at a time, or 0.
 func (l *modelLimits) named(now time.Duration, s *modelServer) float64 {
 	if now < l.from || now >= l.to || slices.Index(l.w.servers, s) >= l.w.limited {
 		return 0
@@ -73,14 +73,14 @@
 	return l.w.limit
 }
 
-// sent notes a request that reaches a server.
+// sent records a request that reaches a server.
 func (l *modelLimits) sent(now time.Duration, s *modelServer) {
 	if l != nil && l.named(now, s) > 0 {
 		l.got[s.ID] = append(l.got[s.ID], now)
 	}
 }
 
-// answered tells a host, and a little later all others, what limit the server names.
+// answered tells one host, and after a delay all others, which limit the server announces.
 func (l *modelLimits) answered(now time.Duration, r *modelRequest) {
 	if l == nil {
 		return
@@ -111,7 +111,7 @@
 	l.w.pools[host].SetLimits(now, known, l.w.hosts)
 }
 
-// wish has the wishes of all hosts answered a little later.
+// wish passes the reservation requests of all hosts to the scheduler and back.
 func (l *modelLimits) wish(now time.Duration) {
 	if l == nil {
 		return
@@ -130,7 +130,7 @@
 	}
 }
 
-// reserve answers a wish.
+// reserve returns the scheduler's answer.
 func (l *modelLimits) reserve(now time.Duration, host int, wish Wish) Reservation {
 	if l.w.division == outOfReach {
 		return Reservation{}
@@ -176,8 +176,8 @@
 	return uses
 }
 
-// limitedLoad is a service of nine servers behind eight hosts, two kinds of request at half
-// of the slots, of which some servers name a limit in the middle third.
+// limitedLoad is a service of nine servers behind eight hosts, with two classes of requests at
+// half of its capacity. The first servers announce a limit in the middle third.
 func limitedLoad(limited int, by division, seed uint64) load {
 	return load{hosts: 8, servers: 9, slots: 2, perSecond: 65, burst: 1, length: 45 * time.Second, seed: seed, returns: true, limited: limited, limit: 2.3, division: by,
 		kinds: []modelKind{
@@ -186,20 +186,21 @@
 		}}
 }
 
-// Guards against a limit that each host keeps by itself: the sum over hosts exceeds it.
+// Guards against a limit that each host keeps by itself, so that all hosts together exceed it.
 func TestReplayLimitedServers(t *testing.T) {
 	for _, limited := range []int{2, 9} {
 		for seed := uint64(1); seed <= 3; seed++ {
 			got, alone := replay(limitedLoad(limited, byPlaces, seed), ours), replay(limitedLoad(limited, outOfReach, seed), ours)
 			each, equal := replay(limitedLoad(limited, eachAll, seed), ours), replay(limitedLoad(limited, equalParts, seed), ours)
-			t.Logf("%d limited, seed %d: places on demand %v %v", limited, seed, got.limited, got)
+			t.Logf("%d limited, seed %d: permits on demand %v %v", limited, seed, got.limited, got)
 			t.Logf("equal parts %v %v", equal.limited, equal)
-			t.Logf("each host all %v %v", each.limited, each)
-			t.Logf("out of reach %v %v", alone.limited, alone)
+			t.Logf("full limit at each host %v %v", each.limited, each)
+			t.Logf("scheduler unreachable %v %v", alone.limited, alone)
 			for _, use := range slices.Concat(got.limited, alone.limited) {
 				assert.Assert(t, float64(use.fullest) <= use.allowed(), "%v", use)
 			}
-			if limited == 9 { // with others to go to, hosts need no more than the limit
+			// If other servers have no limit, hosts hardly exceed the limits anyway.
+			if limited == 9 {
 				assert.Assert(t, slices.ContainsFunc(each.limited, func(use limitedUse) bool { return float64(use.fullest) > use.allowed() }))
 			}
 			assert.Assert(t, got.lost < got.asked/50)
@@ -207,8 +208,8 @@
 	}
 }
 
-// Guards against places that lie idle, with all servers limited, at hosts that are asked
-// for little while others turn callers away.
+// Guards against permits that stay unused at hosts with few requests while other hosts reject
+// callers. All servers are limited.
 func TestReplayPlacesAreUsed(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		l := limitedLoad(9, byPlaces, seed)
@@ -216,14 +217,14 @@
 		got := replay(l, ours)
 		l.division = equalParts
 		equal := replay(l, ours)
-		t.Logf("seed %d: places on demand %v %v", seed, got.limited, got)
+		t.Logf("seed %d: permits on demand %v %v", seed, got.limited, got)
 		t.Logf("equal parts %v %v", equal.limited, equal)
 		used := 0.0
 		for _, use := range got.limited {
 			assert.Assert(t, float64(use.fullest) <= use.allowed(), "%v", use)
 			used += use.mean / float64(l.limited)
 		}
-		assert.Assert(t, used > 0.9*l.limit, "%.2f a second of %v", used, l.limit)
+		assert.Assert(t, used > 0.9*l.limit, "%.2f per second of %v", used, l.limit)
 		assert.Assert(t, got.worth() > equal.worth())
 	}
 }
--- a/balance/limited_test.go
+++ b/balance/limited_test.go
@@ -12,7 +12,8 @@
 
 var limitedServer = fleet.Server{ID: "a", Start: 1, Domain: "d", Slots: 8}
 
-// limitedPool is a pool of a host, one of eight, whose server takes two requests a second.
+// limitedPool returns the pool of one of eight hosts, with servers limited to two requests
+// per second each.
 func limitedPool(keyed bool, servers ...fleet.Server) *Pool {
 	var owner Owner
 	if keyed {
@@ -28,7 +29,7 @@
 	return p
 }
 
-// enterLimited lets a request come that can wait for 900 ms.
+// enterLimited queues a request that can wait for 900 ms.
 func enterLimited(p *Pool, now time.Duration, keyed bool) *Waiter {
 	w := &Waiter{Keyed: keyed, Arrived: now, Deadline: now + 3*time.Second, Objective: time.Second, Ready: make(chan struct{})}
 	p.Enter(now, w)
@@ -41,18 +42,18 @@
 	assert.Assert(t, !w.decided())
 	wishes := p.Wishes(0)
 	assert.DeepEqual(t, wishes, []Wish{{Server: limitedServer.Incarnation(), Places: 1, Within: 900 * ms}})
-	assert.Equal(t, len(p.Wishes(ms)), 0, "it is being asked")
+	assert.Equal(t, len(p.Wishes(ms)), 0, "the permit has already been requested")
 	p.Reserved(4*ms, limitedServer.Incarnation(), Reservation{Reached: true, Waits: []time.Duration{50 * ms}})
 	p.Pump(49 * ms)
 	assert.Assert(t, !w.decided())
 	p.Pump(50 * ms)
 	assert.Assert(t, w.Server != nil)
 	next := enterLimited(p, 60*ms, true)
-	assert.Assert(t, !next.decided(), "a place is for one request")
+	assert.Assert(t, !next.decided(), "a permit is for one request")
 	assert.Equal(t, len(p.Wishes(60*ms)), 1)
 }
 
-// Guards against requests that wait until they expire although no place will come.
+// Guards against requests that wait until they expire although no permit will become valid.
 func TestRequestWithoutAPlaceInTimeIsTurnedAwayAtOnce(t *testing.T) {
 	p := limitedPool(true, limitedServer)
 	p.SetLimits(0, p.limits, 2)
@@ -64,15 +65,15 @@
 	assert.Equal(t, w.Rejected.Limit, 2.0)
 	assert.Assert(t, w.Rejected.RetryAfter >= 1196*ms)
 	second, third := enterLimited(p, 10*ms, true), enterLimited(p, 10*ms, true)
-	assert.Assert(t, second.Rejected != nil && third.Rejected != nil, "what is known is not asked for again")
+	assert.Assert(t, second.Rejected != nil && third.Rejected != nil, "the known wait is not requested again")
 	assert.Equal(t, len(p.Wishes(10*ms)), 0)
-	assert.Equal(t, third.Rejected.RetryAfter-second.Rejected.RetryAfter, time.Second, "two hosts, two a second")
+	assert.Equal(t, third.Rejected.RetryAfter-second.Rejected.RetryAfter, time.Second, "two hosts, two requests per second")
 	later := enterLimited(p, 400*ms, true)
-	assert.Assert(t, !later.decided(), "the next place is due in time")
+	assert.Assert(t, !later.decided(), "the next permit becomes valid in time")
 	assert.Equal(t, len(p.Wishes(400*ms)), 1)
 }
 
-// Guards against a host that reserves the places of all servers for each of its requests.
+// Guards against a host that reserves permits at all servers for each of its requests.
 func TestPlacesAreReservedOncePerRequest(t *testing.T) {
 	other := fleet.Server{ID: "b", Start: 1, Domain: "d", Slots: 8}
 	p := limitedPool(false, limitedServer, other)
@@ -95,7 +96,7 @@
 	assert.Equal(t, asked, len(waiting))
 }
 
-// A host that gets no answer keeps to its turn, and asks again later.
+// A host without an answer from the scheduler uses its fallback share, and asks again later.
 func TestHostWithoutAnAnswerKeepsToItsTurn(t *testing.T) {
 	p := limitedPool(true, limitedServer)
 	enterLimited(p, 0, true)
@@ -125,13 +126,13 @@
 	again := limitedServer
 	again.Start = 2
 	p.SetServers(ms, []fleet.Server{again})
-	assert.Assert(t, enterLimited(p, ms, true).Server != nil, "a later incarnation names none")
+	assert.Assert(t, enterLimited(p, ms, true).Server != nil, "a later incarnation has no limit")
 	p.SetServers(2*ms, []fleet.Server{limitedServer})
 	assert.Assert(t, !enterLimited(p, 2*ms, true).decided(), "the limit is kept while the server is not listed")
 }
 
-// Requests that any server may take go to one without a limit if that costs no more, and
-// keep in touch with the limited one.
+// Requests that any server can take go to one without a limit if that costs no more, while a
+// permit is prefetched at the limited one.
 func TestOthersTakeWhatALimitedServerCannot(t *testing.T) {
 	p := limitedPool(false, limitedServer, fleet.Server{ID: "b", Start: 1, Domain: "d", Slots: 8})
 	p.SetLimits(0, map[fleet.Incarnation]float64{limitedServer.Incarnation(): 2}, 8)
@@ -143,10 +144,10 @@
 		p.Done(now, w.Server, End{Outcome: Answered, Took: 50 * ms, Objective: w.Objective})
 		wished += len(p.Wishes(now))
 	}
-	assert.Equal(t, wished, 1, "one place for the next request that costs least there")
+	assert.Equal(t, wished, 1, "one permit for the next request that is cheapest there")
 }
 
-// A limited server counts for part of its limit when keys are placed.
+// When keys are assigned, a limited server counts for a fraction of its limit.
 func TestSpeedOfALimitedServer(t *testing.T) {
 	p := limitedPool(true, limitedServer)
 	server := p.Servers()[0]
@@ -155,7 +156,7 @@
 	assert.Equal(t, p.Speed(0, server), 1.0)
 }
 
-// Guards against places that are saved until a burst uses them all at once.
+// Guards against permits that are saved up and then used in one burst.
 func TestPlaceThatIsNotUsedInTimeIsLost(t *testing.T) {
 	p := limitedPool(true, limitedServer)
 	w := enterLimited(p, 0, true)
@@ -167,7 +168,7 @@
 	assert.Assert(t, !enterLimited(p, until+ms, true).decided())
 }
 
-// A host whose questions are answered has no part of its own beside its places.
+// A host that gets answers from the scheduler has no fallback share in addition to its permits.
 func TestHostWithAnAnswerHasNoTurn(t *testing.T) {
 	p := limitedPool(true, limitedServer)
 	for now := time.Duration(0); now < time.Minute; now += 100 * ms {
--- a/balance/order.go
+++ b/balance/order.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	// onTimeMargin is how many times its mean work a request must have left to
-	// its objective to count as one that can meet it: service times vary, and
-	// what is sent may still wait at the server.
+	// onTimeMargin is how many mean service times a request must have left until its
+	// objective to count as likely to meet it: service times vary, and the request may
+	// have to queue at the server as well.
 	onTimeMargin = 2
-	// priorityStep is the head start of a rank over the next. It bounds how long
-	// a less urgent request stands behind later ones: no kind is starved.
+	// priorityStep is the head start that each priority level has over the next. It bounds
+	// how long a request of low priority is overtaken by later ones, so that none starves.
 	priorityStep = 80 * time.Millisecond
 )
 
-// missed reports a request that can hardly be answered within its objective any
-// more. Under lasting overload requests would otherwise reach a server in the
-// order in which they came, each just too late.
+// missed reports whether the request is unlikely to be answered within its objective.
+// Without this distinction, lasting overload would make a server process requests in their
+// order of arrival, each of them just too late.
 func (p *Pool) missed(now time.Duration, w *Waiter) bool {
 	return now-w.since > w.Objective-onTimeMargin*p.work(w.Objective)
 }
 
-// due is the place of a waiting request in the order: when the time for its
-// objective is over, later for each rank, and later by its objective if it can
-// hardly be met. Short requests, which have little time, so go before long ones
-// that came earlier.
+// due returns the virtual deadline by which the queue is sorted: the time at which the
+// objective ends, plus priorityStep for each level of priority, plus the objective once more
+// if the request is unlikely to meet it. Requests with short objectives therefore overtake
+// earlier ones with long objectives.
 func (p *Pool) due(now time.Duration, w *Waiter) time.Duration {
 	due := w.since + w.Objective + time.Duration(w.Priority)*priorityStep
 	if p.missed(now, w) {
@@ -34,7 +34,7 @@
 	return due
 }
 
-// compare orders waiting requests.
+// compare orders queued requests by their virtual deadlines.
 func (p *Pool) compare(now time.Duration, a, b *Waiter) int {
 	return cmp.Compare(p.due(now, a), p.due(now, b))
 }
--- a/balance/pool.go
+++ b/balance/pool.go
@@ -8,70 +8,73 @@
 	"cicadarouter/fleet"
 )
 
-// Limits of waiting.
+// Limits on waiting and on the retry delays given to rejected callers.
 const (
-	// givenUpSlack is by how much a wait may exceed what was allowed for it.
+	// givenUpSlack is added to a request's longest wait before the request is rejected.
 	givenUpSlack = 50 * time.Millisecond
-	// mostWaiting bounds the waiting requests of a service on one host.
+	// mostWaiting is the queue length from which on requests that would wait behind others are
+	// rejected.
 	mostWaiting = 512
-	// leastShare is the share of the mean work below which hardly a request
-	// stays: one in four of a kind that varies much (spread 0.8), and none of
-	// one that varies little (0.3).
+	// leastShare is the fraction of the mean service time within which hardly any request
+	// completes: about one in four if service times vary a lot (spread of 0.8), and none
+	// if they vary little (0.3).
 	leastShare = 0.4
-	// leastRetryAfter and mostRetryAfter bound what a rejected caller is told.
+	// leastRetryAfter and mostRetryAfter bound the retry delay given to a rejected caller.
 	leastRetryAfter = 50 * time.Millisecond
 	mostRetryAfter  = 2 * time.Second
-	// ownerWait is how long a request waits for a key between owners when the
-	// time of its return is not known: a planned move takes about as long as
-	// the requests that still run at the old owner.
+	// ownerWait is how long a request waits for a key that is moving between owners when
+	// the end of the move is not known. A planned move takes about as long as the requests
+	// still running at the previous owner.
 	ownerWait = 400 * time.Millisecond
 )
 
-// Pool is a service's servers and waiting requests on one host. It is not safe
-// for concurrent use.
+// Pool holds the servers of one service, and the requests that wait for them, on one
+// host. It is not safe for concurrent use.
 type Pool struct {
 	domain  string
 	owner   Owner
 	servers roster
 	waiting []*Waiter
-	// undecided is the other buffer of Pump, empty between its calls.
+	// undecided is the buffer into which Pump copies the requests that keep waiting. It
+	// is empty between calls.
 	undecided []*Waiter
 	mean      time.Duration
-	kinds     map[time.Duration]*kind // by objective
+	kinds     map[time.Duration]*kind // by latency objective
 	shares    map[uint16]*share       // by key
 	random    *rand.Rand
-	// usual is the smoothed load by other hosts over a server's slots.
+	// usual is the smoothed load from other hosts, as a fraction of a server's slots.
 	usual float64
-	// gap is the smoothed time between two requests that were given a server
-	// while others waited; crowdedAt is when that last was.
+	// gap is the smoothed time between two requests that were assigned a server while
+	// others waited. crowdedAt is the time of the last such assignment, or 0.
 	gap, crowdedAt time.Duration
-	// evacuateWithin is how long the keys of an evacuated server may still be
-	// served there, while they pass on.
+	// evacuateWithin is how long an evacuated server may still receive requests for the
+	// keys it owns, until the keys have moved to other owners.
 	evacuateWithin time.Duration
 	cold           coldLimit
-	limits         map[fleet.Incarnation]float64 // that servers name, in requests a second
-	hosts          int                           // among which limits are divided
-	window         window                        // of a service without keys
-	restUntil      time.Duration                 // when the last rest that a server asked for is over
+	limits         map[fleet.Incarnation]float64 // limits announced by servers, in requests per second
+	hosts          int                           // number of hosts that share the limits
+	window         window                        // used by services without keys only
+	restUntil      time.Duration                 // end of the last backoff that a server asked for
 }
 
-// NewPool returns a pool for a host in a failure domain. owner is nil for a
-// service without keys. Pools of different hosts are given different seeds.
+// NewPool returns an empty pool for a host in the given failure domain. owner is nil
+// for a service without keys. Hosts must pass different seeds, so that they make
+// different random choices.
 func NewPool(domain string, owner Owner, seed uint64) *Pool {
 	return &Pool{domain: domain, owner: owner, servers: roster{byID: map[string]*Server{}}, mean: firstMean, evacuateWithin: leaveWithin, kinds: map[time.Duration]*kind{}, shares: map[uint16]*share{}, random: rand.New(rand.NewPCG(seed, 0))}
 }
 
-// Mean returns the smoothed service time.
+// Mean returns the smoothed time from sending a request to its answer, over all requests.
 func (p *Pool) Mean() time.Duration { return p.mean }
 
-// Waiting returns how many requests wait.
+// Waiting returns the length of the queue.
 func (p *Pool) Waiting() int { return len(p.waiting) }
 
-// Servers returns the servers in order of their IDs.
+// Servers returns the servers sorted by ID. The caller must not modify the slice.
 func (p *Pool) Servers() []*Server { return p.servers.order }
 
-// ChangeServers takes servers that have come or changed, and the IDs of those that are gone,
-// which may never have been the service's.
+// ChangeServers adds or updates the changed servers, and removes the servers whose IDs are
+// in gone. IDs that the pool doesn't know are ignored.
 func (p *Pool) ChangeServers(now time.Duration, changed []fleet.Server, gone []string) {
 	for _, id := range gone {
 		p.servers.remove(id)
@@ -82,27 +85,27 @@
 	p.Pump(now)
 }
 
-// list takes what a server's entry says.
-func (p *Pool) list(now time.Duration, listed *fleet.Server) {
-	server := p.servers.byID[listed.ID]
-	if server == nil || !server.sameRun(listed) {
-		// Requests at an earlier incarnation ended with it. Were they counted
-		// on, a server that has just started again would look full, or silent.
-		p.servers.remove(listed.ID)
-		server = newServer(listed)
+// list adds a server or updates it from its registry entry.
+func (p *Pool) list(now time.Duration, entry *fleet.Server) {
+	server := p.servers.byID[entry.ID]
+	if server == nil || !server.sameRun(entry) {
+		// Requests sent to an earlier incarnation ended with it. If they were still
+		// counted, a server that has just restarted would look full or stuck.
+		p.servers.remove(entry.ID)
+		server = newServer(entry)
 		p.servers.add(server)
 	}
-	server.relist(now, listed)
+	server.relist(now, entry)
 	p.servers.setNear(server, server.Domain == p.domain)
 	p.noteCold(now, server)
 	p.noteLimit(now, server)
 }
 
-// Lists reports whether a server is one of the service's, and not an earlier run of it.
+// Lists reports whether the pool holds this very server, and not a later incarnation of it.
 func (p *Pool) Lists(server *Server) bool { return p.servers.byID[server.ID] == server }
 
-// Enter asks for a server. The waiter's Ready is closed at once if there is one
-// or if the request is turned away.
+// Enter queues a request. It closes the waiter's Ready at once if the request can be
+// assigned a server now, or if it is rejected.
 func (p *Pool) Enter(now time.Duration, waiter *Waiter) {
 	waiter.Entered, waiter.since = now, waiter.Arrived
 	if known := p.of(waiter.Objective); known != nil {
@@ -124,8 +127,8 @@
 	p.Pump(now)
 }
 
-// Pump gives servers to the waiting requests in their order, and turns away
-// those that can't be answered in time any more.
+// Pump assigns servers to the queued requests, in order of their virtual deadlines, and
+// rejects those that can no longer be answered in time.
 func (p *Pool) Pump(now time.Duration) {
 	if len(p.waiting) == 0 {
 		return
@@ -141,7 +144,7 @@
 	p.undecided, p.waiting = p.waiting[:0], kept
 }
 
-// decide reports whether the waiter was given a server or turned away.
+// decide reports whether it assigned the request a server or rejected it.
 func (p *Pool) decide(now time.Duration, waiter *Waiter) bool {
 	if now+p.leastWork(waiter) >= waiter.Deadline {
 		p.reject(waiter, &RejectedError{Reason: Expired, RetryAfter: leastRetryAfter, Expected: p.work(waiter.Objective)})
@@ -166,8 +169,8 @@
 	return true
 }
 
-// placed notes that a request was given a server. While others wait, the time
-// since the one before tells this host's share of the service.
+// placed records that a request was assigned a server. While other requests wait, the
+// time since the previous assignment measures this host's share of the service.
 func (p *Pool) placed(now time.Duration) {
 	if p.crowdedAt > 0 && len(p.waiting) > 1 {
 		p.gap += time.Duration(gapWeight * float64(now-p.crowdedAt-p.gap))
@@ -180,30 +183,30 @@
 	}
 }
 
-// leastWork is the time that a request needs at the very least: a server that is
-// given less ends it unanswered. Its caller is told while it still listens.
+// leastWork returns the shortest time in which the request may complete. With less time
+// left, the server would end it unanswered, so its caller is told while it still listens.
 func (p *Pool) leastWork(waiter *Waiter) time.Duration {
 	return time.Duration(leastShare * float64(p.work(waiter.Objective)))
 }
 
-// giveUpOnOwner turns a request away whose key is taking longer to find an
-// owner than a planned move takes: its old owner does not answer.
+// giveUpOnOwner rejects a request that has waited twice as long as a planned move takes
+// while its key has no owner: the previous owner does not answer.
 func (p *Pool) giveUpOnOwner(now time.Duration, waiter *Waiter) bool {
 	if !waiter.Keyed || p.owner == nil {
 		return false
 	}
-	id, back := p.owner.OwnerOf(waiter.Key)
+	id, ownedAt := p.owner.OwnerOf(waiter.Key)
 	server := p.servers.byID[id]
 	if server != nil && !p.left(now, server) || now-waiter.Arrived < 2*ownerWait {
 		return false
 	}
-	expected := max(back-now, 0)
+	expected := max(ownedAt-now, 0)
 	p.reject(waiter, &RejectedError{Reason: NoOwner, RetryAfter: clampRetry(expected), Expected: expected})
 	return true
 }
 
-// beyondNotices returns why a request can't be served in time because of what servers ask of
-// this host or of all hosts, or nil.
+// beyondNotices returns why the request can't be served in time because servers announced
+// limits or asked this host to back off, or nil.
 func (p *Pool) beyondNotices(now time.Duration, waiter *Waiter) *RejectedError {
 	if rejected := p.beyondRest(now, waiter); rejected != nil {
 		return rejected
@@ -214,7 +217,7 @@
 	return p.beyondLimit(now, waiter)
 }
 
-// giveUpOnNotices turns a request away that what servers ask leaves no time for.
+// giveUpOnNotices rejects the request if limits or backoffs leave no time to serve it.
 func (p *Pool) giveUpOnNotices(now time.Duration, waiter *Waiter) bool {
 	rejected := p.beyondNotices(now, waiter)
 	if rejected == nil {
@@ -224,8 +227,8 @@
 	return true
 }
 
-// giveUp turns a request away that has waited longer than was expected when it
-// came, so that its caller can come back while it still has time.
+// giveUp rejects a request that has waited too long to be answered within its objective, so
+// that its caller can retry while there is still time.
 func (p *Pool) giveUp(now time.Duration, waiter *Waiter) bool {
 	if now-waiter.Entered < p.longest(waiter)+givenUpSlack {
 		return false
@@ -240,7 +243,7 @@
 	return true
 }
 
-// choose returns the server for a request, or nil while it has to wait.
+// choose returns the server for a request, or nil if the request has to wait.
 func (p *Pool) choose(now time.Duration, waiter *Waiter) *Server {
 	if waiter.Keyed && p.owner != nil {
 		id, _ := p.owner.OwnerOf(waiter.Key)
@@ -253,40 +256,40 @@
 	if p.owner == nil && !p.window.open() {
 		return nil
 	}
-	drawn, all := p.servers.draw(p.random.IntN)
-	if !all && p.preferred(now, waiter, drawn) == untried {
-		if server := p.cheapest(now, waiter, drawn, untried); server != nil {
+	sample, all := p.servers.draw(p.random.IntN)
+	if !all && p.preferred(now, waiter, sample) == untried {
+		if server := p.cheapest(now, waiter, sample, untried); server != nil {
 			return server
 		}
 	}
-	every := p.servers.order
-	return p.cheapest(now, waiter, every, p.preferred(now, waiter, every))
+	candidates := p.servers.order
+	return p.cheapest(now, waiter, candidates, p.preferred(now, waiter, candidates))
 }
 
-// room reports whether a server may get one more request of this host.
+// room reports whether this host may send the server one more request.
 func (p *Pool) room(now time.Duration, server *Server) bool {
 	return p.roomBeforeLimit(now, server) && p.hasPlace(now, server)
 }
 
-// roomBeforeLimit is room without regard to a limit that the server names.
+// roomBeforeLimit is like room but ignores the limit that the server announced.
 func (p *Pool) roomBeforeLimit(now time.Duration, server *Server) bool {
 	return server.room(now, p.mean) && p.coldWait(now, server) == 0
 }
 
-// SetEvacuateWithin sets how long the keys of an evacuated server may still be served
-// there from when this host learned of it.
+// SetEvacuateWithin sets how long an evacuated server may still receive requests for the
+// keys it owns, counted from when this host learned of the evacuation.
 func (p *Pool) SetEvacuateWithin(within time.Duration) { p.evacuateWithin = within }
 
-// preference is how good a choice a server is, whatever its load.
+// preference ranks servers for a request, regardless of their load.
 type preference int
 
-// The preferences, best first.
+// Preferences, best first.
 const (
-	untried preference = iota // has not had the request
+	untried preference = iota // the request has not been sent there
 	tried
-	passedOver // could not be reached lately
-	resting    // has asked this host for rest
-	unusable   // takes nothing new
+	passedOver // unreachable recently
+	resting    // asked this host to back off
+	unusable   // accepts no new requests
 )
 
 func (p *Pool) preference(now time.Duration, waiter *Waiter, server *Server) preference {
@@ -303,12 +306,12 @@
 	return untried
 }
 
-// preferred returns the best preference that any of some servers has. A request waits for
-// a server of that preference, also if others have room now. In a failure domain
-// that is cut off, the servers that can't be reached are always idle: with those
-// preferred for their room, four tries of a few milliseconds ended 346 requests of
-// one cut of 6 s, counted in the hosts' logs, while the domain's own servers went
-// on serving others.
+// preferred returns the best preference among the given servers. A request waits for a
+// server of that preference even if servers of a worse one have room. In a failure domain
+// that is cut off from the others, the unreachable servers are always idle. If they were
+// chosen for their free slots, a request would use up its four attempts within
+// milliseconds (346 requests failed that way in a partition of 6 s), although the domain's
+// own servers are still working.
 func (p *Pool) preferred(now time.Duration, waiter *Waiter, among []*Server) preference {
 	best := unusable
 	for _, server := range among {
@@ -317,13 +320,15 @@
 	return best
 }
 
-// cheapest returns the one of some servers of a preference, with room, that costs least.
+// cheapest returns the server with room and the wanted preference that has the lowest
+// cost, or nil. If a server that lacks only a permit under its limit would have been chosen,
+// that is recorded in its limit, so that a permit is reserved for later requests.
 func (p *Pool) cheapest(now time.Duration, waiter *Waiter, among []*Server, wanted preference) *Server {
 	if wanted == unusable {
 		return nil
 	}
-	var best, unplaced *Server
-	least, leastUnplaced, work := 0.0, 0.0, p.work(waiter.Objective)
+	var best, withoutPermit *Server
+	least, leastWithoutPermit, work := 0.0, 0.0, p.work(waiter.Objective)
 	for _, server := range among {
 		if p.preference(now, waiter, server) != wanted || !p.roomBeforeLimit(now, server) {
 			continue
@@ -335,13 +340,13 @@
 				best, least = server, cost
 			}
 		case p.mayGetPlace(now, waiter, server):
-			if unplaced == nil || cost < leastUnplaced {
-				unplaced, leastUnplaced = server, cost
+			if withoutPermit == nil || cost < leastWithoutPermit {
+				withoutPermit, leastWithoutPermit = server, cost
 			}
 		}
 	}
-	if unplaced != nil && (best == nil || leastUnplaced < least) {
-		unplaced.limit.spare = true
+	if withoutPermit != nil && (best == nil || leastWithoutPermit < least) {
+		withoutPermit.limit.spare = true
 	}
 	return best
 }
@@ -351,9 +356,9 @@
 	close(waiter.Ready)
 }
 
-// Leave takes a waiter out whose caller has left or whose time is over. It
-// returns the server that the waiter had been given meanwhile, which then must
-// be given back with Done.
+// Leave removes a request from the queue whose caller has gone or whose deadline has
+// passed. It returns the server that the request has been assigned meanwhile, if any,
+// which the caller must hand back with Done.
 func (p *Pool) Leave(waiter *Waiter) *Server {
 	if i := slices.Index(p.waiting, waiter); i >= 0 {
 		p.waiting = slices.Delete(p.waiting, i, i+1)
@@ -361,21 +366,22 @@
 	return waiter.Server
 }
 
-// End is how an attempt ended.
+// End describes the outcome of one attempt to send a request to a server.
 type End struct {
 	Outcome Outcome
-	// Took is the time from sending to the answer.
+	// Took is the time from sending the request to its answer.
 	Took time.Duration
-	// Objective is that of the request.
+	// Objective is the latency objective of the request.
 	Objective time.Duration
-	// Load is what the server reported, or nil.
+	// Load is the load that the server reported with its answer, or nil.
 	Load *Load
 }
 
-// Done gives a server back after an attempt. It returns what the attempt tells
-// of its speed.
+// Done hands a server back after an attempt. It returns the service time sample that the
+// attempt yielded; its Samples is 0 if there is none.
 func (p *Pool) Done(now time.Duration, server *Server, end End) Pace {
-	// A server that has requests waiting is full, not slow.
+	// The answer of a server with a queue took long because of the queue, so it tells
+	// nothing about the server's speed.
 	queued := server.estimate(now, p.mean) > float64(server.Slots) || end.Load != nil && end.Load.Waiting > 0
 	server.inFlight--
 	p.window.inFlight--
@@ -400,7 +406,7 @@
 	return pace
 }
 
-// learn takes the time of an answer.
+// learn updates the service time estimates from an answer.
 func (p *Pool) learn(server *Server, end End, queued bool) Pace {
 	expected := p.work(end.Objective)
 	p.mean += time.Duration(meanWeight * float64(end.Took-p.mean))
@@ -413,8 +419,8 @@
 	return pace
 }
 
-// Learn takes what another host has measured of a server's speed. What was
-// measured of an earlier incarnation says nothing of the later one.
+// Learn merges service time samples that another host measured. Samples of an earlier
+// incarnation are ignored.
 func (p *Pool) Learn(incarnation fleet.Incarnation, pace Pace) {
 	server := p.running(incarnation)
 	if server != nil && pace.Samples > 0 {
@@ -422,7 +428,7 @@
 	}
 }
 
-// running returns the server of an incarnation; nil if that is not the one listed.
+// running returns the server with this incarnation, or nil if it is not the current one.
 func (p *Pool) running(incarnation fleet.Incarnation) *Server {
 	server := p.servers.byID[incarnation.ID]
 	if server == nil || server.Incarnation() != incarnation {
@@ -431,7 +437,7 @@
 	return server
 }
 
-// waits reports whether requests wait that the server could take.
+// waits reports whether the queue holds requests that the server could take.
 func (p *Pool) waits(server *Server) bool {
 	if p.owner == nil {
 		return len(p.waiting) > 0
--- a/balance/pool_test.go
+++ b/balance/pool_test.go
@@ -17,7 +17,7 @@
 	return p
 }
 
-// SetServers takes all of the service's servers.
+// SetServers replaces all servers of the pool.
 func (p *Pool) SetServers(now time.Duration, servers []fleet.Server) {
 	listed := make(map[string]bool, len(servers))
 	for i := range servers {
@@ -73,7 +73,7 @@
 	assert.Equal(t, third.Server.ID, "a")
 }
 
-// A load reported by the server holds requests back, and is forgotten with time.
+// A load report holds requests back and loses its weight over time.
 func TestReportedLoad(t *testing.T) {
 	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 1})
 	first := enter(p, 0, Waiter{})
@@ -84,9 +84,8 @@
 	assert.Assert(t, waiting.Server != nil)
 }
 
-// Symptom: under overload all requests are answered, but all of them late.
-// Sequence: a burst of 40 requests meets one slot of 100 ms.
-// Cause: requests joined a line whose end was beyond their objective.
+// Guards against a queue whose end lies beyond the objective, so that under overload all
+// requests are answered too late. A burst of 40 requests meets one slot of 100 ms.
 func TestBurstIsTurnedAwayAtOnce(t *testing.T) {
 	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 1})
 	rejected := 0
@@ -99,31 +98,31 @@
 		assert.Equal(t, w.Rejected.Reason, Overload)
 		assert.Assert(t, w.Rejected.RetryAfter >= leastRetryAfter && w.Rejected.RetryAfter <= mostRetryAfter)
 	}
-	assert.Assert(t, rejected > 30, "%d of 40 were turned away", rejected)
+	assert.Assert(t, rejected > 30, "%d of 40 were rejected", rejected)
 	assert.Assert(t, p.Waiting() <= 4)
 }
 
-// Symptom: requests for a busy key wait in the hosts until their deadline.
-// Sequence: several hosts send to one owner, each taking its slots for its own.
-// Cause: the expected wait left the other hosts out.
+// Guards against requests for a busy key that wait at the hosts until their deadline.
+// Several hosts use the same owner, and each expects all of the owner's slots for itself.
 func TestPaceOfASharedServer(t *testing.T) {
 	p := keyedPool(&owners{id: "a"})
 	now := time.Duration(0)
-	var under []*Waiter
+	var inFlight []*Waiter
 	for range 5 {
-		under = append(under, enter(p, now, Waiter{Keyed: true}))
+		inFlight = append(inFlight, enter(p, now, Waiter{Keyed: true}))
 	}
-	for range 6 { // a completion each 200 ms, though the service takes 100 ms
+	for range 6 { // one completion every 200 ms, although the service time is 100 ms
 		now += 200 * ms
-		p.Done(now, under[0].Server, End{Outcome: Answered, Took: 100 * ms})
-		under = append(under[1:], enter(p, now, Waiter{Keyed: true, Objective: 10 * time.Second, Deadline: now + 10*time.Second}))
+		p.Done(now, inFlight[0].Server, End{Outcome: Answered, Took: 100 * ms})
+		inFlight = append(inFlight[1:], enter(p, now, Waiter{Keyed: true, Objective: 10 * time.Second, Deadline: now + 10*time.Second}))
 	}
-	const behindAll = 200 // ranks
+	const behindAll = 200 // priority levels
 	late := enter(p, now, Waiter{Keyed: true, Objective: 250 * ms, Deadline: now + 500*ms, Priority: behindAll})
-	assert.Assert(t, late.Rejected != nil, "a wait of 200 ms or more was not expected")
+	assert.Assert(t, late.Rejected != nil, "the expected wait is below 200 ms")
 }
 
-// A wait that turned out longer than expected ends; the caller may come back.
+// A request that has waited too long for its objective is rejected, so that its caller can
+// retry.
 func TestWaitThatOutlastsItsObjectiveEnds(t *testing.T) {
 	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 1})
 	enter(p, 0, Waiter{})
@@ -146,10 +145,10 @@
 	assert.Assert(t, urgent.settled() && !old.settled())
 	enter(p, 200*ms, Waiter{Objective: time.Second})
 	p.Done(210*ms, urgent.Server, End{Outcome: Answered, Took: 100 * ms})
-	assert.Assert(t, old.settled(), "an old request stands behind every urgent one")
+	assert.Assert(t, old.settled(), "an old request is overtaken by every urgent one")
 }
 
-// Servers that fail are used less, but never all of them shut out.
+// Servers that fail are used less, but never all of them are excluded.
 func TestFailingServers(t *testing.T) {
 	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 4}, fleet.Server{ID: "b", Domain: "home", Slots: 4})
 	for i := range 20 {
@@ -167,7 +166,7 @@
 		p.Done(30*ms, server, End{Outcome: Unreachable, Took: 0})
 		server.inFlight++
 	}
-	assert.Assert(t, enter(p, 31*ms, Waiter{}).Server != nil, "both are passed over")
+	assert.Assert(t, enter(p, 31*ms, Waiter{}).Server != nil, "no server is left to choose from")
 }
 
 func TestNoServer(t *testing.T) {
@@ -175,7 +174,7 @@
 	assert.Equal(t, enter(p, 0, Waiter{}).Rejected.Reason, NoServer)
 }
 
-// owners is an assignment for tests.
+// owners is an assignment for tests in which one server owns all keys.
 type owners struct {
 	id   string
 	back time.Duration
@@ -195,13 +194,13 @@
 	assert.Equal(t, enter(p, 0, Waiter{Keyed: true, Tried: []string{"b"}}).Server.ID, "b")
 	o.id = ""
 	moving := enter(p, 0, Waiter{Keyed: true})
-	assert.Assert(t, !moving.settled(), "a planned move is waited for")
+	assert.Assert(t, !moving.settled(), "the request does not wait for a planned move")
 	o.id = "a"
 	p.Pump(10 * ms)
 	assert.Equal(t, moving.Server.ID, "a")
 }
 
-// A key whose owner is lost has none for seconds: its callers are told at once.
+// A key whose owner is lost has no owner for seconds; its callers are told so at once.
 func TestLostOwner(t *testing.T) {
 	o := &owners{back: 4 * time.Second}
 	w := enter(keyedPool(o), 0, Waiter{Keyed: true})
@@ -214,11 +213,10 @@
 	assert.Equal(t, w.Rejected.Reason, NoOwner)
 }
 
-// Symptom: a server gets requests more than 2 s after it said that it leaves.
-// Sequence: it begins to leave while nobody can move its keys; the controller is
-// away, and a host learns of it 1.1 s later, by its own watch.
-// Cause: the owner of a key was used for as long as it was the owner, and then
-// for a time that left nothing for the news to come.
+// Guards against requests sent to a server more than 2 s after it began to drain. The
+// controller is down, so the keys can't move, and this host learns of the draining 1.1 s late,
+// through its own watch. Either the owner was used for as long as it owned the key, or the
+// grace period did not allow for the delay of the news.
 func TestLeavingOwner(t *testing.T) {
 	p := keyedPool(&owners{id: "a"})
 	leaving := []fleet.Server{{ID: "a", Slots: 2, Draining: true}, {ID: "b", Slots: 2}}
@@ -228,9 +226,8 @@
 	assert.Equal(t, enter(p, 1700*ms, Waiter{Keyed: true, Deadline: 9 * time.Second}).Rejected.Reason, NoOwner)
 }
 
-// Symptom: requests time out at a server that never answers.
-// Sequence: its queue is full; it leaves requests unanswered and tells no load.
-// Cause: the last load it told was forgotten while answers were due.
+// Guards against requests that time out at a server which never answers because its queue
+// is full. The last load report lost its weight while answers were overdue.
 func TestSilentServerGetsNoMore(t *testing.T) {
 	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 8})
 	enter(p, 0, Waiter{})
@@ -238,10 +235,9 @@
 	assert.Assert(t, !waiting.settled())
 }
 
-// Symptom: under lasting overload nearly all requests are answered, each a
-// little too late.
-// Sequence: requests wait for a server in the order in which they came.
-// Cause: one that had missed its objective went before one that had not.
+// Guards against lasting overload in which nearly all requests are answered slightly too
+// late. Requests were served in order of arrival, including those that had already missed
+// their objective.
 func TestWhatIsLateAlreadyGoesLast(t *testing.T) {
 	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 1})
 	running := enter(p, 0, Waiter{})
@@ -252,21 +248,22 @@
 	assert.Assert(t, fresh.settled() && !old.settled())
 }
 
-// A request that waits for a leaving owner does not go there once it has left.
+// A request that waits for the owner of its key is not sent there after the grace period of
+// a draining owner.
 func TestWaitingForALeavingOwner(t *testing.T) {
 	p := keyedPool(&owners{id: "a"})
 	patient := Waiter{Keyed: true, Objective: 5 * time.Second, Deadline: 9 * time.Second}
-	var under []*Waiter
+	var inFlight []*Waiter
 	for range 4 {
-		under = append(under, enter(p, 0, patient))
+		inFlight = append(inFlight, enter(p, 0, patient))
 	}
 	waiting := enter(p, 0, patient)
 	p.SetServers(10*ms, []fleet.Server{{ID: "a", Slots: 2, Draining: true}, {ID: "b", Slots: 2}})
-	p.Done(10*ms+leaveWithin, under[0].Server, End{Outcome: Answered, Took: 100 * ms})
+	p.Done(10*ms+leaveWithin, inFlight[0].Server, End{Outcome: Answered, Took: 100 * ms})
 	assert.Assert(t, waiting.Server == nil)
 }
 
-// Draining servers take nothing, however full the others are.
+// Draining servers get no requests, however full the others are.
 func TestDrainingServerStaysEmpty(t *testing.T) {
 	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 1}, fleet.Server{ID: "b", Domain: "home", Slots: 4, Draining: true})
 	for range 2 {
@@ -283,9 +280,8 @@
 	assert.Equal(t, enter(p, 0, Waiter{Tried: []string{"a", "b"}}).Server.ID, "a")
 }
 
-// Symptom: a few servers are overrun while others idle, whenever hosts start.
-// Sequence: many hosts that know nothing yet send their first requests.
-// Cause: all of them began with the same servers.
+// Guards against a few overloaded servers among idle ones after a start of the hosts. Many
+// hosts without any load reports all sent their first requests to the same servers.
 func TestHostsBeginWithDifferentServers(t *testing.T) {
 	const hosts = 40
 	var servers []fleet.Server
@@ -302,11 +298,11 @@
 	for _, n := range first {
 		most = max(most, n)
 	}
-	assert.Assert(t, most <= 8, "%d of %d hosts began with one of 20 servers", most, hosts)
+	assert.Assert(t, most <= 8, "%d of %d hosts sent their first request to one of 20 servers", most, hosts)
 }
 
-// A server that has just told that it has a free slot is preferred to one of
-// which nothing has been heard for long, however idle that was then.
+// A server that just reported a free slot is preferred to one without recent reports, even
+// if that was idle when it last reported.
 func TestNoNewsIsUsual(t *testing.T) {
 	p := pool(fleet.Server{ID: "idle", Domain: "home", Slots: 2}, fleet.Server{ID: "old", Domain: "home", Slots: 2})
 	p.usual = 0.8
@@ -319,12 +315,10 @@
 	}
 }
 
-// Symptom: most requests for one key are told after half a second that they
-// can't be served.
-// Sequence: all callers ask for one key; its owner is shared by many hosts, and a
-// place there comes every few seconds.
-// Cause: each request waited for itself until it was too late, since the host had
-// seen no completion from which to tell the owner's pace.
+// Guards against a queue whose requests each wait half a second before they are rejected. All
+// callers use the same key; many hosts share its owner, and each gets a slot every few seconds.
+// A host that has seen no completion can't tell the owner's rate, so each request waited until
+// it was too late.
 func TestWhoWaitsInVainSparesTheNext(t *testing.T) {
 	p := keyedPool(&owners{id: "a"})
 	p.servers.byID["a"].others, p.servers.byID["a"].reportAt = 1000, 0
@@ -340,10 +334,10 @@
 		assert.Equal(t, w.Rejected.Reason, Overload)
 	}
 	next := enter(p, 710*ms, asked)
-	assert.Assert(t, next.Rejected != nil, "the next waits as long in vain")
+	assert.Assert(t, next.Rejected != nil, "the next request waits in vain as well")
 	full(2500 * ms)
 	later := enter(p, 2500*ms, asked)
-	assert.Assert(t, !later.settled(), "nobody finds out when there is room again")
+	assert.Assert(t, !later.settled(), "no request tries whether there is room again")
 	full(0)
 	p.servers.byID["a"].others = 0
 	p.Pump(2510 * ms)
@@ -351,11 +345,9 @@
 	assert.Equal(t, p.servers.byID["a"].stalled(2510*ms), time.Duration(0))
 }
 
-// Symptom: a server that has just started again gets no requests for as long as
-// those take that it lost.
-// Sequence: a server of one slot has two requests; it crashes and starts again
-// under its ID, at another address or not; the lost requests end later.
-// Cause: what was known of a server was kept by ID.
+// Guards against a restarted server that gets no requests until the requests lost in the crash
+// time out. The new process uses the same ID, at the same address or another, and the state
+// was kept by ID.
 func TestLaterIncarnationBeginsAfresh(t *testing.T) {
 	first := fleet.Server{ID: "a", Start: 1, Address: "10.0.0.1:80", Domain: "home", Slots: 1}
 	again, elsewhere := first, first
@@ -380,8 +372,7 @@
 	}
 }
 
-// A speed that was measured of an earlier incarnation is not taken for the
-// later one's.
+// Service times measured of an earlier incarnation are not attributed to a later one.
 func TestSpeedIsThatOfOneIncarnation(t *testing.T) {
 	p := pool(fleet.Server{ID: "a", Start: 2, Domain: "home", Slots: 1})
 	p.Learn(fleet.Incarnation{ID: "a", Start: 1}, Pace{Samples: 50, Ratio: 5})
@@ -390,7 +381,7 @@
 	assert.Assert(t, p.Servers()[0].Ratio() > 2)
 }
 
-// unreachable makes a server fail an attempt.
+// unreachable makes one attempt at the server with the given ID fail to reach it.
 func unreachable(p *Pool, now time.Duration, id string) {
 	const most = 16
 	var others []*Server
@@ -407,12 +398,10 @@
 	}
 }
 
-// Symptom: in a failure domain that is cut off, requests are turned away after four
-// tries of a few milliseconds each, while the domain's own servers serve others in
-// a tenth of a second.
-// Sequence: the servers of other domains can't be reached; the own one has no room
-// at the moment; the others, which get nothing, are idle.
-// Cause: a server with room was preferred to one that can be reached.
+// Guards against requests in a partitioned failure domain that fail after four attempts of a
+// few milliseconds, although the domain's own servers answer others within 0.1 s. The
+// unreachable servers of other domains are idle, and free slots counted for more than
+// reachability.
 func TestRequestWaitsForAServerThatCanBeReached(t *testing.T) {
 	p := pool(fleet.Server{ID: "far", Domain: "away", Slots: 2}, fleet.Server{ID: "near", Domain: "home", Slots: 1})
 	unreachable(p, 0, "far")
@@ -425,17 +414,14 @@
 	p.Done(60*ms, running.Server, End{Outcome: Answered, Took: 50 * ms})
 	assert.Assert(t, waiting.settled() && waiting.Server.ID == "near")
 
-	// Where none can be reached, any is tried.
+	// If no server can be reached, any is tried.
 	alone := pool(fleet.Server{ID: "far", Domain: "away", Slots: 2})
 	unreachable(alone, 0, "far")
 	assert.Equal(t, enter(alone, 10*ms, Waiter{}).Server.ID, "far")
 }
 
-// Symptom: at each end of its suspicion, a silent server takes as many requests as
-// it has slots, each of which waits for a connection in vain.
-// Sequence: a server can't be reached; the time for which it is passed over ends;
-// several requests come.
-// Cause: it was trusted again at once.
+// Guards against a server that stays unreachable and, each time that its suspicion ends, gets
+// as many requests as it has slots; each of them waits for a connection in vain.
 func TestServerThatCouldNotBeReachedIsTriedWithOneRequest(t *testing.T) {
 	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 4}, fleet.Server{ID: "b", Domain: "away", Slots: 4})
 	unreachable(p, 0, "a")
@@ -455,8 +441,8 @@
 	assert.Assert(t, at() > 1)
 }
 
-// A host that has sent less while servers were crowded sends more again when they are
-// not, and in the end as much as it likes.
+// A host that has sent less while queues were long sends more again when they are short, and
+// finally without limit.
 func TestWindowOpensAgain(t *testing.T) {
 	var w window
 	w.inFlight = 20
@@ -464,7 +450,7 @@
 		w.report(Load{Running: 6, Waiting: 24, Slots: 6})
 	}
 	assert.Assert(t, !w.open())
-	assert.Assert(t, w.limit >= leastWindow, "a host keeps in touch")
+	assert.Assert(t, w.limit >= leastWindow, "the window is too small to learn the length of the queues")
 	for range int(openWindow * openWindow) {
 		w.report(Load{Running: 3, Slots: 6})
 	}
@@ -472,8 +458,8 @@
 	assert.Assert(t, w.open())
 }
 
-// Guards against callers who are told again and again to come back in a moment while the keys
-// of a server that has left can't pass on.
+// Guards against callers that are told again and again to retry in a moment while the keys of
+// a drained server can't move.
 func TestRetryAfterGrowsWithAMoveThatIsOverdue(t *testing.T) {
 	leaving := fleet.Server{ID: "a", Domain: "d", Slots: 4, Draining: true}
 	p := NewPool("d", fixedOwner{"a"}, 1)
--- a/balance/reject.go
+++ b/balance/reject.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// hopeless reports a request that can't be served in time: to let it wait
-// until its deadline would keep its caller from trying elsewhere.
+// hopeless returns a rejection if the request can't be served in time. If it were left
+// waiting until its deadline, its caller could not try elsewhere.
 func (p *Pool) hopeless(now time.Duration, waiter *Waiter) *RejectedError {
 	if waiter.Keyed && p.owner != nil {
 		return p.ownerless(now, waiter)
 	}
-	capacity, rests := 0.0, false
+	capacity, inBackoff := 0.0, false
 	for _, server := range p.servers.order {
 		switch {
 		case server.Leaving():
 		case server.RestLeft(now) > 0:
-			rests = true
+			inBackoff = true
 		default:
 			capacity += p.slotsWithinLimit(server)
 		}
@@ -21,23 +21,24 @@
 			return nil
 		}
 	}
-	if capacity == 0 && rests {
-		return nil // until the first rest is over
+	if capacity == 0 && inBackoff {
+		return nil // wait for the end of the first backoff
 	}
 	if capacity == 0 {
 		return &RejectedError{Reason: NoServer, RetryAfter: time.Second}
 	}
-	// Other hosts use the servers as well; how much they leave shows in the pace.
-	pace := max(p.gap, time.Duration(float64(p.mean)/capacity))
-	return p.crowded(now, waiter, pace*time.Duration(p.ahead(now, waiter, "")))
+	// Other hosts use the same servers; the interval between this host's own assignments
+	// shows how much capacity they leave.
+	interval := max(p.gap, time.Duration(float64(p.mean)/capacity))
+	return p.crowded(now, waiter, interval*time.Duration(p.ahead(now, waiter, "")))
 }
 
-// ownerless checks a request whose key must have an owner.
+// ownerless checks a request that must go to the owner of its key.
 func (p *Pool) ownerless(now time.Duration, waiter *Waiter) *RejectedError {
-	id, back := p.owner.OwnerOf(waiter.Key)
+	id, ownedAt := p.owner.OwnerOf(waiter.Key)
 	server := p.servers.byID[id]
 	if server != nil && p.left(now, server) {
-		server, back = nil, now+p.overdue(now, server)
+		server, ownedAt = nil, now+p.overdue(now, server)
 	}
 	if server != nil && server.silent(now) {
 		return &RejectedError{Reason: NoOwner, RetryAfter: clampRetry(server.suspect - now), Expected: server.suspect - now}
@@ -55,17 +56,18 @@
 		return rejected
 	}
 	expected := ownerWait
-	if back > 0 {
-		expected = back - now
+	if ownedAt > 0 {
+		expected = ownedAt - now
 	}
-	if now+expected+p.leastWork(waiter) > waiter.Deadline || back > 0 && expected > ownerWait {
+	if now+expected+p.leastWork(waiter) > waiter.Deadline || ownedAt > 0 && expected > ownerWait {
 		return &RejectedError{Reason: NoOwner, RetryAfter: clampRetry(expected), Expected: expected}
 	}
 	return nil
 }
 
-// overdue returns when the keys of a server that has left may have another owner. A move that
-// should have ended takes as long again as it has lasted: the store may be away.
+// overdue estimates the time until the keys of a server that drains or is evacuated have
+// another owner. A move that should have ended is expected to take as long again as it has
+// lasted, for example because the store is down.
 func (p *Pool) overdue(now time.Duration, server *Server) time.Duration {
 	since := now
 	if server.Draining {
@@ -77,7 +79,8 @@
 	return max(now-since, leaveWithin)
 }
 
-// ahead counts the waiting requests that go first, of one owner's if id is given.
+// ahead counts the queued requests that go first; if id is set, only those for keys that
+// this server owns.
 func (p *Pool) ahead(now time.Duration, waiter *Waiter, id string) int {
 	n := 0
 	for _, other := range p.waiting {
@@ -94,20 +97,20 @@
 	return n
 }
 
-// crowded rejects a request whose wait behind others doesn't fit its deadline,
-// or is so long that its turn is worth more to one that comes later: under
-// lasting overload as many are served either way, but those that are get their
-// answer within the objective.
+// crowded rejects a request whose expected wait exceeds its deadline, or is so long that a
+// later request would make better use of the slot. Under lasting overload the number of
+// served requests is the same either way, but those served are answered within their
+// objective.
 func (p *Pool) crowded(now time.Duration, waiter *Waiter, expected time.Duration) *RejectedError {
-	most := min(p.longest(waiter), waiter.Deadline-now-p.work(waiter.Objective))
-	if expected <= max(most, 0) && len(p.waiting) < mostWaiting {
+	allowed := min(p.longest(waiter), waiter.Deadline-now-p.work(waiter.Objective))
+	if expected <= max(allowed, 0) && len(p.waiting) < mostWaiting {
 		return nil
 	}
 	return &RejectedError{Reason: Overload, RetryAfter: clampRetry(expected), Expected: expected}
 }
 
-// longest is how long a request may wait for a server: as long as it can be
-// answered within its objective, counted from its caller's first attempt.
+// longest returns how long the request may wait for a server and still be answered within
+// its objective, which counts from the caller's first attempt.
 func (p *Pool) longest(waiter *Waiter) time.Duration {
 	work := p.work(waiter.Objective)
 	return max(waiter.since+waiter.Objective-waiter.Arrived-work, work/2)
--- a/balance/replay_test.go
+++ b/balance/replay_test.go
@@ -15,39 +15,39 @@
 	"cicadarouter/fleet"
 )
 
-// A replay plays a load against a model of backend servers: unequal speed, a few
-// slots, a queue, and silence towards what the queue can't take. Several hosts
-// send to the same servers without knowing of each other.
+// These tests simulate several hosts that use the same servers without knowing of each other.
+// The servers have different speeds, few slots and a queue, and never answer requests that
+// don't fit into the queue.
 
-// load is a load pattern.
+// load describes the requests and the servers of a run.
 type load struct {
 	hosts, servers, slots int
-	// perSecond is the rate of all hosts together.
+	// perSecond is the request rate of all hosts together.
 	perSecond float64
-	// burst multiplies it in the middle third.
+	// burst multiplies perSecond in the middle third of the run.
 	burst     float64
 	length    time.Duration
 	mean      time.Duration
 	objective time.Duration
 	patience  time.Duration
 	seed      uint64
-	// queue is how many a server queues; 0 for modelQueue.
+	// queue is the size of a server's queue; 0 for modelQueue.
 	queue int
-	// lost is the share of the servers that leave in the middle third.
+	// lost is the fraction of the servers that are gone in the middle third.
 	lost float64
-	// kinds are what the requests are like; none: all are of the one kind above.
+	// kinds are the classes of requests; if empty, the fields above define the only one.
 	kinds []modelKind
-	// returns lets a rejected caller come back once, as told, but after no more
-	// than a third of the time that it has left.
+	// returns makes a rejected caller retry once, after the delay that it was told or a
+	// third of its remaining time, whichever is shorter.
 	returns bool
-	// limited servers, the first ones, name a limit each in the middle third; division is
-	// how hosts divide it.
+	// limited is the number of servers that announce limit in the middle third; division is
+	// how hosts share it.
 	limited  int
 	limit    float64
 	division division
 }
 
-// modelKind is a kind of request.
+// modelKind is a class of requests.
 type modelKind struct {
 	share                     float64
 	mean, objective, patience time.Duration
@@ -55,47 +55,47 @@
 	worth                     float64
 }
 
-// policy is how hosts treat requests.
+// policy is how hosts choose servers.
 type policy int
 
 const (
-	// ours is this package.
+	// ours uses this package.
 	ours policy = iota
-	// inTurn sends each request at once to the servers in turn.
+	// inTurn sends each request at once, to the servers in turn.
 	inTurn
 	// hashed sends each request at once to the server that its key hashes to.
 	hashed
-	// resent is inTurn by callers that send once more, without limit, each time
-	// that a quarter of their patience has passed without an answer.
+	// resent is inTurn with callers that repeat an unanswered request, without limit, each
+	// time a quarter of their timeout has passed.
 	resent
 )
 
-// verdicts are what became of the requests.
+// verdicts counts the requests of a run by result.
 type verdicts struct {
 	asked, inTime, late, rejected, lost int
-	// held is how long rejected requests were kept waiting on average.
+	// held is the mean time that rejected requests waited.
 	held time.Duration
-	// owed and earned count each request by the worth of its kind, a late answer
-	// half.
+	// owed is the value of all requests, and earned that of the completed ones. The value of
+	// a request depends on its class; a late answer counts half.
 	owed, earned float64
-	// returned callers were rejected once; refusedAgain twice.
+	// returned counts callers rejected once, and refusedAgain those rejected twice.
 	returned, refusedAgain int
-	// limited tells what each limited server got.
+	// limited holds what each limited server got.
 	limited []limitedUse
 }
 
-// worth is what was earned of what is owed.
+// worth returns the completed fraction of the offered value.
 func (v verdicts) worth() float64 { return v.earned / v.owed }
 
-// credit counts a late answer half.
+// credit returns the fraction of requests answered in time; late answers count half.
 func (v verdicts) credit() float64 { return (float64(v.inTime) + float64(v.late)/2) / float64(v.asked) }
 
 func (v verdicts) String() string {
-	return fmt.Sprintf("asked %d, in time %d, late %d, rejected %d after %v, lost %d, credit %.3f; worth %.3f, returned %d, refused again %d",
+	return fmt.Sprintf("requests %d, in time %d, late %d, rejected %d after %v, timed out %d, score %.3f; value %.3f, retries %d, rejected again %d",
 		v.asked, v.inTime, v.late, v.rejected, v.held, v.lost, v.credit(), v.worth(), v.returned, v.refusedAgain)
 }
 
-// modelServer is a server as it really is.
+// modelServer is a simulated server.
 type modelServer struct {
 	fleet.Server
 	speed   float64
@@ -109,19 +109,19 @@
 	kind    modelKind
 	host    int
 	key     int
-	began   time.Duration // the caller's first attempt
-	arrived time.Duration // this attempt
+	began   time.Duration // start of the caller's first attempt
+	arrived time.Duration // start of this attempt
 	again   bool
 	sent    time.Duration
 	work    time.Duration
 	waiter  *Waiter
 	server  *modelServer
 	ended   bool
-	// original is set in copies.
+	// original is set in repeated requests.
 	original *modelRequest
 }
 
-// event is something that happens at a time.
+// modelEvent is an event of the simulation.
 type modelEvent struct {
 	at time.Duration
 	do func(now time.Duration)
@@ -139,27 +139,27 @@
 	return last
 }
 
-// world is one replay.
+// world is one run of the simulation.
 type world struct {
 	load
 	events  agenda
 	servers []*modelServer
 	policy  policy
 	random  *rand.Rand
-	pools   []*Pool // nil for a baseline
+	pools   []*Pool // nil for policies that do not use this package
 	next    int
-	present int // how many servers there are
+	present int // number of servers that are up
 	told    verdicts
 	held    time.Duration
 	open    []*modelRequest
-	limits  *modelLimits // nil if no server names one
+	limits  *modelLimits // nil if no server announces a limit
 }
 
 func (w *world) at(t time.Duration, do func(time.Duration)) {
 	heap.Push(&w.events, modelEvent{at: t, do: do})
 }
 
-// replay plays the load under a policy.
+// replay simulates a load under a policy.
 func replay(l load, by policy) verdicts {
 	if len(l.kinds) == 0 {
 		l.kinds = []modelKind{{share: 1, mean: l.mean, objective: l.objective, patience: l.patience, worth: 1}}
@@ -220,7 +220,7 @@
 	return w.told
 }
 
-// list tells all hosts which servers there are.
+// list tells all hosts which servers are up.
 func (w *world) list(now time.Duration, servers []fleet.Server) {
 	w.present = len(servers)
 	for _, p := range w.pools {
@@ -229,14 +229,14 @@
 	w.placed(now)
 }
 
-// longestPatience bounds the patience of all kinds; modelKeys is how many keys
+// longestPatience bounds the timeouts of all classes. modelKeys is the number of keys that
 // requests are hashed by.
 const (
 	longestPatience = 4 * time.Second
 	modelKeys       = 400
 )
 
-// draw returns the kind of the next request.
+// draw returns a random class for the next request.
 func (w *world) draw() modelKind {
 	at := w.random.Float64()
 	for _, kind := range w.kinds {
@@ -265,7 +265,7 @@
 	w.placed(now)
 }
 
-// pick returns the server of a baseline.
+// pick returns the server for a policy that does not use this package.
 func (w *world) pick(r *modelRequest) *modelServer {
 	if w.policy == hashed {
 		most := slices.MaxFunc(w.servers, func(a, b *modelServer) int {
@@ -277,15 +277,14 @@
 	return w.servers[w.next%w.present]
 }
 
-// hashOf is the weight of a server for a key in rendezvous hashing.
+// hashOf returns the weight of a server for a key in rendezvous hashing.
 func hashOf(id string, key int) uint64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprintf(h, "%d/%s", key, id)
 	return h.Sum64() * 0x9e3779b97f4a7c15
 }
 
-// resend sends a copy of a request that has no answer yet; the first of its
-// answers counts.
+// resend repeats a request until it is answered; the first answer counts.
 func (w *world) resend(at time.Duration, r *modelRequest) {
 	w.at(at, func(now time.Duration) {
 		if r.ended {
@@ -305,7 +304,7 @@
 	w.placed(now)
 }
 
-// placed carries out what the pools have decided.
+// placed carries out the decisions of the pools.
 func (w *world) placed(now time.Duration) {
 	var waiting []*modelRequest
 	for _, r := range w.open {
@@ -326,7 +325,7 @@
 	w.limits.wish(now)
 }
 
-// reject ends an attempt that was turned away.
+// reject ends an attempt that was rejected, and schedules the retry if there is one.
 func (w *world) reject(now time.Duration, r *modelRequest) {
 	w.held += now - r.arrived
 	r.ended = true
@@ -409,49 +408,48 @@
 	w.placed(now)
 }
 
-// usual is a service at 70% of its slots.
+// usual is a service at 70 % of its capacity.
 func usual() load {
 	return load{hosts: 12, servers: 12, slots: 4, perSecond: 370, burst: 1, length: 20 * time.Second,
 		mean: 90 * ms, objective: 300 * ms, patience: 1200 * ms, seed: 1}
 }
 
-// At usual load nearly all requests are answered in time, and none is rejected
-// that sending it at once would have served.
+// At the usual load nearly all requests are answered in time, and hardly any is rejected.
 func TestReplayUsualLoad(t *testing.T) {
 	got, turn := replay(usual(), ours), replay(usual(), inTurn)
-	t.Log("ours:", got)
-	t.Log("in turn:", turn)
+	t.Log("this package:", got)
+	t.Log("round robin:", turn)
 	assert.Assert(t, got.credit() > 0.9)
 	assert.Assert(t, got.credit() > turn.credit())
 	assert.Assert(t, got.rejected < got.asked/50)
 }
 
-// In a burst of 1.7 times the load, rejecting at once what can't be answered
-// keeps the answers of the others in time, and who is rejected learns it soon.
+// In a burst of 1.7 times the usual load, requests that can't be answered in time are rejected
+// soon, and the others are answered in time.
 func TestReplayBurst(t *testing.T) {
 	l := usual()
 	l.burst = 1.7
 	got, turn := replay(l, ours), replay(l, inTurn)
-	t.Log("ours:", got)
-	t.Log("in turn:", turn)
+	t.Log("this package:", got)
+	t.Log("round robin:", turn)
 	assert.Assert(t, got.credit() > turn.credit()+0.1)
 	assert.Assert(t, got.lost < turn.lost/4)
 	assert.Assert(t, got.held < l.patience/4)
 }
 
-// Under lasting overload the servers stay busy and most of what they do counts.
+// Under lasting overload the servers stay busy, and most of their work is useful.
 func TestReplayOverload(t *testing.T) {
 	l := usual()
 	l.perSecond *= 1.8
 	got, turn := replay(l, ours), replay(l, inTurn)
-	t.Log("ours:", got)
-	t.Log("in turn:", turn)
+	t.Log("this package:", got)
+	t.Log("round robin:", turn)
 	assert.Assert(t, got.credit() > turn.credit()+0.05)
 	assert.Assert(t, got.lost < got.asked/20)
 }
 
-// twoKinds is a service that runs short requests, urgent and worth twice as
-// much, beside long ones, at more than its slots; who is turned away comes back.
+// twoKinds is an overloaded service with urgent short requests, which are worth twice as much,
+// and long ones. Rejected callers retry once.
 func twoKinds() load {
 	l := usual()
 	l.returns = true
@@ -463,37 +461,34 @@
 	return l
 }
 
-// Symptom: short requests are turned away although a server could answer them
-// in time, and who comes back as told is turned away again.
-// Sequence: a service runs requests of 36 ms and of 220 ms, more than it has
-// slots for; each is judged by the mean of both; a caller that comes back waits
-// behind all that came meanwhile.
-// Cause: neither the kind of a request nor the time that its caller had waited
-// before was known.
+// Guards against short requests that are rejected although a server could answer them in time,
+// and against callers that retry when told to and are rejected again. A service runs requests
+// of 36 ms and of 220 ms and is overloaded; all were judged by their mean service time, and
+// the time that a caller had already waited was not known.
 func TestReplayTwoKindsWithReturns(t *testing.T) {
 	got, turn := replay(twoKinds(), ours), replay(twoKinds(), inTurn)
-	t.Log("ours:", got)
-	t.Log("in turn:", turn)
+	t.Log("this package:", got)
+	t.Log("round robin:", turn)
 	assert.Assert(t, got.worth() > turn.worth()+0.05)
 	assert.Assert(t, got.refusedAgain < got.returned*6/10)
 }
 
-// Hashing keeps no server from being full, and callers that send again without
-// limit make most of what servers do useless.
+// Hashing does not keep servers from being full, and callers that repeat requests without
+// limit make most of the servers' work useless.
 func TestReplayBaselines(t *testing.T) {
 	l := usual()
 	l.burst = 1.7
 	got := replay(l, ours)
-	t.Log("ours:  ", got)
-	for name, by := range map[string]policy{"in turn": inTurn, "hashed": hashed, "resent": resent} {
+	t.Log("this package:", got)
+	for name, by := range map[string]policy{"round robin": inTurn, "hashed": hashed, "resent": resent} {
 		other := replay(l, by)
 		t.Log(name+":", other)
 		assert.Assert(t, got.credit() > other.credit()+0.1, name)
 	}
 }
 
-// manyHosts is a service of 153 small servers behind 76 hosts: each host meets
-// each server once in 15 s.
+// manyHosts is a service of 153 small servers behind 76 hosts. Each host uses each server about
+// once in 15 s.
 func manyHosts() load {
 	return load{hosts: 76, servers: 153, slots: 2, perSecond: 768, burst: 1, length: 20 * time.Second, seed: 1, returns: true,
 		kinds: []modelKind{
@@ -502,20 +497,18 @@
 		}}
 }
 
-// Symptom: short requests end in the queues of some servers while others are
-// idle.
-// Sequence: 76 hosts send to 153 servers; none has recent news of most of them.
-// Cause: a server without news was taken for idle, and preferred to one that had
-// just told that it has a free slot.
+// Guards against short requests that wait in the queues of some servers while others are idle.
+// None of 76 hosts has recent load reports of most of the 153 servers, and a server without
+// reports was preferred to one that had just reported a free slot.
 func TestReplayManyHosts(t *testing.T) {
 	got, turn := replay(manyHosts(), ours), replay(manyHosts(), inTurn)
-	t.Log("ours:", got)
-	t.Log("in turn:", turn)
+	t.Log("this package:", got)
+	t.Log("round robin:", turn)
 	assert.Assert(t, got.worth() > turn.worth()+0.12)
 }
 
-// twoThirdsLost is a service of 81 servers behind 90 hosts that runs two kinds and loses
-// two thirds of its servers for the middle third.
+// twoThirdsLost is a service of 81 servers behind 90 hosts, with two classes of requests, that
+// loses two thirds of its servers in the middle third of the run.
 func twoThirdsLost(seed uint64) load {
 	return load{hosts: 90, servers: 81, slots: 6, queue: 24, perSecond: 1000, burst: 1, length: 15 * time.Second, seed: seed, returns: true, lost: 0.66,
 		kinds: []modelKind{
@@ -524,18 +517,17 @@
 		}}
 }
 
-// Symptom: half of what servers work at has been given up by its callers, and short
-// requests time out in the servers' queues.
-// Sequence: one failure domain is evacuated and another goes dark; 90 hosts send to the
-// servers that are left what was meant for three times as many.
-// Cause: each host meets each server once in some seconds, and takes what it last told
-// for outdated: all servers seem to have room.
+// Guards against servers that spend half of their work on requests whose callers have given
+// up, while short requests time out in the queues. One failure domain is evacuated and another
+// goes down, and 90 hosts send the requests meant for three times as many servers to those that
+// are left. Each host uses each server once in some seconds, by which time the last load report
+// has lost its weight and the server seems to have room.
 func TestReplayTwoThirdsLost(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		got, turn := replay(twoThirdsLost(seed), ours), replay(twoThirdsLost(seed), inTurn)
-		t.Log("ours:", got)
-		t.Log("in turn:", turn)
+		t.Log("this package:", got)
+		t.Log("round robin:", turn)
 		assert.Assert(t, got.worth() > turn.worth()+0.05)
-		assert.Assert(t, got.lost < got.asked/10, "given up at the servers")
+		assert.Assert(t, got.lost < got.asked/10, "too many requests time out at the servers")
 	}
 }
--- a/balance/rest.go
+++ b/balance/rest.go
@@ -6,23 +6,23 @@
 	"cicadarouter/fleet"
 )
 
-// Load pattern: an overloaded server turns requests away and asks each host that it tells so
-// to send it nothing for some seconds. The owner of keys is the only server for them, so what
-// is asked of it meanwhile can only wait or be turned away; when the rest is over all of it
-// is there at once, at all hosts. A host then sends one request at a time until the server
-// has answered one.
+// Load pattern: an overloaded server rejects requests and asks each host it rejects to back
+// off for some seconds. Only the owner of a key can serve the key, so requests for it must
+// wait or be rejected until the backoff ends; then all hosts would send everything at once.
+// After a backoff a host therefore probes the server with one request at a time until the
+// server has answered one.
 
-// rest is what a server has asked of this host.
+// rest is the backoff that a server asked this host for.
 type rest struct {
-	until time.Duration // the server wants nothing before
-	// trying is set until the server has answered a request after the rest.
+	until time.Duration // send nothing before this time
+	// trying is set until the server has answered a request after the backoff.
 	trying bool
-	// retryAt is when the next caller turned away is to come back.
+	// retryAt is the retry time for the next rejected caller.
 	retryAt time.Duration
 }
 
-// Rest takes that a server wants nothing from this host for a time. A shorter rest does not
-// end a longer one.
+// Rest records that a server asked this host to send it nothing for length. A shorter
+// backoff does not end a longer one.
 func (p *Pool) Rest(now time.Duration, incarnation fleet.Incarnation, length time.Duration) {
 	server := p.running(incarnation)
 	if server == nil || length <= 0 {
@@ -34,13 +34,13 @@
 	p.Pump(now)
 }
 
-// RestLeft returns for how much longer a server wants nothing from this host.
+// RestLeft returns the remaining time of the backoff that the server asked this host for.
 func (s *Server) RestLeft(now time.Duration) time.Duration { return max(s.rest.until-now, 0) }
 
-// AnyRests reports whether a server may want nothing from this host.
+// AnyRests reports whether a backoff may be in force at any server.
 func (p *Pool) AnyRests(now time.Duration) bool { return now < p.restUntil }
 
-// Resting returns how many servers want nothing from this host.
+// Resting returns the number of servers with a backoff in force.
 func (p *Pool) Resting(now time.Duration) int {
 	if !p.AnyRests(now) {
 		return 0
@@ -54,19 +54,20 @@
 	return count
 }
 
-// admits reports whether a server that may have asked for rest may get one more request.
+// admits reports whether backoffs allow one more request to the server.
 func (s *Server) admits(now time.Duration) bool {
 	return s.RestLeft(now) == 0 && !(s.rest.trying && s.inFlight > 0)
 }
 
-// answeredAfterRest notes that a server answered a request that it ran.
+// answeredAfterRest records that the server answered a request; after a backoff this ends
+// the probing.
 func (s *Server) answeredAfterRest(now time.Duration) {
 	if s.RestLeft(now) == 0 {
 		s.rest.trying = false
 	}
 }
 
-// beyondRest returns why a request can't be served in time because servers want rest, or nil.
+// beyondRest returns why the request can't be served in time because of backoffs, or nil.
 func (p *Pool) beyondRest(now time.Duration, waiter *Waiter) *RejectedError {
 	server := p.restingFor(now, waiter)
 	if server == nil {
@@ -79,8 +80,9 @@
 	return &RejectedError{Reason: Resting, RetryAfter: p.restRetry(now, server), Expected: left, Server: server.ID}
 }
 
-// restingFor returns the server whose rest a request has to wait for: the owner of its key,
-// or the first whose rest is over if all rest; nil if it need not wait for any.
+// restingFor returns the server whose backoff the request has to wait for: the owner of its
+// key or, without keys and if all usable servers have asked for one, the server whose
+// backoff ends first. It returns nil if the request doesn't wait for a backoff.
 func (p *Pool) restingFor(now time.Duration, waiter *Waiter) *Server {
 	if !p.AnyRests(now) {
 		return nil
@@ -104,11 +106,11 @@
 	return first
 }
 
-// restRetry returns when a caller is to come back who is turned away because a server rests.
-// Callers come back one by one, as fast as the server works.
+// restRetry returns the retry delay for a caller rejected because of a backoff. Retries are
+// spaced at the rate at which the server completes requests.
 func (p *Pool) restRetry(now time.Duration, server *Server) time.Duration {
 	r := &server.rest
-	told := min(max(r.retryAt, r.until), now+mostLimitRetry)
-	r.retryAt = told + server.pace(p.mean)
-	return max(told-now, leastRetryAfter)
+	retryAt := min(max(r.retryAt, r.until), now+mostLimitRetry)
+	r.retryAt = retryAt + server.pace(p.mean)
+	return max(retryAt-now, leastRetryAfter)
 }
--- a/balance/rest_replay_test.go
+++ b/balance/rest_replay_test.go
@@ -10,8 +10,8 @@
 	"cicadarouter/fleet"
 )
 
-// restingModel is an overloaded server that owns all keys. What its queue can't take it turns
-// away, and asks the host for rest.
+// restingModel simulates an overloaded server that owns all keys. It rejects requests that
+// don't fit into its queue, and asks the host that sent them to back off.
 type restingModel struct {
 	random  *rand.Rand
 	pools   []*Pool
@@ -24,7 +24,7 @@
 	counts  restingCounts
 }
 
-// restingRequest is a request at the server.
+// restingRequest is a request that is queued at a host or sent to the server.
 type restingRequest struct {
 	host   int
 	given  *Server
@@ -33,10 +33,10 @@
 	began  time.Duration
 }
 
-// restingCounts is what became of the requests of a replay.
+// restingCounts counts the requests of a run by result.
 type restingCounts struct{ asked, served, shed, refused int }
 
-// replayRests plays hosts that ask one server for a multiple of what it can do.
+// replayRests simulates hosts that send one server a multiple of the requests it can run.
 func replayRests(hosts int, overload float64, seed uint64) restingCounts {
 	m := &restingModel{random: rand.New(rand.NewPCG(seed, 0)), slots: 2, queue: 8, mean: 90 * ms, rest: 2 * time.Second}
 	for i := range hosts {
@@ -72,7 +72,7 @@
 	return m.counts
 }
 
-// ask lets a caller ask a host.
+// ask queues a new request at a random host.
 func (m *restingModel) ask(now time.Duration) *restingRequest {
 	m.counts.asked++
 	r := &restingRequest{host: m.random.IntN(len(m.pools)), began: now,
@@ -81,7 +81,7 @@
 	return r
 }
 
-// arrive lets a request reach the server.
+// arrive sends a request to the server.
 func (m *restingModel) arrive(now time.Duration, r *restingRequest) {
 	r.given = r.caller.Server
 	if len(m.running) >= m.slots && len(m.waiting) >= m.queue {
@@ -99,7 +99,7 @@
 	return &Load{Running: len(m.running), Waiting: len(m.waiting), Slots: m.slots}
 }
 
-// begin lets the server begin what it has slots for.
+// begin starts queued requests in free slots.
 func (m *restingModel) begin(now time.Duration) {
 	for len(m.running) < m.slots && len(m.waiting) > 0 {
 		r := m.waiting[0]
@@ -109,7 +109,7 @@
 	}
 }
 
-// serve lets the server end what it has worked on for long enough.
+// serve completes the requests whose time has come.
 func (m *restingModel) serve(now time.Duration) {
 	kept := m.running[:0]
 	var ended []*restingRequest
@@ -130,10 +130,10 @@
 	}
 }
 
-// Guards against rests that cost a server work: one that many hosts ask for more than it can do
-// has requests of some of them while it rests for others.
+// Guards against backoffs that leave a server idle. An overloaded server must still get
+// requests from some hosts while others back off.
 func TestReplayRestsOfAnOverloadedServer(t *testing.T) {
-	const seeds, can = 3, 30 * 2 / 0.09
+	const seeds, capacity = 3, 30 * 2 / 0.09
 	for _, hosts := range []int{8, 90, 295} {
 		for _, overload := range []float64{1.5, 4} {
 			var sum restingCounts
@@ -141,8 +141,8 @@
 				got := replayRests(hosts, overload, seed)
 				sum = restingCounts{sum.asked + got.asked, sum.served + got.served, sum.shed + got.shed, sum.refused + got.refused}
 			}
-			t.Logf("%d hosts, %.1f of what it can do: %+v", hosts, overload, sum)
-			assert.Assert(t, float64(sum.served) > 0.95*seeds*can, "%d hosts, %.1f of what it can do: %+v", hosts, overload, sum)
+			t.Logf("%d hosts, %.1f times its capacity: %+v", hosts, overload, sum)
+			assert.Assert(t, float64(sum.served) > 0.95*seeds*capacity, "%d hosts, %.1f times its capacity: %+v", hosts, overload, sum)
 		}
 	}
 }
--- a/balance/roster.go
+++ b/balance/roster.go
@@ -5,43 +5,42 @@
 	"slices"
 )
 
-// Load pattern: a host of hundreds takes a few requests a second, each of which any of
-// thousands of servers could run. To look at all of them for each request costs more than the
-// request itself. Least cost among a few servers drawn by chance is nearly as good as among
-// all, as long as most of them have room; where none of the drawn ones will do, all are looked
-// at.
+// Load pattern: a host, one of hundreds, gets a few requests per second that any of thousands
+// of servers could run. Looking at all servers for each request costs more than the request
+// itself. The cheapest of a few random servers is nearly as good as the cheapest of all, as
+// long as most servers have room. If none of the sampled servers will do, all are looked at.
 
 const (
-	// allLooked is the number of servers up to which all are looked at for a request.
+	// allLooked is the number of servers up to which all are looked at for each request.
 	allLooked = 128
-	// drawnNear and drawnAnywhere are how many servers of the host's failure domain and of
-	// all domains are drawn for a request. Four in five may be passed over before the near
-	// ones are exhausted.
+	// drawnNear and drawnAnywhere are the number of servers sampled for each request from
+	// the host's failure domain and from all domains. Even if four in five local servers can't
+	// be used, the sample is likely to contain one that can.
 	drawnNear     = 16
 	drawnAnywhere = 8
-	// mostRecent is how many servers are remembered that got a request last: the host has
-	// connections to them, and news of their load.
+	// mostRecent is the number of recently used servers that are kept as candidates: the
+	// host has connections to them and knows their load.
 	mostRecent = 16
 )
 
-// roster holds a service's servers.
+// roster is the set of servers of a service.
 type roster struct {
 	byID map[string]*Server
-	// order holds all in order of their IDs, near those of the host's failure domain.
+	// order holds all servers sorted by ID; near holds those in the host's failure domain.
 	order, near []*Server
-	// recent are the servers that got a request last, the latest first.
+	// recent holds the servers that got a request last, the latest first.
 	recent []*Server
-	drawn  []*Server // the buffer of draw
+	drawn  []*Server // buffer for the result of draw
 }
 
-// add adds a server whose ID is not taken.
+// add inserts a server whose ID is not in the set yet.
 func (r *roster) add(server *Server) {
 	r.byID[server.ID] = server
 	at, _ := r.find(server.ID)
 	r.order = slices.Insert(r.order, at, server)
 }
 
-// remove takes out the server that has an ID, if any.
+// remove deletes the server with the ID, if there is one.
 func (r *roster) remove(id string) {
 	server := r.byID[id]
 	if server == nil {
@@ -59,7 +58,7 @@
 	return slices.BinarySearchFunc(r.order, id, func(have *Server, want string) int { return cmp.Compare(have.ID, want) })
 }
 
-// setNear notes whether a server is of the host's failure domain.
+// setNear records whether the server is in the host's failure domain.
 func (r *roster) setNear(server *Server, near bool) {
 	switch {
 	case near == server.near:
@@ -74,7 +73,7 @@
 	server.near = near
 }
 
-// used notes that a server got a request.
+// used records that the server got a request.
 func (r *roster) used(server *Server) {
 	if len(r.order) <= allLooked {
 		return
@@ -87,8 +86,8 @@
 	return slices.DeleteFunc(servers, func(have *Server) bool { return have == server })
 }
 
-// draw returns servers to choose from first. all is set if there are no others. below returns
-// a random number from 0 to below n. What is returned holds until the next call.
+// draw returns the servers to choose from first, and whether these are all servers. below
+// must return a random number in [0, n). The result is valid until the next call.
 func (r *roster) draw(below func(n int) int) (servers []*Server, all bool) {
 	if len(r.order) <= allLooked {
 		return r.order, true
--- a/balance/roster_test.go
+++ b/balance/roster_test.go
@@ -11,7 +11,7 @@
 	"cicadarouter/fleet"
 )
 
-// manyServers returns servers of four slots in five domains.
+// manyServers returns n servers with four slots each, in five failure domains.
 func manyServers(n int) []fleet.Server {
 	servers := make([]fleet.Server, n)
 	for i := range servers {
@@ -20,22 +20,22 @@
 	return servers
 }
 
-// Guards against a choice whose cost grows with the servers of a service.
+// Guards against a choice whose cost grows with the number of servers.
 func TestChoiceLooksAtFewOfManyServers(t *testing.T) {
 	const most = mostRecent + drawnNear + drawnAnywhere
 	for _, n := range []int{500, 2000, 8000} {
 		p := NewPool("d1", nil, 1)
 		p.SetServers(0, manyServers(n))
 		for i := range 200 {
-			drawn, all := p.servers.draw(p.random.IntN)
-			assert.Assert(t, !all && len(drawn) <= most, "%d of %d servers", len(drawn), n)
+			sample, all := p.servers.draw(p.random.IntN)
+			assert.Assert(t, !all && len(sample) <= most, "%d of %d servers", len(sample), n)
 			w := enter(p, time.Duration(i)*ms, Waiter{})
-			assert.Equal(t, w.Server.Domain, "d1", "one of its own domain has room")
+			assert.Equal(t, w.Server.Domain, "d1", "a server in the host's domain has room")
 		}
 	}
 }
 
-// Guards against requests that wait though a server that was not drawn has room.
+// Guards against requests that wait although a server outside the sample has room.
 func TestTheLastServerWithRoomIsFound(t *testing.T) {
 	const n = 1000
 	servers := manyServers(n)
@@ -47,7 +47,7 @@
 	assert.Equal(t, enter(p, 0, Waiter{}).Server.ID, "s00777")
 }
 
-// Guards against a roster that forgets servers, or offers those that are gone.
+// Guards against a set that loses servers or keeps removed ones.
 func TestRosterFollowsTheServers(t *testing.T) {
 	p := NewPool("d1", nil, 1)
 	p.SetServers(0, manyServers(600))
@@ -70,28 +70,28 @@
 	assert.Equal(t, len(p.servers.near)+len(p.servers.order)+len(p.servers.recent)+len(p.servers.byID), 0)
 }
 
-// Load pattern: hundreds of hosts that do not know of each other send requests to a thousand
-// servers that are three tenths busy. Of servers taken at random, 4 in 100 have no free slot.
+// Load pattern: 300 hosts that don't know of each other send requests to a thousand servers at
+// 30 % utilization. Of servers chosen at random, 4 % have no free slot.
 func TestReplayManyHostsAndServers(t *testing.T) {
 	const hosts, n, slots, work = 300, 1000, 4, 400 * ms
-	const gap = work * 10 / (n * slots * 3) // between two requests
+	const gap = work * 10 / (n * slots * 3) // interval between two requests
 	random := rand.New(rand.NewPCG(5, 5))
 	pools := make([]*Pool, hosts)
 	for i := range pools {
 		pools[i] = NewPool(fmt.Sprintf("d%d", i%5), nil, uint64(i))
 		pools[i].SetServers(0, manyServers(n))
 	}
-	busy := map[string][]time.Duration{} // when the requests of each server end
+	busy := map[string][]time.Duration{} // end times of the requests at each server
 	type running struct {
 		pool   *Pool
 		server *Server
 		ends   time.Duration
 	}
-	var under []running
-	sent, met := 0, 0
+	var inFlight []running
+	sent, full := 0, 0
 	for now := time.Duration(0); now < 20*time.Second; now += gap {
-		kept := under[:0]
-		for _, r := range under {
+		kept := inFlight[:0]
+		for _, r := range inFlight {
 			if r.ends > now {
 				kept = append(kept, r)
 				continue
@@ -100,7 +100,7 @@
 			busy[r.server.ID] = busy[r.server.ID][1:]
 			r.pool.Done(now, r.server, End{Outcome: Answered, Took: work, Load: &load})
 		}
-		under = kept
+		inFlight = kept
 		pool := pools[random.IntN(hosts)]
 		w := enter(pool, now, Waiter{Objective: 1200 * ms, Deadline: now + 5*time.Second})
 		if w.Server == nil {
@@ -108,11 +108,11 @@
 		}
 		sent++
 		if len(busy[w.Server.ID]) >= slots {
-			met++
+			full++
 		}
 		ends := now + work
 		busy[w.Server.ID] = append(busy[w.Server.ID], ends)
-		under = append(under, running{pool, w.Server, ends})
+		inFlight = append(inFlight, running{pool, w.Server, ends})
 	}
-	assert.Assert(t, met*100 < 4*sent, "%d of %d requests met a server without a free slot", met, sent)
+	assert.Assert(t, full*100 < 4*sent, "%d of %d requests were sent to a server without a free slot", full, sent)
 }
--- a/balance/share.go
+++ b/balance/share.go
@@ -2,57 +2,56 @@
 
 import "time"
 
-// Load pattern: one key takes a fifth of a service's requests, 50 times what its
-// owner can run, and they come through hundreds of hosts. Each host sees a few a
-// second, finds the owner idle as far as it knows, and sends: the owner resets what
-// it can't queue, and the callers learn of it as a failure in place of a rejection.
-// Nobody but the controller of the keys sees what is asked in all. It tells the
-// hosts which part of that the owner can take on, and each host admits this part
-// of its own requests. So a host that is asked more admits more, and no place has to
-// be handed from host to host.
+// Load pattern: one key gets a fifth of a service's requests, 50 times what its owner can run,
+// through hundreds of hosts. Each host sees a few of these requests per second, believes that
+// the owner is idle, and sends them. The owner resets the connections of requests that it can't
+// queue, and callers see failures instead of rejections. Only the controller of the keys knows
+// the total demand. It tells the hosts what fraction of it the owner can handle, and each host
+// admits that fraction of its own requests. A host with more demand thus admits more, and hosts
+// need not exchange permits.
 
 const (
-	// shareKept is for how long a share counts: the controller's word comes each
-	// half second, and an owner must not be kept idle on old word.
+	// shareKept is how long a share stays valid. The controller sends shares every half second;
+	// an outdated one must not keep an owner idle.
 	shareKept = 1500 * time.Millisecond
-	// mostSaved bounds the places that a host saves for requests to come, so that
-	// after a pause hundreds of hosts don't send several each.
+	// mostSaved is the size of a share's token bucket. It keeps hundreds of hosts from sending
+	// several requests each after a pause.
 	mostSaved = 1.0
-	// mostShareRetry bounds what a caller is told that has to wait for a share: the
-	// load of a key is known for seconds only.
+	// mostShareRetry bounds the retry delay given to a caller rejected because of a share: the
+	// load of a key can't be predicted for longer than some seconds.
 	mostShareRetry = 10 * time.Second
 )
 
-// share is this host's part of a key that asks for more than its owner can do.
+// share is the fraction of this host's requests for an overloaded key that may be sent.
 type share struct {
-	part  float64       // of the requests
-	until time.Duration // it counts until then
-	saved float64       // places that this host may fill at once
-	gap   time.Duration // smoothed time between two requests
-	last  time.Duration // when the last came
+	part  float64       // fraction of the requests
+	until time.Duration // end of validity
+	saved float64       // tokens in the bucket; each admitted request takes one
+	gap   time.Duration // smoothed interval between requests for the key
+	last  time.Duration // when the last request for the key came
 }
 
-// SetShares takes the parts of what is asked of keys that their owners can take on.
-// Keys that are not named are not limited.
-func (p *Pool) SetShares(now time.Duration, parts map[uint16]float64) {
+// SetShares sets, for each overloaded key, the fraction of its requests that the owner can
+// handle. Keys that are not in the map are not limited.
+func (p *Pool) SetShares(now time.Duration, fractions map[uint16]float64) {
 	for key := range p.shares {
-		if _, named := parts[key]; !named {
+		if _, named := fractions[key]; !named {
 			delete(p.shares, key)
 		}
 	}
-	for key, part := range parts {
+	for key, fraction := range fractions {
 		known := p.shares[key]
 		if known == nil {
-			// Hosts begin at different places of their turn.
+			// A random fill keeps hosts from sending at the same time.
 			known = &share{saved: p.random.Float64()}
 			p.shares[key] = known
 		}
-		known.part, known.until = part, now+shareKept
+		known.part, known.until = fraction, now+shareKept
 	}
 }
 
-// beyondShare turns a request away at once whose key asks for more than its owner can
-// do, unless this host's share has a place for it.
+// beyondShare rejects a request at once if its key is overloaded and this host's share has
+// no token for it.
 func (p *Pool) beyondShare(now time.Duration, waiter *Waiter) *RejectedError {
 	known := p.shares[waiter.Key]
 	if known == nil || now >= known.until || known.part >= 1 {
@@ -67,7 +66,7 @@
 		known.saved -= mostSaved
 		return nil
 	}
-	places := (mostSaved - known.saved) / known.part // requests until the next
-	next := time.Duration(places * float64(known.gap))
-	return &RejectedError{Reason: Overload, RetryAfter: min(max(next, leastRetryAfter), mostShareRetry), Expected: next}
+	requests := (mostSaved - known.saved) / known.part // number of requests until the next token
+	wait := time.Duration(requests * float64(known.gap))
+	return &RejectedError{Reason: Overload, RetryAfter: min(max(wait, leastRetryAfter), mostShareRetry), Expected: wait}
 }
--- a/balance/share_test.go
+++ b/balance/share_test.go
@@ -11,18 +11,18 @@
 	"cicadarouter/fleet"
 )
 
-// oneOwner owns every key.
+// oneOwner makes server "s" the owner of every key.
 type oneOwner struct{}
 
 func (oneOwner) OwnerOf(uint16) (string, time.Duration) { return "s", 0 }
 
-// hotKeyVerdict is what became of the requests for a key that all callers ask for.
+// hotKeyVerdict counts the requests for a key that all callers use, by result.
 type hotKeyVerdict struct{ asked, served, inTime, reset, rejected int }
 
-// hotOwner is the owner as it really is: four slots, a queue of 16, and a reset for
-// what it can't queue.
+// hotOwner simulates the owner: four slots, a queue of 16, and a connection reset for
+// requests that don't fit.
 type hotOwner struct {
-	free [4]time.Duration // when each slot is free
+	free [4]time.Duration // when each slot becomes free
 	in   int
 }
 
@@ -42,9 +42,9 @@
 	return o.free[first], true
 }
 
-// replayHotKey plays 600 requests of 410 ms a second for one key, through 295 hosts
-// and for 10 s. part is told to the hosts each half second; 0 for none.
-func replayHotKey(part float64, seed uint64) hotKeyVerdict {
+// replayHotKey simulates 600 requests of 410 ms per second for one key, through 295 hosts, for
+// 10 s. fraction is the share given to the hosts every half second; 0 for none.
+func replayHotKey(fraction float64, seed uint64) hotKeyVerdict {
 	const hosts, perSecond, work, objective = 295, 600.0, 410 * time.Millisecond, 1200 * time.Millisecond
 	random := rand.New(rand.NewPCG(seed, 1))
 	var pools []*Pool
@@ -55,17 +55,17 @@
 	}
 	var verdict hotKeyVerdict
 	var owner hotOwner
-	var under agenda
-	told := time.Duration(-1)
+	var events agenda
+	lastUpdate := time.Duration(-1)
 	for now := time.Duration(0); now < 10*time.Second; now += time.Duration(random.ExpFloat64() / perSecond * float64(time.Second)) {
-		for len(under) > 0 && under[0].at <= now {
-			done := heap.Pop(&under).(modelEvent)
+		for len(events) > 0 && events[0].at <= now {
+			done := heap.Pop(&events).(modelEvent)
 			done.do(done.at)
 		}
-		if part > 0 && now/(500*time.Millisecond) > told {
-			told = now / (500 * time.Millisecond)
+		if fraction > 0 && now/(500*time.Millisecond) > lastUpdate {
+			lastUpdate = now / (500 * time.Millisecond)
 			for _, pool := range pools {
-				pool.SetShares(now, map[uint16]float64{7: part})
+				pool.SetShares(now, map[uint16]float64{7: fraction})
 			}
 		}
 		verdict.asked++
@@ -86,7 +86,7 @@
 				continue
 			}
 			took := ends - now
-			heap.Push(&under, modelEvent{at: ends, do: func(now time.Duration) {
+			heap.Push(&events, modelEvent{at: ends, do: func(now time.Duration) {
 				owner.in--
 				verdict.served++
 				if took <= objective {
@@ -100,28 +100,26 @@
 	return verdict
 }
 
-// Symptom: of 17,000 requests for three keys that all callers ask for 10,000 end with
-// a failure after some milliseconds, since their owner resets connections; 200 are
-// served.
-// Sequence: 600 requests a second ask for one key, 50 times what its owner can run;
-// each of 295 hosts sees two a second.
-// Cause: each host judged the owner by its own few requests, and found it idle.
+// Guards against an overloaded key whose requests mostly fail: of 17,000 requests for three
+// keys that all callers use, 10,000 ended with a connection reset by the owner within
+// milliseconds, and 200 were served. 600 requests per second use one key, about 60 times what
+// its owner can run. Each of 295 hosts sees two of them per second and took the owner for idle.
 func TestReplayKeyOfAllCallers(t *testing.T) {
-	const able = 4 / 0.41 / 600 // what four slots can run, of all requests
-	var alone, shared hotKeyVerdict
+	const capacity = 4 / 0.41 / 600 // fraction of all requests that four slots can run
+	var unlimited, shared hotKeyVerdict
 	for seed := range uint64(3) {
-		a, b := replayHotKey(0, seed), replayHotKey(able*1.15, seed)
+		a, b := replayHotKey(0, seed), replayHotKey(capacity*1.15, seed)
 		t.Logf("without shares %+v, with %+v", a, b)
-		alone.served, alone.inTime, alone.reset = alone.served+a.served, alone.inTime+a.inTime, alone.reset+a.reset
+		unlimited.served, unlimited.inTime, unlimited.reset = unlimited.served+a.served, unlimited.inTime+a.inTime, unlimited.reset+a.reset
 		shared.served, shared.inTime, shared.reset = shared.served+b.served, shared.inTime+b.inTime, shared.reset+b.reset
 	}
-	assert.Assert(t, shared.reset*20 < alone.reset, "%d resets, %d without shares", shared.reset, alone.reset)
-	assert.Assert(t, float64(shared.served) > 0.9*float64(alone.served), "%d served, %d without shares", shared.served, alone.served)
-	assert.Assert(t, shared.inTime > 2*alone.inTime, "%d served in time, %d without shares", shared.inTime, alone.inTime)
+	assert.Assert(t, shared.reset*20 < unlimited.reset, "%d resets, %d without shares", shared.reset, unlimited.reset)
+	assert.Assert(t, float64(shared.served) > 0.9*float64(unlimited.served), "%d served, %d without shares", shared.served, unlimited.served)
+	assert.Assert(t, shared.inTime > 2*unlimited.inTime, "%d served in time, %d without shares", shared.inTime, unlimited.inTime)
 }
 
-// A share counts for a while only, and only for the keys that it names; what is told
-// as the time to come back is when the host's next place is due.
+// A share expires, and applies only to the keys that it names. The retry delay is the time
+// until this host's next token.
 func TestShareLapses(t *testing.T) {
 	pool := NewPool("a", oneOwner{}, 1)
 	pool.SetServers(0, []fleet.Server{{ID: "s", Domain: "a", Slots: 4}})
@@ -148,8 +146,8 @@
 	}
 	assert.Assert(t, admitted >= 9 && admitted <= 11, "%d admitted", admitted)
 	assert.Assert(t, rejected.RetryAfter >= leastRetryAfter && rejected.RetryAfter <= 200*time.Millisecond, "%v", rejected.RetryAfter)
-	// One request a second, of which one in ten has a place: after a place the next
-	// is due in ten seconds.
+	// With one request per second and a share of one in ten, the next token comes after ten
+	// seconds.
 	pool.SetShares(now, map[uint16]float64{7: 0.1})
 	for range 30 {
 		now += time.Second
@@ -162,11 +160,11 @@
 	assert.Assert(t, rejected.RetryAfter >= 500*time.Millisecond, "%v", rejected.RetryAfter)
 	now += shareKept
 	for range 10 {
-		assert.Assert(t, enter(now, 7).Server != nil, "an old share still counts")
+		assert.Assert(t, enter(now, 7).Server != nil, "an expired share still applies")
 	}
 	pool.SetShares(now, map[uint16]float64{7: 0.01})
 	pool.SetShares(now, nil)
 	for range 10 {
-		assert.Assert(t, enter(now, 7).Server != nil, "a share that is not named any more still counts")
+		assert.Assert(t, enter(now, 7).Server != nil, "a share that was removed still applies")
 	}
 }
--- a/balance/waiter.go
+++ b/balance/waiter.go
@@ -5,82 +5,80 @@
 	"time"
 )
 
-// Owner tells which server owns a key.
+// Owner finds the server that owns a key.
 type Owner interface {
-	// OwnerOf returns the owner's ID; empty while the key is between owners.
-	// back is when the key is expected to have an owner; 0 if it is not known.
-	OwnerOf(key uint16) (id string, back time.Duration)
+	// OwnerOf returns the ID of the owner, or "" while the key moves between owners; ownedAt is
+	// then when the key is expected to have an owner, or 0 if that is not known.
+	OwnerOf(key uint16) (id string, ownedAt time.Duration)
 }
 
-// Waiter is a request that wants a server.
+// Waiter is a request that asks for a server.
 type Waiter struct {
-	// Keyed requests go to the owner of Key only.
+	// Keyed is set if only the owner of Key may get the request.
 	Keyed bool
 	Key   uint16
-	// Priority is the rank; 0 is the most urgent.
+	// Priority is the priority level; 0 is the most urgent.
 	Priority int
 	Arrived  time.Duration
-	// Patience is how long the caller waits for this attempt; 0 if it did not say.
+	// Patience is the caller's timeout for this attempt; 0 if not known.
 	Patience time.Duration
-	// since is when the caller began to wait, as far as that is known; Enter
-	// sets it.
+	// since is when the caller started its first attempt, as far as known. Enter sets it.
 	since time.Duration
-	// Entered is when this wait began; Enter sets it.
+	// Entered is when the request was queued. Enter sets it.
 	Entered time.Duration
-	// Deadline is when the request is worthless.
+	// Deadline is when the caller stops waiting for an answer.
 	Deadline time.Duration
 	// Objective is the latency objective.
 	Objective time.Duration
-	// Tried lists servers that have had the request.
+	// Tried holds the IDs of the servers that already got the request.
 	Tried []string
-	// Ready is closed when Server or Rejected is set.
+	// Ready is closed once Server or Rejected is set.
 	Ready chan struct{}
-	// Server is the server that the request is to be sent to.
+	// Server is the server to send the request to.
 	Server *Server
-	// Rejected is set when the request was turned away.
+	// Rejected is set if the request was rejected.
 	Rejected *RejectedError
 }
 
-// decided reports whether the request was given a server or turned away.
+// decided reports whether the request was assigned a server or rejected.
 func (w *Waiter) decided() bool { return w.Server != nil || w.Rejected != nil }
 
-// Reason says why a request was turned away.
+// Reason tells why a request was rejected.
 type Reason string
 
-// The reasons.
+// Reasons.
 const (
-	// NoServer: the service has no server that may take requests.
+	// NoServer: the service has no server that accepts requests.
 	NoServer Reason = "no-server"
-	// NoOwner: the key has no owner, and will not have one in time.
+	// NoOwner: the key has no owner and will not have one in time.
 	NoOwner Reason = "no-owner"
-	// ColdOwner: the key's owner is cold and gets no more for now.
+	// ColdOwner: the key's owner is cold and accepts no more requests for now.
 	ColdOwner Reason = "cold-owner"
-	// Limited: the servers that may take the request name limits, and no place there is
-	// due in time.
+	// Limited: the servers that may take the request have limits, and no permit becomes valid
+	// in time.
 	Limited Reason = "server-limit"
-	// Resting: the servers that may take the request have asked this host for rest that
-	// lasts too long.
+	// Resting: the servers that may take the request asked this host to back off for too long.
 	Resting Reason = "server-rest"
-	// Overload: the wait for a server does not fit the deadline.
+	// Overload: the wait for a server is too long.
 	Overload Reason = "overload"
-	// Expired: the deadline came while the request waited.
+	// Expired: the time left until the deadline is too short to run the request.
 	Expired Reason = "expired"
 )
 
-// RejectedError reports a request that was turned away and has not run.
+// RejectedError reports a request that was rejected and has not run.
 type RejectedError struct {
 	Reason Reason
-	// RetryAfter is when a server is expected to have room.
+	// RetryAfter is how long the caller should wait before it retries.
 	RetryAfter time.Duration
-	// Expected is the wait on which the decision rests.
+	// Expected is the expected wait that led to the rejection.
 	Expected time.Duration
-	// Server is the server that the request would have to wait for, of Limited and Resting
-	// only, and Limit its limit in requests a second, of Limited only.
+	// Server is the server that the request would have to wait for; set for Limited and
+	// Resting only. Limit is its limit in requests per second; set for Limited only.
 	Server string
 	Limit  float64
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *RejectedError) Error() string {
 	return fmt.Sprintf("rejected: %s, expected wait %v, retry after %v", e.Reason, e.Expected, e.RetryAfter)
 }
--- a/balance/window.go
+++ b/balance/window.go
@@ -1,49 +1,49 @@
 package balance
 
-// Load pattern: two thirds of a service's servers are gone for some seconds, one domain
-// evacuated and another dark. Each of a hundred hosts meets each of the rest once in
-// some seconds, so what a server last told has faded when the host chooses again; it
-// takes all of them to have room. Their queues fill, and half of what they work at has
-// been given up by the time that it gets a slot. What a host sees at once is how long
-// the queues are at the servers that answer. It bounds its own requests under way by
-// that, as a sender bounds its window by the queues on the way: all hosts together then
-// send what the servers can do, and the rest waits or is turned away at the hosts, where
-// the most urgent can go first.
+// Load pattern: two thirds of a service's servers are gone for some seconds, one failure domain
+// evacuated and another one down. Each of a hundred hosts uses each remaining server once in
+// some seconds, so a load report has decayed by the time the host chooses again, and all servers
+// seem to have room. Their queues fill, and callers give up on half of the requests before these
+// get a slot. A host does see at once how long the queues are at the servers that answer. It
+// bounds its requests in flight accordingly, as TCP bounds its congestion window. All hosts
+// together then send what the servers can process, and the other requests wait or are rejected
+// at the hosts, where the most urgent can go first.
 
 const (
-	// crowdedQueue is how many requests wait at a server for each of its slots, on
-	// average over the answers, from which on a host sends less: one is as long as the
-	// work itself, half of what most objectives leave.
+	// crowdedQueue is the average number of queued requests per slot above which a host
+	// sends less. A queue of one per slot takes as long as the work itself, which is half of
+	// the time that most objectives leave.
 	crowdedQueue = 1.0
-	// easyQueue is that from which on it sends more again. Some wait by chance: servers
-	// of unequal speed at four fifths of their load have 0.2 to 0.4 waiting.
+	// easyQueue is the average below which a host sends more again. Some queueing is random:
+	// servers of unequal speed at 80 % utilization have 0.2 to 0.4 queued requests per slot.
 	easyQueue = 0.5
-	// queueWeight is the weight of a new answer in the average: some five answers.
+	// queueWeight is the weight of a new answer in the average, which covers about five.
 	queueWeight = 0.2
-	// windowCut is what is left of the window after each answer while the average is
-	// crowded: in the time of one window of seven requests it halves. windowGrowth is
-	// what is added in that time while it is easy. Without the window a replay of two
-	// thirds of the servers lost earned 0.78 of the worth asked for, with it 0.82
-	// (TestReplayTwoThirdsLost).
+	// windowCut multiplies the window after each answer while the queues are too long; over
+	// the seven answers of a window of seven requests it halves. windowGrowth is added to the
+	// window over as many answers as it holds while the queues are short. In the simulated
+	// loss of two thirds of the servers (TestReplayTwoThirdsLost) the completed requests have
+	// 0.82 of the offered value with the window, and 0.78 without.
 	windowCut    = 0.9
 	windowGrowth = 1.0
-	// leastWindow keeps a host in touch with the servers' queues.
+	// leastWindow lets a host still learn the length of the servers' queues.
 	leastWindow = 1.0
-	// openWindow is from when on there is no limit: no host has as many under way.
+	// openWindow is the size at which the limit is lifted; no host has as many requests in
+	// flight.
 	openWindow = 256.0
 )
 
-// window bounds the requests of this host under way at a service's servers.
+// window bounds the number of this host's requests in flight at the servers of a service.
 type window struct {
 	inFlight int
-	queue    float64 // smoothed, waiting requests for each slot
-	limit    float64 // 0: none
+	queue    float64 // smoothed number of queued requests per slot
+	limit    float64 // most requests in flight; 0: not limited
 }
 
-// open reports whether one more may be sent.
+// open reports whether one more request may be sent.
 func (w *window) open() bool { return w.limit == 0 || float64(w.inFlight) < w.limit }
 
-// report takes the load that came with an answer.
+// report adjusts the window to the load that came with an answer.
 func (w *window) report(load Load) {
 	if load.Slots <= 0 {
 		return
--- a/tools/mutants/notices.go
+++ b/tools/mutants/notices.go
@@ -23,7 +23,7 @@
 		rest("rest.go", "send all at once after a rest", "&& !(s.rest.trying && s.inFlight > 0)", ""),
 		rest("rest.go", "try a server only once after its first rest", "if s.RestLeft(now) == 0 {\n		s.rest.trying", "if true {\n		s.rest.trying"),
 		rest("rest.go", "let requests wait for the end of any rest", "if left <= p.patience(now, waiter) {", "if true {"),
-		rest("rest.go", "tell all callers to come back at once", "	r.retryAt = told + server.pace(p.mean)\n", ""),
+		rest("rest.go", "tell all callers to come back at once", "	r.retryAt = retryAt + server.pace(p.mean)\n", ""),
 		rest("pool.go", "leave waiting requests to a server that rests", "p.giveUpOnNotices(now, waiter) || ", ""),
 		rest("pool.go", "wait for a server that rests while others have room", "	case server.RestLeft(now) > 0:\n		return resting\n", ""),
 		breaking("gateway", "KeysOfAServerThatRests")("members.go", "leave the keys of a server that rests", "	return 1 - float64(resting)", "	return 1 - 0*float64(resting)"),
--- a/tools/mutants/scale.go
+++ b/tools/mutants/scale.go
@@ -8,7 +8,7 @@
 	entries := breaking("fleet", "Changes|Entries|Texts")
 	return []mutant{
 		choice("roster.go", "look at all servers", "	if len(r.order) <= allLooked {\n		return r.order, true\n	}\n	r.drawn", "	if len(r.order) > 0 {\n		return r.order, true\n	}\n	r.drawn"),
-		choice("pool.go", "look at no others if the drawn ones are full", "	every := p.servers.order\n", "	every := drawn\n"),
+		choice("pool.go", "look at no others if the drawn ones are full", "	candidates := p.servers.order\n", "	candidates := sample\n"),
 		choice("roster.go", "offer servers that are gone", "	r.recent = without(r.recent, server)\n}", "}"),
 		entries("fleet.go", "tell all servers at each change", "	clear(d.changed)\n", "	d.TouchAll()\n"),
 		entries("fleet.go", "keep entries that came back among those that fade", "	delete(d.fading, version.ID)\n	d.Touch", "	d.fading[version.ID] = known\n	d.Touch"),
