--- a/balance/cold.go
+++ b/balance/cold.go
@@ -56,12 +56,12 @@
 // noteCold fills the token bucket at random when a server has become cold, and resets it
 // when the server is warm.
 func (p *Pool) noteCold(now time.Duration, server *Server) {
-	place := &server.coldPlace
+	bucket := &server.coldPlace
 	switch {
 	case !server.cold(now):
-		*place = coldPlace{}
-	case !place.drawn:
-		*place = coldPlace{saved: p.random.Float64(), at: now, drawn: true}
+		*bucket = coldPlace{}
+	case !bucket.drawn:
+		*bucket = coldPlace{saved: p.random.Float64(), at: now, drawn: true}
 	}
 }
 
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -55,10 +55,10 @@
 		start(host, 0)
 	}
 	arrivals := map[string][]time.Duration{}
-	const turn = 10 * time.Millisecond
-	for now := time.Duration(0); now < c.length; now += turn {
+	const step = 10 * time.Millisecond
+	for now := time.Duration(0); now < c.length; now += step {
 		for host := range pools {
-			if random.Float64() < c.restarts*turn.Seconds() {
+			if random.Float64() < c.restarts*step.Seconds() {
 				start(host, now)
 			}
 			w := &Waiter{Keyed: c.keyed, Key: uint16(random.IntN(1 << 16)), Arrived: now, Deadline: now + 5*time.Second, Patience: 5 * time.Second,
@@ -122,16 +122,16 @@
 	p := NewPool("d", fixedOwner{"s"}, 1)
 	p.SetCold(5.8, 90)
 	p.SetServers(0, []fleet.Server{{ID: "s", Domain: "d", Slots: 6, ColdUntil: 3 * time.Second}})
-	enter := func(now time.Duration) *Waiter {
+	enqueue := func(now time.Duration) *Waiter {
 		w := &Waiter{Keyed: true, Arrived: now, Deadline: now + 2*time.Second, Objective: time.Second, Ready: make(chan struct{})}
 		p.Enter(now, w)
 		return w
 	}
-	w := enter(0)
+	w := enqueue(0)
 	assert.Assert(t, w.Rejected != nil)
 	assert.Equal(t, w.Rejected.Reason, ColdOwner)
 	assert.Assert(t, w.Rejected.RetryAfter <= 3*time.Second && w.Rejected.RetryAfter > time.Second, "retry after %v", w.Rejected.RetryAfter)
-	assert.Assert(t, enter(3*time.Second).Server != nil, "the server is warm")
+	assert.Assert(t, enqueue(3*time.Second).Server != nil, "the server is warm")
 }
 
 // Guards against a server that restarted under the same ID and gets as many requests as a warm
--- a/balance/limited.go
+++ b/balance/limited.go
@@ -113,7 +113,7 @@
 	if !server.limited() {
 		return true
 	}
-	l.places = slices.DeleteFunc(l.places, func(place place) bool { return now > place.until })
+	l.places = slices.DeleteFunc(l.places, func(each place) bool { return now > each.until })
 	if len(l.places) > 0 && now >= l.places[0].from {
 		return true
 	}
--- a/balance/limited_fuzz_test.go
+++ b/balance/limited_fuzz_test.go
@@ -111,13 +111,13 @@
 }
 
 func (w *limitWorld) send(now time.Duration, h *fuzzHost, pool *Pool, waiter *Waiter) {
-	told := h.told >= 0 && now-h.told >= ruleTold
+	knowsLimit := h.told >= 0 && now-h.told >= ruleTold
 	inTouch := h.life == 1 || now-h.begun >= ruleContact // the limit does not apply right after a restart
-	w.sends = append(w.sends, fuzzSend{at: now, counted: told && inTouch})
-	w.at(now+w.millis("run time", 1, 150), func(said time.Duration) {
+	w.sends = append(w.sends, fuzzSend{at: now, counted: knowsLimit && inTouch})
+	w.at(now+w.millis("run time", 1, 150), func(completed time.Duration) {
 		perSecond := w.named()
-		w.at(said+w.millis("return delay", 1, 60), func(heard time.Duration) {
-			w.answer(heard, h, pool, waiter, notice.News[float64]{Value: perSecond, Sent: now, Heard: heard})
+		w.at(completed+w.millis("return delay", 1, 60), func(received time.Duration) {
+			w.answer(received, h, pool, waiter, notice.News[float64]{Value: perSecond, Sent: now, Heard: received})
 		})
 	})
 }
--- a/balance/limited_replay_test.go
+++ b/balance/limited_replay_test.go
@@ -190,13 +190,13 @@
 func TestReplayLimitedServers(t *testing.T) {
 	for _, limited := range []int{2, 9} {
 		for seed := uint64(1); seed <= 3; seed++ {
-			got, alone := replay(limitedLoad(limited, byPlaces, seed), ours), replay(limitedLoad(limited, outOfReach, seed), ours)
+			got, fallback := replay(limitedLoad(limited, byPlaces, seed), ours), replay(limitedLoad(limited, outOfReach, seed), ours)
 			each, equal := replay(limitedLoad(limited, eachAll, seed), ours), replay(limitedLoad(limited, equalParts, seed), ours)
 			t.Logf("%d limited, seed %d: permits on demand %v %v", limited, seed, got.limited, got)
 			t.Logf("equal parts %v %v", equal.limited, equal)
 			t.Logf("full limit at each host %v %v", each.limited, each)
-			t.Logf("scheduler unreachable %v %v", alone.limited, alone)
-			for _, use := range slices.Concat(got.limited, alone.limited) {
+			t.Logf("scheduler unreachable %v %v", fallback.limited, fallback)
+			for _, use := range slices.Concat(got.limited, fallback.limited) {
 				assert.Assert(t, float64(use.fullest) <= use.allowed(), "%v", use)
 			}
 			// If other servers have no limit, hosts hardly exceed the limits anyway.
--- a/balance/replay_test.go
+++ b/balance/replay_test.go
@@ -416,11 +416,11 @@
 
 // At the usual load nearly all requests are answered in time, and hardly any is rejected.
 func TestReplayUsualLoad(t *testing.T) {
-	got, turn := replay(usual(), ours), replay(usual(), inTurn)
+	got, baseline := replay(usual(), ours), replay(usual(), inTurn)
 	t.Log("this package:", got)
-	t.Log("round robin:", turn)
+	t.Log("round robin:", baseline)
 	assert.Assert(t, got.credit() > 0.9)
-	assert.Assert(t, got.credit() > turn.credit())
+	assert.Assert(t, got.credit() > baseline.credit())
 	assert.Assert(t, got.rejected < got.asked/50)
 }
 
@@ -429,11 +429,11 @@
 func TestReplayBurst(t *testing.T) {
 	l := usual()
 	l.burst = 1.7
-	got, turn := replay(l, ours), replay(l, inTurn)
+	got, baseline := replay(l, ours), replay(l, inTurn)
 	t.Log("this package:", got)
-	t.Log("round robin:", turn)
-	assert.Assert(t, got.credit() > turn.credit()+0.1)
-	assert.Assert(t, got.lost < turn.lost/4)
+	t.Log("round robin:", baseline)
+	assert.Assert(t, got.credit() > baseline.credit()+0.1)
+	assert.Assert(t, got.lost < baseline.lost/4)
 	assert.Assert(t, got.held < l.patience/4)
 }
 
@@ -441,10 +441,10 @@
 func TestReplayOverload(t *testing.T) {
 	l := usual()
 	l.perSecond *= 1.8
-	got, turn := replay(l, ours), replay(l, inTurn)
+	got, baseline := replay(l, ours), replay(l, inTurn)
 	t.Log("this package:", got)
-	t.Log("round robin:", turn)
-	assert.Assert(t, got.credit() > turn.credit()+0.05)
+	t.Log("round robin:", baseline)
+	assert.Assert(t, got.credit() > baseline.credit()+0.05)
 	assert.Assert(t, got.lost < got.asked/20)
 }
 
@@ -466,10 +466,10 @@
 // of 36 ms and of 220 ms and is overloaded; all were judged by their mean service time, and
 // the time that a caller had already waited was not known.
 func TestReplayTwoKindsWithReturns(t *testing.T) {
-	got, turn := replay(twoKinds(), ours), replay(twoKinds(), inTurn)
+	got, baseline := replay(twoKinds(), ours), replay(twoKinds(), inTurn)
 	t.Log("this package:", got)
-	t.Log("round robin:", turn)
-	assert.Assert(t, got.worth() > turn.worth()+0.05)
+	t.Log("round robin:", baseline)
+	assert.Assert(t, got.worth() > baseline.worth()+0.05)
 	assert.Assert(t, got.refusedAgain < got.returned*6/10)
 }
 
@@ -501,10 +501,10 @@
 // None of 76 hosts has recent load reports of most of the 153 servers, and a server without
 // reports was preferred to one that had just reported a free slot.
 func TestReplayManyHosts(t *testing.T) {
-	got, turn := replay(manyHosts(), ours), replay(manyHosts(), inTurn)
+	got, baseline := replay(manyHosts(), ours), replay(manyHosts(), inTurn)
 	t.Log("this package:", got)
-	t.Log("round robin:", turn)
-	assert.Assert(t, got.worth() > turn.worth()+0.12)
+	t.Log("round robin:", baseline)
+	assert.Assert(t, got.worth() > baseline.worth()+0.12)
 }
 
 // twoThirdsLost is a service of 81 servers behind 90 hosts, with two classes of requests, that
@@ -524,10 +524,10 @@
 // has lost its weight and the server seems to have room.
 func TestReplayTwoThirdsLost(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		got, turn := replay(twoThirdsLost(seed), ours), replay(twoThirdsLost(seed), inTurn)
+		got, baseline := replay(twoThirdsLost(seed), ours), replay(twoThirdsLost(seed), inTurn)
 		t.Log("this package:", got)
-		t.Log("round robin:", turn)
-		assert.Assert(t, got.worth() > turn.worth()+0.05)
+		t.Log("round robin:", baseline)
+		assert.Assert(t, got.worth() > baseline.worth()+0.05)
 		assert.Assert(t, got.lost < got.asked/10, "too many requests time out at the servers")
 	}
 }
--- a/balance/share_test.go
+++ b/balance/share_test.go
@@ -123,7 +123,7 @@
 func TestShareLapses(t *testing.T) {
 	pool := NewPool("a", oneOwner{}, 1)
 	pool.SetServers(0, []fleet.Server{{ID: "s", Domain: "a", Slots: 4}})
-	enter := func(now time.Duration, key uint16) *Waiter {
+	enqueue := func(now time.Duration, key uint16) *Waiter {
 		w := &Waiter{Keyed: true, Key: key, Arrived: now, Deadline: now + time.Second, Objective: time.Second, Ready: make(chan struct{})}
 		pool.Enter(now, w)
 		if w.Server != nil {
@@ -137,12 +137,12 @@
 	var rejected *RejectedError
 	for range 100 {
 		now += 10 * time.Millisecond
-		if w := enter(now, 7); w.Server != nil {
+		if w := enqueue(now, 7); w.Server != nil {
 			admitted++
 		} else {
 			rejected = w.Rejected
 		}
-		assert.Assert(t, enter(now, 8).Server != nil)
+		assert.Assert(t, enqueue(now, 8).Server != nil)
 	}
 	assert.Assert(t, admitted >= 9 && admitted <= 11, "%d admitted", admitted)
 	assert.Assert(t, rejected.RetryAfter >= leastRetryAfter && rejected.RetryAfter <= 200*time.Millisecond, "%v", rejected.RetryAfter)
@@ -152,19 +152,19 @@
 	for range 30 {
 		now += time.Second
 		pool.SetShares(now, map[uint16]float64{7: 0.1})
-		rejected = enter(now, 7).Rejected
+		rejected = enqueue(now, 7).Rejected
 		if rejected == nil {
-			rejected = enter(now, 7).Rejected
+			rejected = enqueue(now, 7).Rejected
 		}
 	}
 	assert.Assert(t, rejected.RetryAfter >= 500*time.Millisecond, "%v", rejected.RetryAfter)
 	now += shareKept
 	for range 10 {
-		assert.Assert(t, enter(now, 7).Server != nil, "an expired share still applies")
+		assert.Assert(t, enqueue(now, 7).Server != nil, "an expired share still applies")
 	}
 	pool.SetShares(now, map[uint16]float64{7: 0.01})
 	pool.SetShares(now, nil)
 	for range 10 {
-		assert.Assert(t, enter(now, 7).Server != nil, "a share that was removed still applies")
+		assert.Assert(t, enqueue(now, 7).Server != nil, "a share that was removed still applies")
 	}
 }
--- a/tools/mutants/limits.go
+++ b/tools/mutants/limits.go
@@ -20,7 +20,7 @@
 		in("schedule.go", "keep to all of the limit when alone", "aloneShare = 0.2", "aloneShare = 1.0"),
 		in("schedule.go", "save turns", "turnKept = time.Second", "turnKept = time.Hour"),
 		pool("limited.go", "use a place twice", "l.places = l.places[1:]", "_ = l"),
-		pool("limited.go", "use places for good", "return now > place.until", "return false"),
+		pool("limited.go", "use places for good", "return now > each.until", "return false"),
 		pool("limited.go", "use a turn although the schedule answers", "return l.alone(now) && l.turn", "return l.turn"),
 		pool("limited.go", "use a turn twice", "		l.turn.Take(p.turnInterval(l.perSecond))", "		_ = l.turn"),
 		pool("limited.go", "reserve places for each request at each server", "wish.Places = unkeyed - p.reservedPlaces()", "wish.Places = unkeyed"),
