--- a/balance/limited.go
+++ b/balance/limited.go
@@ -9,247 +9,249 @@
 )
 
 // Load pattern: a server announces a limit for all hosts together that is a fraction of its
-// demand. Each request then needs a permit, which one host, the scheduler, issues for all.
-// The pool tells how many permits its queued requests need (Wishes), is given the scheduler's
-// answer (Reserved), and rejects at once the requests that no permit will reach in time.
+// demand. Each request then needs a permit, which one host, the scheduler, issues for all. The
+// pool tells how many permits its queued requests need (ReservationRequests), is given the
+// scheduler's answer (ApplyReservation), and rejects at once the requests that no permit will
+// reach in time.
 
 const (
-	// aloneFor is how long a host that got no answer from the scheduler limits itself to its
-	// fallback share before it asks again.
-	aloneFor = time.Second
-	// mostWishes is the most permits requested at once.
-	mostWishes = 16
-	// mostLimitRetry bounds the retry delay given to a caller that has to wait for a permit or
+	// schedulerRetryDelay is how long a host that got no answer from the scheduler limits itself
+	// to its fallback share before it asks again.
+	schedulerRetryDelay = time.Second
+	// maxReservation is the most permits requested at once.
+	maxReservation = 16
+	// maxLimitRetryAfter bounds the retry delay given to a caller that has to wait for a permit or
 	// for the end of a backoff: limits and key owners change within seconds.
-	mostLimitRetry = 10 * time.Second
-	// spareWithin is how soon a prefetched permit must become valid: one that is reserved
+	maxLimitRetryAfter = 10 * time.Second
+	// prefetchWithin is how soon a prefetched permit must become valid: one that is reserved
 	// for later requests while other servers serve the queued ones.
-	spareWithin = 50 * time.Millisecond
+	prefetchWithin = 50 * time.Millisecond
 )
 
-// limit is the state of a server's limit. The zero value means that there is none.
-type limit struct {
-	perSecond float64 // 0: not limited
-	places    []place // permits held by this host, in order of validity
-	asked     int     // permits requested and not yet answered
-	spare     bool    // set if the server would have been cheapest for a request but had no permit
-	// fullUntil is when the next permit becomes valid that the scheduler refused this host.
-	fullUntil time.Duration
-	// aloneUntil is when this host asks the scheduler again after it could not be reached.
-	aloneUntil time.Duration
-	turn       ratelimit.Turn
-	// retryAt is the retry time given to the last rejected caller.
-	retryAt time.Duration
+// serverLimit is the state of a server's limit. The zero value means that there is none.
+type serverLimit struct {
+	perSecond float64  // 0: not limited
+	permits   []permit // permits held by this host, in order of validity
+	pending   int      // permits requested and not yet answered
+	prefetch  bool     // set if the server would have been cheapest for a request but had no permit
+	// refusedUntil is when the next permit becomes valid that the scheduler refused this host.
+	refusedUntil time.Duration
+	// fallbackUntil is when this host asks the scheduler again after it could not be reached.
+	fallbackUntil time.Duration
+	fallback      ratelimit.Turn
+	// lastRetryAt is the retry time given to the last rejected caller.
+	lastRetryAt time.Duration
 }
 
-// place is the right to send one request from one time until another.
-type place struct{ from, until time.Duration }
+// permit is the right to send one request from one time until another.
+type permit struct{ validFrom, validUntil time.Duration }
 
-// Wish asks the scheduler for permits at one server.
-type Wish struct {
-	Server fleet.Incarnation
-	Places int
+// ReservationRequest asks the scheduler for permits at one server.
+type ReservationRequest struct {
+	Server  fleet.Incarnation
+	Permits int
 	// Within is how soon the permits must become valid.
 	Within time.Duration
 }
 
-// Reservation is the scheduler's answer to a Wish.
+// Reservation is the scheduler's answer to a ReservationRequest.
 type Reservation struct {
 	// Reached is set if the scheduler answered.
 	Reached bool
-	// Asked is when the question was sent.
-	Asked time.Duration
-	// Waits tells for each granted permit how long after Asked it becomes valid.
+	// RequestedAt is when the question was sent.
+	RequestedAt time.Duration
+	// Waits tells for each granted permit how long after RequestedAt it becomes valid.
 	Waits []time.Duration
-	// Full is how long after Asked the first refused permit would become valid; 0 if all
-	// permits were granted.
-	Full time.Duration
+	// RefusedWait is how long after RequestedAt the first refused permit would become valid; 0 if
+	// all permits were granted.
+	RefusedWait time.Duration
 }
 
 // SetLimits sets the limits that servers announced, in requests per second, and the number
 // of hosts (0: unknown).
 func (p *Pool) SetLimits(now time.Duration, limits map[fleet.Incarnation]float64, hosts int) {
 	if hosts <= 0 {
-		hosts = hostsUnknown
+		hosts = defaultHostCount
 	}
-	hadNone := len(p.limits) == 0
-	p.limits, p.hosts = limits, hosts
+	hadNone := len(p.serverLimits) == 0
+	p.serverLimits, p.hostCount = limits, hosts
 	if hadNone && len(limits) == 0 {
 		return
 	}
-	for _, server := range p.servers.order {
-		p.noteLimit(now, server)
+	for _, server := range p.servers.sorted {
+		p.updateLimit(now, server)
 	}
-	p.Pump(now)
+	p.Dispatch(now)
 }
 
-// noteLimit applies the current limit of a server, if any.
-func (p *Pool) noteLimit(now time.Duration, server *Server) {
-	perSecond := p.limits[server.Incarnation()]
+// updateLimit applies the current limit of a server, if any.
+func (p *Pool) updateLimit(now time.Duration, server *Server) {
+	perSecond := p.serverLimits[server.Incarnation()]
 	switch {
 	case perSecond == 0:
-		server.limit = limit{}
+		server.limit = serverLimit{}
 	case server.limit.perSecond == 0:
-		server.limit = limit{perSecond: perSecond, turn: ratelimit.NewTurn(now, p.turnInterval(perSecond), p.random.Float64())}
+		server.limit = serverLimit{perSecond: perSecond, fallback: ratelimit.NewTurn(now, p.fallbackInterval(perSecond), p.random.Float64())}
 	default:
 		server.limit.perSecond = perSecond
 	}
 }
 
-func (p *Pool) turnInterval(perSecond float64) time.Duration {
-	return ratelimit.TurnInterval(perSecond, p.hosts)
+func (p *Pool) fallbackInterval(perSecond float64) time.Duration {
+	return ratelimit.TurnInterval(perSecond, p.hostCount)
 }
 
-// limited reports whether the server has a limit.
-func (s *Server) limited() bool { return s.limit.perSecond > 0 }
+// hasLimit reports whether the server has a limit.
+func (s *Server) hasLimit() bool { return s.limit.perSecond > 0 }
 
-// alone reports whether the host uses its fallback share because the scheduler could not be
+// usesFallback reports whether the host uses its fallback share because the scheduler could not be
 // reached.
-func (l *limit) alone(now time.Duration) bool { return now < l.aloneUntil }
+func (l *serverLimit) usesFallback(now time.Duration) bool { return now < l.fallbackUntil }
 
-// hasPlace reports whether the server's limit allows this host to send it a request now.
-func (p *Pool) hasPlace(now time.Duration, server *Server) bool {
+// hasPermit reports whether the server's limit allows this host to send it a request now.
+func (p *Pool) hasPermit(now time.Duration, server *Server) bool {
 	l := &server.limit
-	if !server.limited() {
+	if !server.hasLimit() {
 		return true
 	}
-	l.places = slices.DeleteFunc(l.places, func(each place) bool { return now > each.until })
-	if len(l.places) > 0 && now >= l.places[0].from {
+	l.permits = slices.DeleteFunc(l.permits, func(each permit) bool { return now > each.validUntil })
+	if len(l.permits) > 0 && now >= l.permits[0].validFrom {
 		return true
 	}
-	return l.alone(now) && l.turn.Wait(now, p.turnInterval(l.perSecond)) == 0
+	return l.usesFallback(now) && l.fallback.Wait(now, p.fallbackInterval(l.perSecond)) == 0
 }
 
-// mayGetPlace reports whether the scheduler may still grant a permit at the server that
+// mayGetPermit reports whether the scheduler may still grant a permit at the server that
 // becomes valid in time for the request.
-func (p *Pool) mayGetPlace(now time.Duration, waiter *Waiter, server *Server) bool {
+func (p *Pool) mayGetPermit(now time.Duration, waiter *Waiter, server *Server) bool {
 	l := &server.limit
-	return !l.alone(now) && l.fullUntil <= now+p.patience(now, waiter)
+	return !l.usesFallback(now) && l.refusedUntil <= now+p.remainingWait(now, waiter)
 }
 
-// takePlace uses up a permit for a request that is sent to the server, if that has a limit.
-func (p *Pool) takePlace(now time.Duration, server *Server) {
+// takePermit uses up a permit for a request that is sent to the server, if that has a limit.
+func (p *Pool) takePermit(now time.Duration, server *Server) {
 	l := &server.limit
 	switch {
-	case !server.limited():
-	case len(l.places) > 0 && now >= l.places[0].from:
-		l.places = l.places[1:]
+	case !server.hasLimit():
+	case len(l.permits) > 0 && now >= l.permits[0].validFrom:
+		l.permits = l.permits[1:]
 	default:
-		l.turn.Take(p.turnInterval(l.perSecond))
+		l.fallback.Take(p.fallbackInterval(l.perSecond))
 	}
 }
 
-// placeWait returns the shortest time until the request that is number ahead in the queue
+// permitWait returns the shortest time until the request that is number ahead in the queue
 // gets a permit at the server; 0 if there is no limit or nothing is known yet.
-func (p *Pool) placeWait(now time.Duration, server *Server, ahead int) time.Duration {
+func (p *Pool) permitWait(now time.Duration, server *Server, ahead int) time.Duration {
 	l := &server.limit
 	switch {
-	case !server.limited():
+	case !server.hasLimit():
 		return 0
-	case ahead < len(l.places):
-		return max(l.places[ahead].from-now, 0)
-	case l.alone(now):
-		interval := p.turnInterval(l.perSecond)
-		return l.turn.Wait(now, interval) + time.Duration(ahead-len(l.places))*interval
+	case ahead < len(l.permits):
+		return max(l.permits[ahead].validFrom-now, 0)
+	case l.usesFallback(now):
+		interval := p.fallbackInterval(l.perSecond)
+		return l.fallback.Wait(now, interval) + time.Duration(ahead-len(l.permits))*interval
 	}
-	return max(l.fullUntil-now, 0)
+	return max(l.refusedUntil-now, 0)
 }
 
 // slotsWithinLimit returns how many of the server's slots its limit can keep busy.
 func (p *Pool) slotsWithinLimit(server *Server) float64 {
-	if !server.limited() {
+	if !server.hasLimit() {
 		return float64(server.Slots)
 	}
-	return min(float64(server.Slots), server.limit.perSecond*p.mean.Seconds())
+	return min(float64(server.Slots), server.limit.perSecond*p.meanServiceTime.Seconds())
 }
 
-// patience returns how much longer the request may wait for a server.
-func (p *Pool) patience(now time.Duration, waiter *Waiter) time.Duration {
-	remaining := min(p.longest(waiter)-(now-waiter.Entered), waiter.Deadline-now-p.work(waiter.Objective))
+// remainingWait returns how much longer the request may wait for a server.
+func (p *Pool) remainingWait(now time.Duration, waiter *Waiter) time.Duration {
+	remaining := min(p.maxWait(waiter)-(now-waiter.EnqueuedAt), waiter.Deadline-now-p.serviceTime(waiter.Objective))
 	return max(remaining, 0)
 }
 
-// beyondLimit returns why the request can't be served in time because of servers' limits, or
+// checkLimit returns why the request can't be served in time because of servers' limits, or
 // nil. If no permit becomes valid in time there is no point in waiting.
-func (p *Pool) beyondLimit(now time.Duration, waiter *Waiter) *RejectedError {
-	server, wait := p.nextPlace(now, waiter)
-	if server == nil || wait <= p.patience(now, waiter) {
+func (p *Pool) checkLimit(now time.Duration, waiter *Waiter) *RejectedError {
+	server, wait := p.nextPermit(now, waiter)
+	if server == nil || wait <= p.remainingWait(now, waiter) {
 		return nil
 	}
-	return &RejectedError{Reason: Limited, RetryAfter: p.limitRetry(now, server, wait), Expected: wait,
+	return &RejectedError{Reason: ServerLimit, RetryAfter: p.limitRetryAfter(now, server, wait), Expected: wait,
 		Server: server.ID, Limit: server.limit.perSecond}
 }
 
-// nextPlace returns the server whose permit the request waits for, and the shortest time
+// nextPermit returns the server whose permit the request waits for, and the shortest time
 // until it gets one. It returns nil if the request waits for anything else.
-func (p *Pool) nextPlace(now time.Duration, waiter *Waiter) (next *Server, wait time.Duration) {
+func (p *Pool) nextPermit(now time.Duration, waiter *Waiter) (next *Server, wait time.Duration) {
 	if waiter.Keyed && p.owner != nil {
 		id, _ := p.owner.OwnerOf(waiter.Key)
 		server := p.servers.byID[id]
-		if server == nil || !server.limited() || p.hasPlace(now, server) {
+		if server == nil || !server.hasLimit() || p.hasPermit(now, server) {
 			return nil, 0
 		}
-		return server, p.placeWait(now, server, p.ahead(now, waiter, id))
+		return server, p.permitWait(now, server, p.countAhead(now, waiter, id))
 	}
-	wanted := p.preferred(now, waiter, p.servers.order)
-	for _, server := range p.servers.order {
+	wanted := p.bestPreference(now, waiter, p.servers.sorted)
+	for _, server := range p.servers.sorted {
 		if p.preference(now, waiter, server) != wanted {
 			continue
 		}
-		if !server.limited() || p.hasPlace(now, server) {
+		if !server.hasLimit() || p.hasPermit(now, server) {
 			return nil, 0
 		}
-		if permitWait := p.placeWait(now, server, 0); next == nil || permitWait < wait {
+		if permitWait := p.permitWait(now, server, 0); next == nil || permitWait < wait {
 			next, wait = server, permitWait
 		}
 	}
 	return next, wait
 }
 
-// limitRetry returns the retry delay for a caller that gets no permit in time. Retries
+// limitRetryAfter returns the retry delay for a caller that gets no permit in time. Retries
 // should arrive at the rate at which permits become valid: each host spaces its rejected
 // callers so that the retries of all hosts together match the limit.
-func (p *Pool) limitRetry(now time.Duration, server *Server, wait time.Duration) time.Duration {
+func (p *Pool) limitRetryAfter(now time.Duration, server *Server, wait time.Duration) time.Duration {
 	l := &server.limit
-	spacing := time.Duration(float64(p.hosts) / l.perSecond * float64(time.Second))
-	if l.retryAt < now+wait {
-		l.retryAt = now + wait + time.Duration(p.random.Float64()*float64(spacing))
+	spacing := time.Duration(float64(p.hostCount) / l.perSecond * float64(time.Second))
+	if l.lastRetryAt < now+wait {
+		l.lastRetryAt = now + wait + time.Duration(p.random.Float64()*float64(spacing))
 	} else {
-		l.retryAt += spacing
+		l.lastRetryAt += spacing
 	}
-	l.retryAt = min(l.retryAt, now+mostLimitRetry)
-	return max(l.retryAt-now, leastRetryAfter)
+	l.lastRetryAt = min(l.lastRetryAt, now+maxLimitRetryAfter)
+	return max(l.lastRetryAt-now, minRetryAfter)
 }
 
-// Wishes returns the permits to request for the queued requests. A server is not returned
-// again until Reserved has been called for it.
-func (p *Pool) Wishes(now time.Duration) []Wish {
-	if len(p.limits) == 0 {
+// ReservationRequests returns the permits to request for the queued requests. A server is not
+// returned again until ApplyReservation has been called for it.
+func (p *Pool) ReservationRequests(now time.Duration) []ReservationRequest {
+	if len(p.serverLimits) == 0 {
 		return nil
 	}
-	var wishes []Wish
-	for _, server := range p.servers.order {
+	var requests []ReservationRequest
+	for _, server := range p.servers.sorted {
 		l := &server.limit
-		if !server.limited() || l.asked > 0 || l.alone(now) || !p.roomBeforeLimit(now, server) {
+		if !server.hasLimit() || l.pending > 0 || l.usesFallback(now) || !p.hasRoomIgnoringLimit(now, server) {
 			continue
 		}
-		wish := p.wish(now, server)
-		l.spare = false
-		if wish.Places <= 0 || l.fullUntil > now+wish.Within {
+		request := p.reservationRequest(now, server)
+		l.prefetch = false
+		if request.Permits <= 0 || l.refusedUntil > now+request.Within {
 			continue
 		}
-		l.asked = wish.Places
-		wishes = append(wishes, wish)
+		l.pending = request.Permits
+		requests = append(requests, request)
 	}
-	return wishes
+	return requests
 }
 
-// wish returns the permits to request at one server; Places is 0 or less if there are none.
-func (p *Pool) wish(now time.Duration, server *Server) Wish {
-	wish := Wish{Server: server.Incarnation()}
+// reservationRequest returns the permits to request at one server; Permits is 0 or less if there
+// are none.
+func (p *Pool) reservationRequest(now time.Duration, server *Server) ReservationRequest {
+	request := ReservationRequest{Server: server.Incarnation()}
 	keyed, unkeyed := 0, 0
-	for _, waiter := range p.waiting {
-		if !p.wants(waiter, server) {
+	for _, waiter := range p.queue {
+		if !p.wantsPermit(waiter, server) {
 			continue
 		}
 		if waiter.Keyed && p.owner != nil {
@@ -257,62 +259,62 @@
 		} else {
 			unkeyed++
 		}
-		wish.Within = max(wish.Within, p.patience(now, waiter))
+		request.Within = max(request.Within, p.remainingWait(now, waiter))
 	}
-	wish.Places = keyed - len(server.limit.places)
+	request.Permits = keyed - len(server.limit.permits)
 	if unkeyed > 0 {
-		wish.Places = unkeyed - p.reservedPlaces()
+		request.Permits = unkeyed - p.reservedPermits()
 	}
-	if keyed+unkeyed == 0 && server.limit.spare && len(server.limit.places) == 0 {
-		wish.Places, wish.Within = 1, spareWithin
+	if keyed+unkeyed == 0 && server.limit.prefetch && len(server.limit.permits) == 0 {
+		request.Permits, request.Within = 1, prefetchWithin
 	}
-	wish.Places = min(wish.Places, mostWishes)
-	return wish
+	request.Permits = min(request.Permits, maxReservation)
+	return request
 }
 
-// wants reports whether the queued request could use a permit at the limited server: if the
+// wantsPermit reports whether the queued request could use a permit at the limited server: if the
 // server owns its key or, without keys, if the server would have been the cheapest.
-func (p *Pool) wants(waiter *Waiter, server *Server) bool {
+func (p *Pool) wantsPermit(waiter *Waiter, server *Server) bool {
 	if !waiter.Keyed || p.owner == nil {
-		return server.limit.spare
+		return server.limit.prefetch
 	}
 	id, _ := p.owner.OwnerOf(waiter.Key)
 	return id == server.ID
 }
 
-// reservedPlaces counts the permits that this host holds or has requested at all servers. If
+// reservedPermits counts the permits that this host holds or has requested at all servers. If
 // they were ignored, a request that any server can take would reserve a permit at each
 // server and leave none to other hosts.
-func (p *Pool) reservedPlaces() int {
+func (p *Pool) reservedPermits() int {
 	count := 0
-	for _, server := range p.servers.order {
-		count += len(server.limit.places) + server.limit.asked
+	for _, server := range p.servers.sorted {
+		count += len(server.limit.permits) + server.limit.pending
 	}
 	return count
 }
 
-// Reserved applies the scheduler's answer.
-func (p *Pool) Reserved(now time.Duration, incarnation fleet.Incarnation, reservation Reservation) {
-	server := p.running(incarnation)
-	if server == nil || !server.limited() {
+// ApplyReservation applies the scheduler's answer.
+func (p *Pool) ApplyReservation(now time.Duration, incarnation fleet.Incarnation, reservation Reservation) {
+	server := p.findServer(incarnation)
+	if server == nil || !server.hasLimit() {
 		return
 	}
 	l := &server.limit
-	l.asked = 0
+	l.pending = 0
 	if !reservation.Reached {
-		l.aloneUntil = now + aloneFor
-		p.Pump(now)
+		l.fallbackUntil = now + schedulerRetryDelay
+		p.Dispatch(now)
 		return
 	}
 	for _, wait := range reservation.Waits {
-		due := reservation.Asked + wait
-		l.places = append(l.places, place{from: due, until: due + ratelimit.PlaceKept})
+		due := reservation.RequestedAt + wait
+		l.permits = append(l.permits, permit{validFrom: due, validUntil: due + ratelimit.PlaceKept})
 	}
-	if reservation.Full > 0 {
-		l.fullUntil = reservation.Asked + reservation.Full
+	if reservation.RefusedWait > 0 {
+		l.refusedUntil = reservation.RequestedAt + reservation.RefusedWait
 	}
-	p.Pump(now)
+	p.Dispatch(now)
 }
 
-// Limits returns the number of servers that have a limit, as last set with SetLimits.
-func (p *Pool) Limits() int { return len(p.limits) }
+// LimitedServers returns the number of servers that have a limit, as last set with SetLimits.
+func (p *Pool) LimitedServers() int { return len(p.serverLimits) }
--- a/balance/order.go
+++ b/balance/order.go
@@ -15,20 +15,20 @@
 	priorityStep = 80 * time.Millisecond
 )
 
-// missed reports whether the request is unlikely to be answered within its objective.
+// likelyLate reports whether the request is unlikely to be answered within its objective.
 // Without this distinction, lasting overload would make a server process requests in their
 // order of arrival, each of them just too late.
-func (p *Pool) missed(now time.Duration, w *Waiter) bool {
-	return now-w.since > w.Objective-onTimeMargin*p.work(w.Objective)
+func (p *Pool) likelyLate(now time.Duration, w *Waiter) bool {
+	return now-w.firstAttemptAt > w.Objective-onTimeMargin*p.serviceTime(w.Objective)
 }
 
-// due returns the virtual deadline by which the queue is sorted: the time at which the
+// virtualDeadline returns the virtual deadline by which the queue is sorted: the time at which the
 // objective ends, plus priorityStep for each level of priority, plus the objective once more
 // if the request is unlikely to meet it. Requests with short objectives therefore overtake
 // earlier ones with long objectives.
-func (p *Pool) due(now time.Duration, w *Waiter) time.Duration {
-	due := w.since + w.Objective + time.Duration(w.Priority)*priorityStep
-	if p.missed(now, w) {
+func (p *Pool) virtualDeadline(now time.Duration, w *Waiter) time.Duration {
+	due := w.firstAttemptAt + w.Objective + time.Duration(w.Priority)*priorityStep
+	if p.likelyLate(now, w) {
 		due += w.Objective
 	}
 	return due
@@ -36,5 +36,5 @@
 
 // compare orders queued requests by their virtual deadlines.
 func (p *Pool) compare(now time.Duration, a, b *Waiter) int {
-	return cmp.Compare(p.due(now, a), p.due(now, b))
+	return cmp.Compare(p.virtualDeadline(now, a), p.virtualDeadline(now, b))
 }
--- a/balance/pool.go
+++ b/balance/pool.go
@@ -10,22 +10,22 @@
 
 // Limits on waiting and on the retry delays given to rejected callers.
 const (
-	// givenUpSlack is added to a request's longest wait before the request is rejected.
-	givenUpSlack = 50 * time.Millisecond
-	// mostWaiting is the queue length from which on requests that would wait behind others are
+	// maxWaitSlack is added to a request's longest wait before the request is rejected.
+	maxWaitSlack = 50 * time.Millisecond
+	// maxQueue is the queue length from which on requests that would wait behind others are
 	// rejected.
-	mostWaiting = 512
-	// leastShare is the fraction of the mean service time within which hardly any request
-	// completes: about one in four if service times vary a lot (spread of 0.8), and none
+	maxQueue = 512
+	// minServiceTimeFraction is the fraction of the mean service time within which hardly any
+	// request completes: about one in four if service times vary a lot (spread of 0.8), and none
 	// if they vary little (0.3).
-	leastShare = 0.4
-	// leastRetryAfter and mostRetryAfter bound the retry delay given to a rejected caller.
-	leastRetryAfter = 50 * time.Millisecond
-	mostRetryAfter  = 2 * time.Second
-	// ownerWait is how long a request waits for a key that is moving between owners when
+	minServiceTimeFraction = 0.4
+	// minRetryAfter and maxRetryAfter bound the retry delay given to a rejected caller.
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
+	// ownerMoveWait is how long a request waits for a key that is moving between owners when
 	// the end of the move is not known. A planned move takes about as long as the requests
 	// still running at the previous owner.
-	ownerWait = 400 * time.Millisecond
+	ownerMoveWait = 400 * time.Millisecond
 )
 
 // Pool holds the servers of one service, and the requests that wait for them, on one
@@ -33,193 +33,194 @@
 type Pool struct {
 	domain  string
 	owner   Owner
-	servers roster
-	waiting []*Waiter
-	// undecided is the buffer into which Pump copies the requests that keep waiting. It
+	servers serverSet
+	queue   []*Waiter
+	// spareQueue is the buffer into which Dispatch copies the requests that keep waiting. It
 	// is empty between calls.
-	undecided []*Waiter
-	mean      time.Duration
-	kinds     map[time.Duration]*kind // by latency objective
-	shares    map[uint16]*share       // by key
-	random    *rand.Rand
-	// usual is the smoothed load from other hosts, as a fraction of a server's slots.
-	usual float64
-	// gap is the smoothed time between two requests that were assigned a server while
-	// others waited. crowdedAt is the time of the last such assignment, or 0.
-	gap, crowdedAt time.Duration
-	// evacuateWithin is how long an evacuated server may still receive requests for the
+	spareQueue      []*Waiter
+	meanServiceTime time.Duration
+	classes         map[time.Duration]*requestClass // by latency objective
+	keyShares       map[uint16]*keyShare            // by key
+	random          *rand.Rand
+	// typicalLoad is the smoothed load from other hosts, as a fraction of a server's slots.
+	typicalLoad float64
+	// startInterval is the smoothed time between two requests that were assigned a server while
+	// others waited. queuedStartAt is the time of the last such assignment, or 0.
+	startInterval, queuedStartAt time.Duration
+	// evacuationGrace is how long an evacuated server may still receive requests for the
 	// keys it owns, until the keys have moved to other owners.
-	evacuateWithin time.Duration
-	cold           coldLimit
-	limits         map[fleet.Incarnation]float64 // limits announced by servers, in requests per second
-	hosts          int                           // number of hosts that share the limits
-	window         window                        // used by services without keys only
-	restUntil      time.Duration                 // end of the last backoff that a server asked for
+	evacuationGrace time.Duration
+	coldLimit       coldStartLimit
+	serverLimits    map[fleet.Incarnation]float64 // limits announced by servers, in requests per second
+	hostCount       int                           // number of hosts that share the limits
+	window          sendWindow                    // used by services without keys only
+	backoffUntil    time.Duration                 // end of the last backoff that a server asked for
 }
 
 // NewPool returns an empty pool for a host in the given failure domain. owner is nil
 // for a service without keys. Hosts must pass different seeds, so that they make
 // different random choices.
 func NewPool(domain string, owner Owner, seed uint64) *Pool {
-	return &Pool{domain: domain, owner: owner, servers: roster{byID: map[string]*Server{}}, mean: firstMean, evacuateWithin: leaveWithin, kinds: map[time.Duration]*kind{}, shares: map[uint16]*share{}, random: rand.New(rand.NewPCG(seed, 0))}
+	return &Pool{domain: domain, owner: owner, servers: serverSet{byID: map[string]*Server{}}, meanServiceTime: initialServiceTime, evacuationGrace: drainGrace, classes: map[time.Duration]*requestClass{}, keyShares: map[uint16]*keyShare{}, random: rand.New(rand.NewPCG(seed, 0))}
 }
 
-// Mean returns the smoothed time from sending a request to its answer, over all requests.
-func (p *Pool) Mean() time.Duration { return p.mean }
+// MeanServiceTime returns the smoothed time from sending a request to its answer, over all
+// requests.
+func (p *Pool) MeanServiceTime() time.Duration { return p.meanServiceTime }
 
 // Waiting returns the length of the queue.
-func (p *Pool) Waiting() int { return len(p.waiting) }
+func (p *Pool) Waiting() int { return len(p.queue) }
 
 // Servers returns the servers sorted by ID. The caller must not modify the slice.
-func (p *Pool) Servers() []*Server { return p.servers.order }
+func (p *Pool) Servers() []*Server { return p.servers.sorted }
 
-// ChangeServers adds or updates the changed servers, and removes the servers whose IDs are
+// UpdateServers adds or updates the changed servers, and removes the servers whose IDs are
 // in gone. IDs that the pool doesn't know are ignored.
-func (p *Pool) ChangeServers(now time.Duration, changed []fleet.Server, gone []string) {
+func (p *Pool) UpdateServers(now time.Duration, changed []fleet.Server, gone []string) {
 	for _, id := range gone {
 		p.servers.remove(id)
 	}
 	for i := range changed {
-		p.list(now, &changed[i])
+		p.updateServer(now, &changed[i])
 	}
-	p.Pump(now)
+	p.Dispatch(now)
 }
 
-// list adds a server or updates it from its registry entry.
-func (p *Pool) list(now time.Duration, entry *fleet.Server) {
+// updateServer adds a server or updates it from its registry entry.
+func (p *Pool) updateServer(now time.Duration, entry *fleet.Server) {
 	server := p.servers.byID[entry.ID]
-	if server == nil || !server.sameRun(entry) {
+	if server == nil || !server.sameProcess(entry) {
 		// Requests sent to an earlier incarnation ended with it. If they were still
 		// counted, a server that has just restarted would look full or stuck.
 		p.servers.remove(entry.ID)
 		server = newServer(entry)
 		p.servers.add(server)
 	}
-	server.relist(now, entry)
-	p.servers.setNear(server, server.Domain == p.domain)
-	p.noteCold(now, server)
-	p.noteLimit(now, server)
+	server.update(now, entry)
+	p.servers.setLocal(server, server.Domain == p.domain)
+	p.updateColdBucket(now, server)
+	p.updateLimit(now, server)
 }
 
-// Lists reports whether the pool holds this very server, and not a later incarnation of it.
-func (p *Pool) Lists(server *Server) bool { return p.servers.byID[server.ID] == server }
+// Contains reports whether the pool holds this very server, and not a later incarnation of it.
+func (p *Pool) Contains(server *Server) bool { return p.servers.byID[server.ID] == server }
 
-// Enter queues a request. It closes the waiter's Ready at once if the request can be
+// Enqueue queues a request. It closes the waiter's Ready at once if the request can be
 // assigned a server now, or if it is rejected.
-func (p *Pool) Enter(now time.Duration, waiter *Waiter) {
-	waiter.Entered, waiter.since = now, waiter.Arrived
-	if known := p.of(waiter.Objective); known != nil {
-		waiter.since -= known.waited(waiter.Patience)
-		known.vote(waiter.Patience)
+func (p *Pool) Enqueue(now time.Duration, waiter *Waiter) {
+	waiter.EnqueuedAt, waiter.firstAttemptAt = now, waiter.Arrived
+	if known := p.class(waiter.Objective); known != nil {
+		waiter.firstAttemptAt -= known.alreadyWaited(waiter.Timeout)
+		known.voteTimeout(waiter.Timeout)
 	}
-	rejected := p.beyondRest(now, waiter)
+	rejected := p.checkBackoff(now, waiter)
 	if rejected == nil {
-		rejected = p.hopeless(now, waiter)
+		rejected = p.checkAdmission(now, waiter)
 	}
-	if rejected == nil && len(p.limits) > 0 {
-		rejected = p.beyondLimit(now, waiter)
+	if rejected == nil && len(p.serverLimits) > 0 {
+		rejected = p.checkLimit(now, waiter)
 	}
 	if rejected != nil {
 		p.reject(waiter, rejected)
 		return
 	}
-	p.waiting = append(p.waiting, waiter)
-	p.Pump(now)
+	p.queue = append(p.queue, waiter)
+	p.Dispatch(now)
 }
 
-// Pump assigns servers to the queued requests, in order of their virtual deadlines, and
+// Dispatch assigns servers to the queued requests, in order of their virtual deadlines, and
 // rejects those that can no longer be answered in time.
-func (p *Pool) Pump(now time.Duration) {
-	if len(p.waiting) == 0 {
+func (p *Pool) Dispatch(now time.Duration) {
+	if len(p.queue) == 0 {
 		return
 	}
-	slices.SortStableFunc(p.waiting, func(a, b *Waiter) int { return p.compare(now, a, b) })
-	kept := p.undecided[:0]
-	for _, waiter := range p.waiting {
+	slices.SortStableFunc(p.queue, func(a, b *Waiter) int { return p.compare(now, a, b) })
+	kept := p.spareQueue[:0]
+	for _, waiter := range p.queue {
 		if !p.decide(now, waiter) {
 			kept = append(kept, waiter)
 		}
 	}
-	clear(p.waiting)
-	p.undecided, p.waiting = p.waiting[:0], kept
+	clear(p.queue)
+	p.spareQueue, p.queue = p.queue[:0], kept
 }
 
 // decide reports whether it assigned the request a server or rejected it.
 func (p *Pool) decide(now time.Duration, waiter *Waiter) bool {
-	if now+p.leastWork(waiter) >= waiter.Deadline {
-		p.reject(waiter, &RejectedError{Reason: Expired, RetryAfter: leastRetryAfter, Expected: p.work(waiter.Objective)})
+	if now+p.minServiceTime(waiter) >= waiter.Deadline {
+		p.reject(waiter, &RejectedError{Reason: Expired, RetryAfter: minRetryAfter, Expected: p.serviceTime(waiter.Objective)})
 		return true
 	}
-	server := p.choose(now, waiter)
+	server := p.chooseServer(now, waiter)
 	if server == nil {
-		return p.giveUpOnOwner(now, waiter) || p.giveUpOnNotices(now, waiter) || p.giveUp(now, waiter)
+		return p.rejectWithoutOwner(now, waiter) || p.rejectOnServerNotices(now, waiter) || p.rejectAfterMaxWait(now, waiter)
 	}
 	if server.inFlight == 0 {
-		server.newsAt = now
+		server.lastAnswerAt = now
 	}
 	server.inFlight++
 	p.window.inFlight++
-	server.stalls = 0
-	p.takeColdPlace(now, server)
-	p.takePlace(now, server)
-	p.servers.used(server)
-	p.placed(now)
+	server.failedWaits = 0
+	p.takeColdToken(now, server)
+	p.takePermit(now, server)
+	p.servers.markUsed(server)
+	p.recordStart(now)
 	waiter.Server = server
 	close(waiter.Ready)
 	return true
 }
 
-// placed records that a request was assigned a server. While other requests wait, the
+// recordStart records that a request was assigned a server. While other requests wait, the
 // time since the previous assignment measures this host's share of the service.
-func (p *Pool) placed(now time.Duration) {
-	if p.crowdedAt > 0 && len(p.waiting) > 1 {
-		p.gap += time.Duration(gapWeight * float64(now-p.crowdedAt-p.gap))
+func (p *Pool) recordStart(now time.Duration) {
+	if p.queuedStartAt > 0 && len(p.queue) > 1 {
+		p.startInterval += time.Duration(intervalWeight * float64(now-p.queuedStartAt-p.startInterval))
 	} else {
-		p.gap = 0
+		p.startInterval = 0
 	}
-	p.crowdedAt = 0
-	if len(p.waiting) > 1 {
-		p.crowdedAt = now
+	p.queuedStartAt = 0
+	if len(p.queue) > 1 {
+		p.queuedStartAt = now
 	}
 }
 
-// leastWork returns the shortest time in which the request may complete. With less time
+// minServiceTime returns the shortest time in which the request may complete. With less time
 // left, the server would end it unanswered, so its caller is told while it still listens.
-func (p *Pool) leastWork(waiter *Waiter) time.Duration {
-	return time.Duration(leastShare * float64(p.work(waiter.Objective)))
+func (p *Pool) minServiceTime(waiter *Waiter) time.Duration {
+	return time.Duration(minServiceTimeFraction * float64(p.serviceTime(waiter.Objective)))
 }
 
-// giveUpOnOwner rejects a request that has waited twice as long as a planned move takes
+// rejectWithoutOwner rejects a request that has waited twice as long as a planned move takes
 // while its key has no owner: the previous owner does not answer.
-func (p *Pool) giveUpOnOwner(now time.Duration, waiter *Waiter) bool {
+func (p *Pool) rejectWithoutOwner(now time.Duration, waiter *Waiter) bool {
 	if !waiter.Keyed || p.owner == nil {
 		return false
 	}
 	id, ownedAt := p.owner.OwnerOf(waiter.Key)
 	server := p.servers.byID[id]
-	if server != nil && !p.left(now, server) || now-waiter.Arrived < 2*ownerWait {
+	if server != nil && !p.closedToOwnedKeys(now, server) || now-waiter.Arrived < 2*ownerMoveWait {
 		return false
 	}
 	expected := max(ownedAt-now, 0)
-	p.reject(waiter, &RejectedError{Reason: NoOwner, RetryAfter: clampRetry(expected), Expected: expected})
+	p.reject(waiter, &RejectedError{Reason: NoOwner, RetryAfter: clampRetryAfter(expected), Expected: expected})
 	return true
 }
 
-// beyondNotices returns why the request can't be served in time because servers announced
+// checkServerNotices returns why the request can't be served in time because servers announced
 // limits or asked this host to back off, or nil.
-func (p *Pool) beyondNotices(now time.Duration, waiter *Waiter) *RejectedError {
-	if rejected := p.beyondRest(now, waiter); rejected != nil {
+func (p *Pool) checkServerNotices(now time.Duration, waiter *Waiter) *RejectedError {
+	if rejected := p.checkBackoff(now, waiter); rejected != nil {
 		return rejected
 	}
-	if len(p.limits) == 0 {
+	if len(p.serverLimits) == 0 {
 		return nil
 	}
-	return p.beyondLimit(now, waiter)
+	return p.checkLimit(now, waiter)
 }
 
-// giveUpOnNotices rejects the request if limits or backoffs leave no time to serve it.
-func (p *Pool) giveUpOnNotices(now time.Duration, waiter *Waiter) bool {
-	rejected := p.beyondNotices(now, waiter)
+// rejectOnServerNotices rejects the request if limits or backoffs leave no time to serve it.
+func (p *Pool) rejectOnServerNotices(now time.Duration, waiter *Waiter) bool {
+	rejected := p.checkServerNotices(now, waiter)
 	if rejected == nil {
 		return false
 	}
@@ -227,58 +228,58 @@
 	return true
 }
 
-// giveUp rejects a request that has waited too long to be answered within its objective, so
-// that its caller can retry while there is still time.
-func (p *Pool) giveUp(now time.Duration, waiter *Waiter) bool {
-	if now-waiter.Entered < p.longest(waiter)+givenUpSlack {
+// rejectAfterMaxWait rejects a request that has waited too long to be answered within its
+// objective, so that its caller can retry while there is still time.
+func (p *Pool) rejectAfterMaxWait(now time.Duration, waiter *Waiter) bool {
+	if now-waiter.EnqueuedAt < p.maxWait(waiter)+maxWaitSlack {
 		return false
 	}
 	if waiter.Keyed && p.owner != nil {
 		id, _ := p.owner.OwnerOf(waiter.Key)
 		if server := p.servers.byID[id]; server != nil {
-			server.gaveUp(now, now-waiter.Entered)
+			server.recordFailedWait(now, now-waiter.EnqueuedAt)
 		}
 	}
-	p.reject(waiter, &RejectedError{Reason: Overload, RetryAfter: clampRetry(p.work(waiter.Objective)), Expected: now - waiter.Entered})
+	p.reject(waiter, &RejectedError{Reason: Overload, RetryAfter: clampRetryAfter(p.serviceTime(waiter.Objective)), Expected: now - waiter.EnqueuedAt})
 	return true
 }
 
-// choose returns the server for a request, or nil if the request has to wait.
-func (p *Pool) choose(now time.Duration, waiter *Waiter) *Server {
+// chooseServer returns the server for a request, or nil if the request has to wait.
+func (p *Pool) chooseServer(now time.Duration, waiter *Waiter) *Server {
 	if waiter.Keyed && p.owner != nil {
 		id, _ := p.owner.OwnerOf(waiter.Key)
 		server := p.servers.byID[id]
-		if server == nil || p.left(now, server) || !p.room(now, server) {
+		if server == nil || p.closedToOwnedKeys(now, server) || !p.hasRoom(now, server) {
 			return nil
 		}
 		return server
 	}
-	if p.owner == nil && !p.window.open() {
+	if p.owner == nil && !p.window.allowsSend() {
 		return nil
 	}
-	sample, all := p.servers.draw(p.random.IntN)
-	if !all && p.preferred(now, waiter, sample) == untried {
+	sample, all := p.servers.sample(p.random.IntN)
+	if !all && p.bestPreference(now, waiter, sample) == untried {
 		if server := p.cheapest(now, waiter, sample, untried); server != nil {
 			return server
 		}
 	}
-	candidates := p.servers.order
-	return p.cheapest(now, waiter, candidates, p.preferred(now, waiter, candidates))
+	candidates := p.servers.sorted
+	return p.cheapest(now, waiter, candidates, p.bestPreference(now, waiter, candidates))
 }
 
-// room reports whether this host may send the server one more request.
-func (p *Pool) room(now time.Duration, server *Server) bool {
-	return p.roomBeforeLimit(now, server) && p.hasPlace(now, server)
+// hasRoom reports whether this host may send the server one more request.
+func (p *Pool) hasRoom(now time.Duration, server *Server) bool {
+	return p.hasRoomIgnoringLimit(now, server) && p.hasPermit(now, server)
 }
 
-// roomBeforeLimit is like room but ignores the limit that the server announced.
-func (p *Pool) roomBeforeLimit(now time.Duration, server *Server) bool {
-	return server.room(now, p.mean) && p.coldWait(now, server) == 0
+// hasRoomIgnoringLimit is like hasRoom but ignores the limit that the server announced.
+func (p *Pool) hasRoomIgnoringLimit(now time.Duration, server *Server) bool {
+	return server.hasRoom(now, p.meanServiceTime) && p.coldWait(now, server) == 0
 }
 
-// SetEvacuateWithin sets how long an evacuated server may still receive requests for the
+// SetEvacuationGrace sets how long an evacuated server may still receive requests for the
 // keys it owns, counted from when this host learned of the evacuation.
-func (p *Pool) SetEvacuateWithin(within time.Duration) { p.evacuateWithin = within }
+func (p *Pool) SetEvacuationGrace(within time.Duration) { p.evacuationGrace = within }
 
 // preference ranks servers for a request, regardless of their load.
 type preference int
@@ -287,8 +288,8 @@
 const (
 	untried preference = iota // the request has not been sent there
 	tried
-	passedOver // unreachable recently
-	resting    // asked this host to back off
+	suspected  // unreachable recently
+	backingOff // asked this host to back off
 	unusable   // accepts no new requests
 )
 
@@ -296,23 +297,23 @@
 	switch {
 	case server.Leaving():
 		return unusable
-	case server.RestLeft(now) > 0:
-		return resting
+	case server.BackoffLeft(now) > 0:
+		return backingOff
 	case !server.reachable(now):
-		return passedOver
+		return suspected
 	case slices.Contains(waiter.Tried, server.ID):
 		return tried
 	}
 	return untried
 }
 
-// preferred returns the best preference among the given servers. A request waits for a
+// bestPreference returns the best preference among the given servers. A request waits for a
 // server of that preference even if servers of a worse one have room. In a failure domain
 // that is cut off from the others, the unreachable servers are always idle. If they were
 // chosen for their free slots, a request would use up its four attempts within
 // milliseconds (346 requests failed that way in a partition of 6 s), although the domain's
 // own servers are still working.
-func (p *Pool) preferred(now time.Duration, waiter *Waiter, among []*Server) preference {
+func (p *Pool) bestPreference(now time.Duration, waiter *Waiter, among []*Server) preference {
 	best := unusable
 	for _, server := range among {
 		best = min(best, p.preference(now, waiter, server))
@@ -328,25 +329,25 @@
 		return nil
 	}
 	var best, withoutPermit *Server
-	least, leastWithoutPermit, work := 0.0, 0.0, p.work(waiter.Objective)
+	least, leastWithoutPermit, work := 0.0, 0.0, p.serviceTime(waiter.Objective)
 	for _, server := range among {
-		if p.preference(now, waiter, server) != wanted || !p.roomBeforeLimit(now, server) {
+		if p.preference(now, waiter, server) != wanted || !p.hasRoomIgnoringLimit(now, server) {
 			continue
 		}
-		cost := server.cost(now, p.mean, work, p.usual, p.domain) + tieBreak*p.random.Float64()
+		cost := server.cost(now, p.meanServiceTime, work, p.typicalLoad, p.domain) + tieBreakRange*p.random.Float64()
 		switch {
-		case p.hasPlace(now, server):
+		case p.hasPermit(now, server):
 			if best == nil || cost < least {
 				best, least = server, cost
 			}
-		case p.mayGetPlace(now, waiter, server):
+		case p.mayGetPermit(now, waiter, server):
 			if withoutPermit == nil || cost < leastWithoutPermit {
 				withoutPermit, leastWithoutPermit = server, cost
 			}
 		}
 	}
 	if withoutPermit != nil && (best == nil || leastWithoutPermit < least) {
-		withoutPermit.limit.spare = true
+		withoutPermit.limit.prefetch = true
 	}
 	return best
 }
@@ -356,18 +357,18 @@
 	close(waiter.Ready)
 }
 
-// Leave removes a request from the queue whose caller has gone or whose deadline has
+// Cancel removes a request from the queue whose caller has gone or whose deadline has
 // passed. It returns the server that the request has been assigned meanwhile, if any,
 // which the caller must hand back with Done.
-func (p *Pool) Leave(waiter *Waiter) *Server {
-	if i := slices.Index(p.waiting, waiter); i >= 0 {
-		p.waiting = slices.Delete(p.waiting, i, i+1)
+func (p *Pool) Cancel(waiter *Waiter) *Server {
+	if i := slices.Index(p.queue, waiter); i >= 0 {
+		p.queue = slices.Delete(p.queue, i, i+1)
 	}
 	return waiter.Server
 }
 
-// End describes the outcome of one attempt to send a request to a server.
-type End struct {
+// AttemptResult describes the outcome of one attempt to send a request to a server.
+type AttemptResult struct {
 	Outcome Outcome
 	// Took is the time from sending the request to its answer.
 	Took time.Duration
@@ -378,58 +379,58 @@
 }
 
 // Done hands a server back after an attempt. It returns the service time sample that the
-// attempt yielded; its Samples is 0 if there is none.
-func (p *Pool) Done(now time.Duration, server *Server, end End) Pace {
+// attempt yielded; its Count is 0 if there is none.
+func (p *Pool) Done(now time.Duration, server *Server, result AttemptResult) ServiceTimes {
 	// The answer of a server with a queue took long because of the queue, so it tells
 	// nothing about the server's speed.
-	queued := server.estimate(now, p.mean) > float64(server.Slots) || end.Load != nil && end.Load.Waiting > 0
+	queued := server.estimatedLoad(now, p.meanServiceTime) > float64(server.Slots) || result.Load != nil && result.Load.Waiting > 0
 	server.inFlight--
 	p.window.inFlight--
-	if end.Outcome != Abandoned && end.Outcome != Unreachable {
-		server.newsAt = now
+	if result.Outcome != Abandoned && result.Outcome != Unreachable {
+		server.lastAnswerAt = now
 	}
-	if end.Load != nil {
-		server.report(now, *end.Load)
-		p.window.report(*end.Load)
-		p.usual += usualWeight * (server.others/float64(max(server.Slots, 1)) - p.usual)
+	if result.Load != nil {
+		server.recordLoad(now, *result.Load)
+		p.window.recordLoad(*result.Load)
+		p.typicalLoad += typicalLoadWeight * (server.otherLoad/float64(max(server.Slots, 1)) - p.typicalLoad)
 	}
-	if end.Outcome == Refused {
-		server.refused(now)
+	if result.Outcome == Refused {
+		server.recordRefusal(now)
 	}
-	server.settle(now, end.Outcome)
-	var pace Pace
-	if end.Outcome == Answered {
-		pace = p.learn(server, end, queued)
+	server.recordOutcome(now, result.Outcome)
+	var sample ServiceTimes
+	if result.Outcome == Answered {
+		sample = p.recordServiceTime(server, result, queued)
 	}
-	server.paced(now, p.waits(server))
-	p.Pump(now)
-	return pace
+	server.recordCompletion(now, p.hasQueueFor(server))
+	p.Dispatch(now)
+	return sample
 }
 
-// learn updates the service time estimates from an answer.
-func (p *Pool) learn(server *Server, end End, queued bool) Pace {
-	expected := p.work(end.Objective)
-	p.mean += time.Duration(meanWeight * float64(end.Took-p.mean))
+// recordServiceTime updates the service time estimates from an answer.
+func (p *Pool) recordServiceTime(server *Server, result AttemptResult, queued bool) ServiceTimes {
+	expected := p.serviceTime(result.Objective)
+	p.meanServiceTime += time.Duration(serviceTimeWeight * float64(result.Took-p.meanServiceTime))
 	if queued || expected <= 0 {
-		return Pace{}
+		return ServiceTimes{}
 	}
-	p.learnWork(end.Objective, end.Took)
-	pace := Pace{Samples: 1, Ratio: min(max(float64(end.Took)/float64(expected), 0.2), 8)}
-	server.learn(pace)
-	return pace
+	p.recordClassServiceTime(result.Objective, result.Took)
+	sample := ServiceTimes{Count: 1, Ratio: min(max(float64(result.Took)/float64(expected), 0.2), 8)}
+	server.addServiceTimes(sample)
+	return sample
 }
 
-// Learn merges service time samples that another host measured. Samples of an earlier
+// AddServiceTimes merges service time samples that another host measured. Samples of an earlier
 // incarnation are ignored.
-func (p *Pool) Learn(incarnation fleet.Incarnation, pace Pace) {
-	server := p.running(incarnation)
-	if server != nil && pace.Samples > 0 {
-		server.learn(pace)
+func (p *Pool) AddServiceTimes(incarnation fleet.Incarnation, samples ServiceTimes) {
+	server := p.findServer(incarnation)
+	if server != nil && samples.Count > 0 {
+		server.addServiceTimes(samples)
 	}
 }
 
-// running returns the server with this incarnation, or nil if it is not the current one.
-func (p *Pool) running(incarnation fleet.Incarnation) *Server {
+// findServer returns the server with this incarnation, or nil if it is not the current one.
+func (p *Pool) findServer(incarnation fleet.Incarnation) *Server {
 	server := p.servers.byID[incarnation.ID]
 	if server == nil || server.Incarnation() != incarnation {
 		return nil
@@ -437,12 +438,12 @@
 	return server
 }
 
-// waits reports whether the queue holds requests that the server could take.
-func (p *Pool) waits(server *Server) bool {
+// hasQueueFor reports whether the queue holds requests that the server could take.
+func (p *Pool) hasQueueFor(server *Server) bool {
 	if p.owner == nil {
-		return len(p.waiting) > 0
+		return len(p.queue) > 0
 	}
-	for _, waiter := range p.waiting {
+	for _, waiter := range p.queue {
 		if id, _ := p.owner.OwnerOf(waiter.Key); id == server.ID {
 			return true
 		}
--- a/balance/pool_test.go
+++ b/balance/pool_test.go
@@ -11,28 +11,28 @@
 
 const ms = time.Millisecond
 
-func pool(servers ...fleet.Server) *Pool {
+func newTestPool(servers ...fleet.Server) *Pool {
 	p := NewPool("home", nil, 1)
-	p.SetServers(0, servers)
+	p.ReplaceServers(0, servers)
 	return p
 }
 
-// SetServers replaces all servers of the pool.
-func (p *Pool) SetServers(now time.Duration, servers []fleet.Server) {
+// ReplaceServers replaces all servers of the pool.
+func (p *Pool) ReplaceServers(now time.Duration, servers []fleet.Server) {
 	listed := make(map[string]bool, len(servers))
 	for i := range servers {
 		listed[servers[i].ID] = true
 	}
 	var gone []string
-	for _, server := range p.servers.order {
+	for _, server := range p.servers.sorted {
 		if !listed[server.ID] {
 			gone = append(gone, server.ID)
 		}
 	}
-	p.ChangeServers(now, servers, gone)
+	p.UpdateServers(now, servers, gone)
 }
 
-func enter(p *Pool, now time.Duration, w Waiter) *Waiter {
+func enqueue(p *Pool, now time.Duration, w Waiter) *Waiter {
 	w.Ready = make(chan struct{})
 	w.Arrived = now
 	if w.Deadline == 0 {
@@ -41,11 +41,11 @@
 	if w.Objective == 0 {
 		w.Objective = 300 * ms
 	}
-	p.Enter(now, &w)
+	p.Enqueue(now, &w)
 	return &w
 }
 
-func (w *Waiter) settled() bool {
+func (w *Waiter) isReady() bool {
 	select {
 	case <-w.Ready:
 		return true
@@ -54,49 +54,49 @@
 	}
 }
 
-func TestOwnDomainFirstUntilItIsBusy(t *testing.T) {
-	p := pool(fleet.Server{ID: "far", Domain: "away", Slots: 2}, fleet.Server{ID: "near", Domain: "home", Slots: 2})
+func TestLocalDomainPreferredUntilBusy(t *testing.T) {
+	p := newTestPool(fleet.Server{ID: "far", Domain: "away", Slots: 2}, fleet.Server{ID: "near", Domain: "home", Slots: 2})
 	var went []string
 	for range 3 {
-		went = append(went, enter(p, 0, Waiter{}).Server.ID)
+		went = append(went, enqueue(p, 0, Waiter{}).Server.ID)
 	}
 	assert.DeepEqual(t, went, []string{"near", "near", "far"})
 }
 
-func TestFullServersMakeRequestsWait(t *testing.T) {
-	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 1})
-	first := enter(p, 0, Waiter{})
-	second := enter(p, 0, Waiter{})
-	third := enter(p, 0, Waiter{})
-	assert.Assert(t, first.Server != nil && second.Server != nil && !third.settled())
-	p.Done(50*ms, first.Server, End{Outcome: Answered, Took: 50 * ms})
+func TestRequestsWaitForFullServers(t *testing.T) {
+	p := newTestPool(fleet.Server{ID: "a", Domain: "home", Slots: 1})
+	first := enqueue(p, 0, Waiter{})
+	second := enqueue(p, 0, Waiter{})
+	third := enqueue(p, 0, Waiter{})
+	assert.Assert(t, first.Server != nil && second.Server != nil && !third.isReady())
+	p.Done(50*ms, first.Server, AttemptResult{Outcome: Answered, Took: 50 * ms})
 	assert.Equal(t, third.Server.ID, "a")
 }
 
 // A load report holds requests back and loses its weight over time.
-func TestReportedLoad(t *testing.T) {
-	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 1})
-	first := enter(p, 0, Waiter{})
-	p.Done(10*ms, first.Server, End{Outcome: Answered, Took: 10 * ms, Load: &Load{Running: 1, Waiting: 3, Slots: 1}})
-	waiting := enter(p, 10*ms, Waiter{Objective: 3 * time.Second, Deadline: 9 * time.Second})
-	assert.Assert(t, !waiting.settled())
-	p.Pump(600 * ms)
+func TestReportedLoadDecays(t *testing.T) {
+	p := newTestPool(fleet.Server{ID: "a", Domain: "home", Slots: 1})
+	first := enqueue(p, 0, Waiter{})
+	p.Done(10*ms, first.Server, AttemptResult{Outcome: Answered, Took: 10 * ms, Load: &Load{Running: 1, Waiting: 3, Slots: 1}})
+	waiting := enqueue(p, 10*ms, Waiter{Objective: 3 * time.Second, Deadline: 9 * time.Second})
+	assert.Assert(t, !waiting.isReady())
+	p.Dispatch(600 * ms)
 	assert.Assert(t, waiting.Server != nil)
 }
 
 // Guards against a queue whose end lies beyond the objective, so that under overload all
 // requests are answered too late. A burst of 40 requests meets one slot of 100 ms.
-func TestBurstIsTurnedAwayAtOnce(t *testing.T) {
-	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 1})
+func TestBurstIsRejectedAtOnce(t *testing.T) {
+	p := newTestPool(fleet.Server{ID: "a", Domain: "home", Slots: 1})
 	rejected := 0
 	for range 40 {
-		w := enter(p, 0, Waiter{})
+		w := enqueue(p, 0, Waiter{})
 		if w.Rejected == nil {
 			continue
 		}
 		rejected++
 		assert.Equal(t, w.Rejected.Reason, Overload)
-		assert.Assert(t, w.Rejected.RetryAfter >= leastRetryAfter && w.Rejected.RetryAfter <= mostRetryAfter)
+		assert.Assert(t, w.Rejected.RetryAfter >= minRetryAfter && w.Rejected.RetryAfter <= maxRetryAfter)
 	}
 	assert.Assert(t, rejected > 30, "%d of 40 were rejected", rejected)
 	assert.Assert(t, p.Waiting() <= 4)
@@ -104,112 +104,112 @@
 
 // Guards against requests for a busy key that wait at the hosts until their deadline.
 // Several hosts use the same owner, and each expects all of the owner's slots for itself.
-func TestPaceOfASharedServer(t *testing.T) {
-	p := keyedPool(&owners{id: "a"})
+func TestExpectedWaitAtSharedServer(t *testing.T) {
+	p := newKeyedPool(&singleOwner{id: "a"})
 	now := time.Duration(0)
 	var inFlight []*Waiter
 	for range 5 {
-		inFlight = append(inFlight, enter(p, now, Waiter{Keyed: true}))
+		inFlight = append(inFlight, enqueue(p, now, Waiter{Keyed: true}))
 	}
 	for range 6 { // one completion every 200 ms, although the service time is 100 ms
 		now += 200 * ms
-		p.Done(now, inFlight[0].Server, End{Outcome: Answered, Took: 100 * ms})
-		inFlight = append(inFlight[1:], enter(p, now, Waiter{Keyed: true, Objective: 10 * time.Second, Deadline: now + 10*time.Second}))
+		p.Done(now, inFlight[0].Server, AttemptResult{Outcome: Answered, Took: 100 * ms})
+		inFlight = append(inFlight[1:], enqueue(p, now, Waiter{Keyed: true, Objective: 10 * time.Second, Deadline: now + 10*time.Second}))
 	}
 	const behindAll = 200 // priority levels
-	late := enter(p, now, Waiter{Keyed: true, Objective: 250 * ms, Deadline: now + 500*ms, Priority: behindAll})
+	late := enqueue(p, now, Waiter{Keyed: true, Objective: 250 * ms, Deadline: now + 500*ms, Priority: behindAll})
 	assert.Assert(t, late.Rejected != nil, "the expected wait is below 200 ms")
 }
 
 // A request that has waited too long for its objective is rejected, so that its caller can
 // retry.
-func TestWaitThatOutlastsItsObjectiveEnds(t *testing.T) {
-	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 1})
-	enter(p, 0, Waiter{})
-	enter(p, 0, Waiter{})
-	waiting := enter(p, 0, Waiter{})
-	p.Pump(200 * ms)
-	assert.Assert(t, !waiting.settled())
-	p.Pump(300 * ms)
+func TestWaitBeyondObjectiveIsRejected(t *testing.T) {
+	p := newTestPool(fleet.Server{ID: "a", Domain: "home", Slots: 1})
+	enqueue(p, 0, Waiter{})
+	enqueue(p, 0, Waiter{})
+	waiting := enqueue(p, 0, Waiter{})
+	p.Dispatch(200 * ms)
+	assert.Assert(t, !waiting.isReady())
+	p.Dispatch(300 * ms)
 	assert.Equal(t, waiting.Rejected.Reason, Overload)
 }
 
-func TestUrgentFirstWithoutStarving(t *testing.T) {
-	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 1})
-	running := enter(p, 0, Waiter{})
-	enter(p, 0, Waiter{})
+func TestPriorityWithoutStarvation(t *testing.T) {
+	p := newTestPool(fleet.Server{ID: "a", Domain: "home", Slots: 1})
+	running := enqueue(p, 0, Waiter{})
+	enqueue(p, 0, Waiter{})
 	patient := Waiter{Priority: 2, Objective: time.Second, Deadline: 5 * time.Second}
-	old := enter(p, 0, patient)
-	urgent := enter(p, 100*ms, Waiter{Objective: time.Second})
-	p.Done(110*ms, running.Server, End{Outcome: Answered, Took: 100 * ms})
-	assert.Assert(t, urgent.settled() && !old.settled())
-	enter(p, 200*ms, Waiter{Objective: time.Second})
-	p.Done(210*ms, urgent.Server, End{Outcome: Answered, Took: 100 * ms})
-	assert.Assert(t, old.settled(), "an old request is overtaken by every urgent one")
+	old := enqueue(p, 0, patient)
+	urgent := enqueue(p, 100*ms, Waiter{Objective: time.Second})
+	p.Done(110*ms, running.Server, AttemptResult{Outcome: Answered, Took: 100 * ms})
+	assert.Assert(t, urgent.isReady() && !old.isReady())
+	enqueue(p, 200*ms, Waiter{Objective: time.Second})
+	p.Done(210*ms, urgent.Server, AttemptResult{Outcome: Answered, Took: 100 * ms})
+	assert.Assert(t, old.isReady(), "an old request is overtaken by every urgent one")
 }
 
 // Servers that fail are used less, but never all of them are excluded.
 func TestFailingServers(t *testing.T) {
-	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 4}, fleet.Server{ID: "b", Domain: "home", Slots: 4})
+	p := newTestPool(fleet.Server{ID: "a", Domain: "home", Slots: 4}, fleet.Server{ID: "b", Domain: "home", Slots: 4})
 	for i := range 20 {
-		w := enter(p, time.Duration(i)*ms, Waiter{})
+		w := enqueue(p, time.Duration(i)*ms, Waiter{})
 		outcome := Answered
 		if w.Server.ID == "a" {
 			outcome = Failed
 		}
-		p.Done(time.Duration(i)*ms, w.Server, End{Outcome: outcome, Took: 100 * ms})
+		p.Done(time.Duration(i)*ms, w.Server, AttemptResult{Outcome: outcome, Took: 100 * ms})
 	}
 	for range 3 {
-		assert.Equal(t, enter(p, 30*ms, Waiter{}).Server.ID, "b")
+		assert.Equal(t, enqueue(p, 30*ms, Waiter{}).Server.ID, "b")
 	}
 	for _, server := range p.Servers() {
-		p.Done(30*ms, server, End{Outcome: Unreachable, Took: 0})
+		p.Done(30*ms, server, AttemptResult{Outcome: Unreachable, Took: 0})
 		server.inFlight++
 	}
-	assert.Assert(t, enter(p, 31*ms, Waiter{}).Server != nil, "no server is left to choose from")
+	assert.Assert(t, enqueue(p, 31*ms, Waiter{}).Server != nil, "no server is left to choose from")
 }
 
 func TestNoServer(t *testing.T) {
-	p := pool(fleet.Server{ID: "a", Slots: 2, Draining: true})
-	assert.Equal(t, enter(p, 0, Waiter{}).Rejected.Reason, NoServer)
+	p := newTestPool(fleet.Server{ID: "a", Slots: 2, Draining: true})
+	assert.Equal(t, enqueue(p, 0, Waiter{}).Rejected.Reason, NoServer)
 }
 
-// owners is an assignment for tests in which one server owns all keys.
-type owners struct {
-	id   string
-	back time.Duration
+// singleOwner is an assignment for tests in which one server owns all keys.
+type singleOwner struct {
+	id      string
+	ownedAt time.Duration
 }
 
-func (o *owners) OwnerOf(uint16) (string, time.Duration) { return o.id, o.back }
+func (o *singleOwner) OwnerOf(uint16) (string, time.Duration) { return o.id, o.ownedAt }
 
-func keyedPool(o *owners) *Pool {
+func newKeyedPool(o *singleOwner) *Pool {
 	p := NewPool("home", o, 1)
-	p.SetServers(0, []fleet.Server{{ID: "a", Slots: 2}, {ID: "b", Slots: 2}})
+	p.ReplaceServers(0, []fleet.Server{{ID: "a", Slots: 2}, {ID: "b", Slots: 2}})
 	return p
 }
 
-func TestKeyGoesToItsOwnerOnly(t *testing.T) {
-	o := &owners{id: "b"}
-	p := keyedPool(o)
-	assert.Equal(t, enter(p, 0, Waiter{Keyed: true, Tried: []string{"b"}}).Server.ID, "b")
+func TestKeyedRequestsGoToOwnerOnly(t *testing.T) {
+	o := &singleOwner{id: "b"}
+	p := newKeyedPool(o)
+	assert.Equal(t, enqueue(p, 0, Waiter{Keyed: true, Tried: []string{"b"}}).Server.ID, "b")
 	o.id = ""
-	moving := enter(p, 0, Waiter{Keyed: true})
-	assert.Assert(t, !moving.settled(), "the request does not wait for a planned move")
+	moving := enqueue(p, 0, Waiter{Keyed: true})
+	assert.Assert(t, !moving.isReady(), "the request does not wait for a planned move")
 	o.id = "a"
-	p.Pump(10 * ms)
+	p.Dispatch(10 * ms)
 	assert.Equal(t, moving.Server.ID, "a")
 }
 
 // A key whose owner is lost has no owner for seconds; its callers are told so at once.
 func TestLostOwner(t *testing.T) {
-	o := &owners{back: 4 * time.Second}
-	w := enter(keyedPool(o), 0, Waiter{Keyed: true})
+	o := &singleOwner{ownedAt: 4 * time.Second}
+	w := enqueue(newKeyedPool(o), 0, Waiter{Keyed: true})
 	assert.Equal(t, w.Rejected.Reason, NoOwner)
-	assert.Equal(t, w.Rejected.RetryAfter, mostRetryAfter)
-	o.back = 0
-	p := keyedPool(o)
-	w = enter(p, 0, Waiter{Keyed: true, Deadline: 10 * time.Second})
-	p.Pump(time.Second)
+	assert.Equal(t, w.Rejected.RetryAfter, maxRetryAfter)
+	o.ownedAt = 0
+	p := newKeyedPool(o)
+	w = enqueue(p, 0, Waiter{Keyed: true, Deadline: 10 * time.Second})
+	p.Dispatch(time.Second)
 	assert.Equal(t, w.Rejected.Reason, NoOwner)
 }
 
@@ -217,72 +217,72 @@
 // controller is down, so the keys can't move, and this host learns of the draining 1.1 s late,
 // through its own watch. Either the owner was used for as long as it owned the key, or the
 // grace period did not allow for the delay of the news.
-func TestLeavingOwner(t *testing.T) {
-	p := keyedPool(&owners{id: "a"})
+func TestDrainingOwner(t *testing.T) {
+	p := newKeyedPool(&singleOwner{id: "a"})
 	leaving := []fleet.Server{{ID: "a", Slots: 2, Draining: true}, {ID: "b", Slots: 2}}
-	p.SetServers(time.Second, leaving)
-	assert.Equal(t, enter(p, 1500*ms, Waiter{Keyed: true, Deadline: 9 * time.Second}).Server.ID, "a")
-	p.SetServers(1600*ms, leaving)
-	assert.Equal(t, enter(p, 1700*ms, Waiter{Keyed: true, Deadline: 9 * time.Second}).Rejected.Reason, NoOwner)
+	p.ReplaceServers(time.Second, leaving)
+	assert.Equal(t, enqueue(p, 1500*ms, Waiter{Keyed: true, Deadline: 9 * time.Second}).Server.ID, "a")
+	p.ReplaceServers(1600*ms, leaving)
+	assert.Equal(t, enqueue(p, 1700*ms, Waiter{Keyed: true, Deadline: 9 * time.Second}).Rejected.Reason, NoOwner)
 }
 
 // Guards against requests that time out at a server which never answers because its queue
 // is full. The last load report lost its weight while answers were overdue.
-func TestSilentServerGetsNoMore(t *testing.T) {
-	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 8})
-	enter(p, 0, Waiter{})
-	waiting := enter(p, 400*ms, Waiter{})
-	assert.Assert(t, !waiting.settled())
+func TestStuckServerGetsNoRequests(t *testing.T) {
+	p := newTestPool(fleet.Server{ID: "a", Domain: "home", Slots: 8})
+	enqueue(p, 0, Waiter{})
+	waiting := enqueue(p, 400*ms, Waiter{})
+	assert.Assert(t, !waiting.isReady())
 }
 
 // Guards against lasting overload in which nearly all requests are answered slightly too
 // late. Requests were served in order of arrival, including those that had already missed
 // their objective.
-func TestWhatIsLateAlreadyGoesLast(t *testing.T) {
-	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 1})
-	running := enter(p, 0, Waiter{})
-	enter(p, 0, Waiter{})
-	old := enter(p, 0, Waiter{Deadline: 3 * time.Second})
-	fresh := enter(p, 190*ms, Waiter{Deadline: 3 * time.Second})
-	p.Done(220*ms, running.Server, End{Outcome: Answered, Took: 100 * ms})
-	assert.Assert(t, fresh.settled() && !old.settled())
+func TestLateRequestsGoLast(t *testing.T) {
+	p := newTestPool(fleet.Server{ID: "a", Domain: "home", Slots: 1})
+	running := enqueue(p, 0, Waiter{})
+	enqueue(p, 0, Waiter{})
+	old := enqueue(p, 0, Waiter{Deadline: 3 * time.Second})
+	fresh := enqueue(p, 190*ms, Waiter{Deadline: 3 * time.Second})
+	p.Done(220*ms, running.Server, AttemptResult{Outcome: Answered, Took: 100 * ms})
+	assert.Assert(t, fresh.isReady() && !old.isReady())
 }
 
 // A request that waits for the owner of its key is not sent there after the grace period of
 // a draining owner.
-func TestWaitingForALeavingOwner(t *testing.T) {
-	p := keyedPool(&owners{id: "a"})
+func TestWaitingForDrainingOwner(t *testing.T) {
+	p := newKeyedPool(&singleOwner{id: "a"})
 	patient := Waiter{Keyed: true, Objective: 5 * time.Second, Deadline: 9 * time.Second}
 	var inFlight []*Waiter
 	for range 4 {
-		inFlight = append(inFlight, enter(p, 0, patient))
+		inFlight = append(inFlight, enqueue(p, 0, patient))
 	}
-	waiting := enter(p, 0, patient)
-	p.SetServers(10*ms, []fleet.Server{{ID: "a", Slots: 2, Draining: true}, {ID: "b", Slots: 2}})
-	p.Done(10*ms+leaveWithin, inFlight[0].Server, End{Outcome: Answered, Took: 100 * ms})
+	waiting := enqueue(p, 0, patient)
+	p.ReplaceServers(10*ms, []fleet.Server{{ID: "a", Slots: 2, Draining: true}, {ID: "b", Slots: 2}})
+	p.Done(10*ms+drainGrace, inFlight[0].Server, AttemptResult{Outcome: Answered, Took: 100 * ms})
 	assert.Assert(t, waiting.Server == nil)
 }
 
 // Draining servers get no requests, however full the others are.
-func TestDrainingServerStaysEmpty(t *testing.T) {
-	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 1}, fleet.Server{ID: "b", Domain: "home", Slots: 4, Draining: true})
+func TestDrainingServerGetsNoRequests(t *testing.T) {
+	p := newTestPool(fleet.Server{ID: "a", Domain: "home", Slots: 1}, fleet.Server{ID: "b", Domain: "home", Slots: 4, Draining: true})
 	for range 2 {
-		assert.Equal(t, enter(p, 0, Waiter{}).Server.ID, "a")
+		assert.Equal(t, enqueue(p, 0, Waiter{}).Server.ID, "a")
 	}
-	assert.Assert(t, !enter(p, 0, Waiter{}).settled())
+	assert.Assert(t, !enqueue(p, 0, Waiter{}).isReady())
 }
 
 // A request goes to a server that has not had it, as long as there is one.
-func TestRepeatedRequestGoesElsewhere(t *testing.T) {
-	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 4}, fleet.Server{ID: "b", Domain: "away", Slots: 4})
-	assert.Equal(t, enter(p, 0, Waiter{}).Server.ID, "a")
-	assert.Equal(t, enter(p, 0, Waiter{Tried: []string{"a"}}).Server.ID, "b")
-	assert.Equal(t, enter(p, 0, Waiter{Tried: []string{"a", "b"}}).Server.ID, "a")
+func TestRetryGoesToUntriedServer(t *testing.T) {
+	p := newTestPool(fleet.Server{ID: "a", Domain: "home", Slots: 4}, fleet.Server{ID: "b", Domain: "away", Slots: 4})
+	assert.Equal(t, enqueue(p, 0, Waiter{}).Server.ID, "a")
+	assert.Equal(t, enqueue(p, 0, Waiter{Tried: []string{"a"}}).Server.ID, "b")
+	assert.Equal(t, enqueue(p, 0, Waiter{Tried: []string{"a", "b"}}).Server.ID, "a")
 }
 
 // Guards against a few overloaded servers among idle ones after a start of the hosts. Many
 // hosts without any load reports all sent their first requests to the same servers.
-func TestHostsBeginWithDifferentServers(t *testing.T) {
+func TestHostsStartWithDifferentServers(t *testing.T) {
 	const hosts = 40
 	var servers []fleet.Server
 	for i := range 20 {
@@ -291,8 +291,8 @@
 	first := map[string]int{}
 	for host := range hosts {
 		p := NewPool("home", nil, uint64(host))
-		p.SetServers(0, servers)
-		first[enter(p, 0, Waiter{}).Server.ID]++
+		p.ReplaceServers(0, servers)
+		first[enqueue(p, 0, Waiter{}).Server.ID]++
 	}
 	most := 0
 	for _, n := range first {
@@ -303,15 +303,15 @@
 
 // A server that just reported a free slot is preferred to one without recent reports, even
 // if that was idle when it last reported.
-func TestNoNewsIsUsual(t *testing.T) {
-	p := pool(fleet.Server{ID: "idle", Domain: "home", Slots: 2}, fleet.Server{ID: "old", Domain: "home", Slots: 2})
-	p.usual = 0.8
-	p.servers.byID["old"].report(time.Second, Load{Slots: 2})
-	p.servers.byID["idle"].report(20*time.Second, Load{Running: 1, Slots: 2})
+func TestServerWithoutReportsHasTypicalLoad(t *testing.T) {
+	p := newTestPool(fleet.Server{ID: "idle", Domain: "home", Slots: 2}, fleet.Server{ID: "old", Domain: "home", Slots: 2})
+	p.typicalLoad = 0.8
+	p.servers.byID["old"].recordLoad(time.Second, Load{Slots: 2})
+	p.servers.byID["idle"].recordLoad(20*time.Second, Load{Running: 1, Slots: 2})
 	for range 5 {
-		w := enter(p, 20*time.Second, Waiter{})
+		w := enqueue(p, 20*time.Second, Waiter{})
 		assert.Equal(t, w.Server.ID, "idle")
-		p.Done(20*time.Second, w.Server, End{Outcome: Abandoned})
+		p.Done(20*time.Second, w.Server, AttemptResult{Outcome: Abandoned})
 	}
 }
 
@@ -319,82 +319,82 @@
 // callers use the same key; many hosts share its owner, and each gets a slot every few seconds.
 // A host that has seen no completion can't tell the owner's rate, so each request waited until
 // it was too late.
-func TestWhoWaitsInVainSparesTheNext(t *testing.T) {
-	p := keyedPool(&owners{id: "a"})
-	p.servers.byID["a"].others, p.servers.byID["a"].reportAt = 1000, 0
-	full := func(now time.Duration) { p.servers.byID["a"].reportAt = now }
+func TestFailedWaitsRejectLaterRequests(t *testing.T) {
+	p := newKeyedPool(&singleOwner{id: "a"})
+	p.servers.byID["a"].otherLoad, p.servers.byID["a"].loadReportedAt = 1000, 0
+	full := func(now time.Duration) { p.servers.byID["a"].loadReportedAt = now }
 	asked := Waiter{Keyed: true, Objective: 600 * ms, Deadline: 9 * time.Second}
 	var waiting []*Waiter
-	for range believedStalls {
-		waiting = append(waiting, enter(p, 0, asked))
+	for range minFailedWaits {
+		waiting = append(waiting, enqueue(p, 0, asked))
 	}
 	full(700 * ms)
-	p.Pump(700 * ms)
+	p.Dispatch(700 * ms)
 	for _, w := range waiting {
 		assert.Equal(t, w.Rejected.Reason, Overload)
 	}
-	next := enter(p, 710*ms, asked)
+	next := enqueue(p, 710*ms, asked)
 	assert.Assert(t, next.Rejected != nil, "the next request waits in vain as well")
 	full(2500 * ms)
-	later := enter(p, 2500*ms, asked)
-	assert.Assert(t, !later.settled(), "no request tries whether there is room again")
+	later := enqueue(p, 2500*ms, asked)
+	assert.Assert(t, !later.isReady(), "no request tries whether there is room again")
 	full(0)
-	p.servers.byID["a"].others = 0
-	p.Pump(2510 * ms)
+	p.servers.byID["a"].otherLoad = 0
+	p.Dispatch(2510 * ms)
 	assert.Assert(t, later.Server != nil)
-	assert.Equal(t, p.servers.byID["a"].stalled(2510*ms), time.Duration(0))
+	assert.Equal(t, p.servers.byID["a"].expectedFailedWait(2510*ms), time.Duration(0))
 }
 
 // Guards against a restarted server that gets no requests until the requests lost in the crash
 // time out. The new process uses the same ID, at the same address or another, and the state
 // was kept by ID.
-func TestLaterIncarnationBeginsAfresh(t *testing.T) {
+func TestNewIncarnationStartsWithoutState(t *testing.T) {
 	first := fleet.Server{ID: "a", Start: 1, Address: "10.0.0.1:80", Domain: "home", Slots: 1}
 	again, elsewhere := first, first
 	again.Start = 2
 	elsewhere.Address = "10.0.0.2:80"
 	for _, later := range []fleet.Server{again, elsewhere} {
-		p := pool(first)
-		lost := enter(p, 0, Waiter{})
-		enter(p, 0, Waiter{})
-		assert.Assert(t, lost.settled() && lost.Rejected == nil)
-		p.Learn(first.Incarnation(), Pace{Samples: 50, Ratio: 5})
-		p.SetServers(10*ms, []fleet.Server{later})
+		p := newTestPool(first)
+		lost := enqueue(p, 0, Waiter{})
+		enqueue(p, 0, Waiter{})
+		assert.Assert(t, lost.isReady() && lost.Rejected == nil)
+		p.AddServiceTimes(first.Incarnation(), ServiceTimes{Count: 50, Ratio: 5})
+		p.ReplaceServers(10*ms, []fleet.Server{later})
 		server := p.Servers()[0]
 		assert.Equal(t, server.InFlight(), 0)
-		assert.Equal(t, server.Ratio(), 1.0)
+		assert.Equal(t, server.ServiceTimeRatio(), 1.0)
 		full := Load{Running: 1, Waiting: 9, Slots: 1}
-		p.Done(20*ms, lost.Server, End{Outcome: Unreachable, Load: &full})
+		p.Done(20*ms, lost.Server, AttemptResult{Outcome: Unreachable, Load: &full})
 		assert.Equal(t, server.InFlight(), 0)
 		assert.Assert(t, server.reachable(20*ms))
-		got := enter(p, 20*ms, Waiter{})
-		assert.Assert(t, got.settled() && got.Server == server, "%+v", got.Rejected)
+		got := enqueue(p, 20*ms, Waiter{})
+		assert.Assert(t, got.isReady() && got.Server == server, "%+v", got.Rejected)
 	}
 }
 
 // Service times measured of an earlier incarnation are not attributed to a later one.
-func TestSpeedIsThatOfOneIncarnation(t *testing.T) {
-	p := pool(fleet.Server{ID: "a", Start: 2, Domain: "home", Slots: 1})
-	p.Learn(fleet.Incarnation{ID: "a", Start: 1}, Pace{Samples: 50, Ratio: 5})
-	assert.Equal(t, p.Servers()[0].Ratio(), 1.0)
-	p.Learn(fleet.Incarnation{ID: "a", Start: 2}, Pace{Samples: 50, Ratio: 5})
-	assert.Assert(t, p.Servers()[0].Ratio() > 2)
+func TestServiceTimesBelongToOneIncarnation(t *testing.T) {
+	p := newTestPool(fleet.Server{ID: "a", Start: 2, Domain: "home", Slots: 1})
+	p.AddServiceTimes(fleet.Incarnation{ID: "a", Start: 1}, ServiceTimes{Count: 50, Ratio: 5})
+	assert.Equal(t, p.Servers()[0].ServiceTimeRatio(), 1.0)
+	p.AddServiceTimes(fleet.Incarnation{ID: "a", Start: 2}, ServiceTimes{Count: 50, Ratio: 5})
+	assert.Assert(t, p.Servers()[0].ServiceTimeRatio() > 2)
 }
 
-// unreachable makes one attempt at the server with the given ID fail to reach it.
-func unreachable(p *Pool, now time.Duration, id string) {
+// failToReach makes one attempt fail to reach the server with this ID.
+func failToReach(p *Pool, now time.Duration, id string) {
 	const most = 16
 	var others []*Server
 	for range most {
-		w := enter(p, now, Waiter{})
+		w := enqueue(p, now, Waiter{})
 		if w.Server.ID == id {
-			p.Done(now, w.Server, End{Outcome: Unreachable})
+			p.Done(now, w.Server, AttemptResult{Outcome: Unreachable})
 			break
 		}
 		others = append(others, w.Server)
 	}
 	for _, server := range others {
-		p.Done(now, server, End{Outcome: Abandoned})
+		p.Done(now, server, AttemptResult{Outcome: Abandoned})
 	}
 }
 
@@ -402,34 +402,34 @@
 // few milliseconds, although the domain's own servers answer others within 0.1 s. The
 // unreachable servers of other domains are idle, and free slots counted for more than
 // reachability.
-func TestRequestWaitsForAServerThatCanBeReached(t *testing.T) {
-	p := pool(fleet.Server{ID: "far", Domain: "away", Slots: 2}, fleet.Server{ID: "near", Domain: "home", Slots: 1})
-	unreachable(p, 0, "far")
-	running := enter(p, 10*ms, Waiter{})
-	queued := enter(p, 10*ms, Waiter{})
-	waiting := enter(p, 10*ms, Waiter{})
+func TestRequestWaitsForReachableServer(t *testing.T) {
+	p := newTestPool(fleet.Server{ID: "far", Domain: "away", Slots: 2}, fleet.Server{ID: "near", Domain: "home", Slots: 1})
+	failToReach(p, 0, "far")
+	running := enqueue(p, 10*ms, Waiter{})
+	queued := enqueue(p, 10*ms, Waiter{})
+	waiting := enqueue(p, 10*ms, Waiter{})
 	assert.Equal(t, running.Server.ID, "near")
 	assert.Equal(t, queued.Server.ID, "near")
-	assert.Assert(t, !waiting.settled())
-	p.Done(60*ms, running.Server, End{Outcome: Answered, Took: 50 * ms})
-	assert.Assert(t, waiting.settled() && waiting.Server.ID == "near")
+	assert.Assert(t, !waiting.isReady())
+	p.Done(60*ms, running.Server, AttemptResult{Outcome: Answered, Took: 50 * ms})
+	assert.Assert(t, waiting.isReady() && waiting.Server.ID == "near")
 
 	// If no server can be reached, any is tried.
-	alone := pool(fleet.Server{ID: "far", Domain: "away", Slots: 2})
-	unreachable(alone, 0, "far")
-	assert.Equal(t, enter(alone, 10*ms, Waiter{}).Server.ID, "far")
+	alone := newTestPool(fleet.Server{ID: "far", Domain: "away", Slots: 2})
+	failToReach(alone, 0, "far")
+	assert.Equal(t, enqueue(alone, 10*ms, Waiter{}).Server.ID, "far")
 }
 
 // Guards against a server that stays unreachable and, each time that its suspicion ends, gets
 // as many requests as it has slots; each of them waits for a connection in vain.
-func TestServerThatCouldNotBeReachedIsTriedWithOneRequest(t *testing.T) {
-	p := pool(fleet.Server{ID: "a", Domain: "home", Slots: 4}, fleet.Server{ID: "b", Domain: "away", Slots: 4})
-	unreachable(p, 0, "a")
-	now := suspectFirst + ms
+func TestUnreachableServerIsProbedWithOneRequest(t *testing.T) {
+	p := newTestPool(fleet.Server{ID: "a", Domain: "home", Slots: 4}, fleet.Server{ID: "b", Domain: "away", Slots: 4})
+	failToReach(p, 0, "a")
+	now := minSuspectTime + ms
 	placed := map[string]*Server{}
 	at := func() (count int) {
 		for range 8 {
-			w := enter(p, now, Waiter{})
+			w := enqueue(p, now, Waiter{})
 			if w.Server != nil {
 				placed[w.Server.ID] = w.Server
 			}
@@ -437,40 +437,40 @@
 		return p.servers.byID["a"].InFlight()
 	}
 	assert.Equal(t, at(), 1)
-	p.Done(now+50*ms, placed["a"], End{Outcome: Answered, Took: 50 * ms})
+	p.Done(now+50*ms, placed["a"], AttemptResult{Outcome: Answered, Took: 50 * ms})
 	assert.Assert(t, at() > 1)
 }
 
 // A host that has sent less while queues were long sends more again when they are short, and
 // finally without limit.
-func TestWindowOpensAgain(t *testing.T) {
-	var w window
+func TestWindowGrowsAgain(t *testing.T) {
+	var w sendWindow
 	w.inFlight = 20
 	for range 40 {
-		w.report(Load{Running: 6, Waiting: 24, Slots: 6})
+		w.recordLoad(Load{Running: 6, Waiting: 24, Slots: 6})
 	}
-	assert.Assert(t, !w.open())
-	assert.Assert(t, w.limit >= leastWindow, "the window is too small to learn the length of the queues")
-	for range int(openWindow * openWindow) {
-		w.report(Load{Running: 3, Slots: 6})
+	assert.Assert(t, !w.allowsSend())
+	assert.Assert(t, w.limit >= minWindow, "the window is too small to learn the length of the queues")
+	for range int(unlimitedWindow * unlimitedWindow) {
+		w.recordLoad(Load{Running: 3, Slots: 6})
 	}
 	assert.Equal(t, w.limit, 0.0)
-	assert.Assert(t, w.open())
+	assert.Assert(t, w.allowsSend())
 }
 
 // Guards against callers that are told again and again to retry in a moment while the keys of
 // a drained server can't move.
-func TestRetryAfterGrowsWithAMoveThatIsOverdue(t *testing.T) {
+func TestRetryAfterGrowsWithOverdueMove(t *testing.T) {
 	leaving := fleet.Server{ID: "a", Domain: "d", Slots: 4, Draining: true}
-	p := NewPool("d", fixedOwner{"a"}, 1)
-	p.SetServers(0, []fleet.Server{leaving})
+	p := NewPool("d", fixedOwners{"a"}, 1)
+	p.ReplaceServers(0, []fleet.Server{leaving})
 	for at, want := range map[time.Duration]time.Duration{
-		leaveWithin:      leaveWithin,
+		drainGrace:       drainGrace,
 		1500 * ms:        1500 * ms,
-		20 * time.Second: mostRetryAfter,
+		20 * time.Second: maxRetryAfter,
 	} {
 		w := &Waiter{Keyed: true, Arrived: at, Deadline: at + 4*time.Second, Objective: time.Second, Ready: make(chan struct{})}
-		p.Enter(at, w)
+		p.Enqueue(at, w)
 		assert.Assert(t, w.Rejected != nil, "after %v", at)
 		assert.Equal(t, w.Rejected.Reason, NoOwner)
 		assert.Equal(t, w.Rejected.RetryAfter, want)
--- a/balance/rest.go
+++ b/balance/rest.go
@@ -12,42 +12,42 @@
 // After a backoff a host therefore probes the server with one request at a time until the
 // server has answered one.
 
-// rest is the backoff that a server asked this host for.
-type rest struct {
+// backoff is the backoff that a server asked this host for.
+type backoff struct {
 	until time.Duration // send nothing before this time
-	// trying is set until the server has answered a request after the backoff.
-	trying bool
-	// retryAt is the retry time for the next rejected caller.
-	retryAt time.Duration
+	// probing is set until the server has answered a request after the backoff.
+	probing bool
+	// nextRetryAt is the retry time for the next rejected caller.
+	nextRetryAt time.Duration
 }
 
-// Rest records that a server asked this host to send it nothing for length. A shorter
+// BackOff records that a server asked this host to send it nothing for length. A shorter
 // backoff does not end a longer one.
-func (p *Pool) Rest(now time.Duration, incarnation fleet.Incarnation, length time.Duration) {
-	server := p.running(incarnation)
+func (p *Pool) BackOff(now time.Duration, incarnation fleet.Incarnation, length time.Duration) {
+	server := p.findServer(incarnation)
 	if server == nil || length <= 0 {
 		return
 	}
-	r := &server.rest
-	r.until, r.trying = max(r.until, now+length), true
-	p.restUntil = max(p.restUntil, r.until)
-	p.Pump(now)
+	r := &server.backoff
+	r.until, r.probing = max(r.until, now+length), true
+	p.backoffUntil = max(p.backoffUntil, r.until)
+	p.Dispatch(now)
 }
 
-// RestLeft returns the remaining time of the backoff that the server asked this host for.
-func (s *Server) RestLeft(now time.Duration) time.Duration { return max(s.rest.until-now, 0) }
+// BackoffLeft returns the remaining time of the backoff that the server asked this host for.
+func (s *Server) BackoffLeft(now time.Duration) time.Duration { return max(s.backoff.until-now, 0) }
 
-// AnyRests reports whether a backoff may be in force at any server.
-func (p *Pool) AnyRests(now time.Duration) bool { return now < p.restUntil }
+// AnyBackoff reports whether a backoff may be in force at any server.
+func (p *Pool) AnyBackoff(now time.Duration) bool { return now < p.backoffUntil }
 
-// Resting returns the number of servers with a backoff in force.
-func (p *Pool) Resting(now time.Duration) int {
-	if !p.AnyRests(now) {
+// ServersInBackoff returns the number of servers with a backoff in force.
+func (p *Pool) ServersInBackoff(now time.Duration) int {
+	if !p.AnyBackoff(now) {
 		return 0
 	}
 	count := 0
-	for _, server := range p.servers.order {
-		if server.RestLeft(now) > 0 {
+	for _, server := range p.servers.sorted {
+		if server.BackoffLeft(now) > 0 {
 			count++
 		}
 	}
@@ -56,61 +56,61 @@
 
 // admits reports whether backoffs allow one more request to the server.
 func (s *Server) admits(now time.Duration) bool {
-	return s.RestLeft(now) == 0 && !(s.rest.trying && s.inFlight > 0)
+	return s.BackoffLeft(now) == 0 && !(s.backoff.probing && s.inFlight > 0)
 }
 
-// answeredAfterRest records that the server answered a request; after a backoff this ends
+// endProbing records that the server answered a request; after a backoff this ends
 // the probing.
-func (s *Server) answeredAfterRest(now time.Duration) {
-	if s.RestLeft(now) == 0 {
-		s.rest.trying = false
+func (s *Server) endProbing(now time.Duration) {
+	if s.BackoffLeft(now) == 0 {
+		s.backoff.probing = false
 	}
 }
 
-// beyondRest returns why the request can't be served in time because of backoffs, or nil.
-func (p *Pool) beyondRest(now time.Duration, waiter *Waiter) *RejectedError {
-	server := p.restingFor(now, waiter)
+// checkBackoff returns why the request can't be served in time because of backoffs, or nil.
+func (p *Pool) checkBackoff(now time.Duration, waiter *Waiter) *RejectedError {
+	server := p.backoffServerFor(now, waiter)
 	if server == nil {
 		return nil
 	}
-	left := server.RestLeft(now)
-	if left <= p.patience(now, waiter) {
+	left := server.BackoffLeft(now)
+	if left <= p.remainingWait(now, waiter) {
 		return nil
 	}
-	return &RejectedError{Reason: Resting, RetryAfter: p.restRetry(now, server), Expected: left, Server: server.ID}
+	return &RejectedError{Reason: ServerBackoff, RetryAfter: p.backoffRetryAfter(now, server), Expected: left, Server: server.ID}
 }
 
-// restingFor returns the server whose backoff the request has to wait for: the owner of its
+// backoffServerFor returns the server whose backoff the request has to wait for: the owner of its
 // key or, without keys and if all usable servers have asked for one, the server whose
 // backoff ends first. It returns nil if the request doesn't wait for a backoff.
-func (p *Pool) restingFor(now time.Duration, waiter *Waiter) *Server {
-	if !p.AnyRests(now) {
+func (p *Pool) backoffServerFor(now time.Duration, waiter *Waiter) *Server {
+	if !p.AnyBackoff(now) {
 		return nil
 	}
 	if waiter.Keyed && p.owner != nil {
 		id, _ := p.owner.OwnerOf(waiter.Key)
-		if server := p.servers.byID[id]; server != nil && server.RestLeft(now) > 0 && !p.left(now, server) {
+		if server := p.servers.byID[id]; server != nil && server.BackoffLeft(now) > 0 && !p.closedToOwnedKeys(now, server) {
 			return server
 		}
 		return nil
 	}
-	if p.preferred(now, waiter, p.servers.order) != resting {
+	if p.bestPreference(now, waiter, p.servers.sorted) != backingOff {
 		return nil
 	}
 	var first *Server
-	for _, server := range p.servers.order {
-		if p.preference(now, waiter, server) == resting && (first == nil || server.rest.until < first.rest.until) {
+	for _, server := range p.servers.sorted {
+		if p.preference(now, waiter, server) == backingOff && (first == nil || server.backoff.until < first.backoff.until) {
 			first = server
 		}
 	}
 	return first
 }
 
-// restRetry returns the retry delay for a caller rejected because of a backoff. Retries are
+// backoffRetryAfter returns the retry delay for a caller rejected because of a backoff. Retries are
 // spaced at the rate at which the server completes requests.
-func (p *Pool) restRetry(now time.Duration, server *Server) time.Duration {
-	r := &server.rest
-	retryAt := min(max(r.retryAt, r.until), now+mostLimitRetry)
-	r.retryAt = retryAt + server.pace(p.mean)
-	return max(retryAt-now, leastRetryAfter)
+func (p *Pool) backoffRetryAfter(now time.Duration, server *Server) time.Duration {
+	r := &server.backoff
+	retryAt := min(max(r.nextRetryAt, r.until), now+maxLimitRetryAfter)
+	r.nextRetryAt = retryAt + server.expectedInterval(p.meanServiceTime)
+	return max(retryAt-now, minRetryAfter)
 }
--- a/balance/roster_test.go
+++ b/balance/roster_test.go
@@ -11,8 +11,8 @@
 	"cicadarouter/fleet"
 )
 
-// manyServers returns n servers with four slots each, in five failure domains.
-func manyServers(n int) []fleet.Server {
+// makeServers returns n servers with four slots each, in five failure domains.
+func makeServers(n int) []fleet.Server {
 	servers := make([]fleet.Server, n)
 	for i := range servers {
 		servers[i] = fleet.Server{ID: fmt.Sprintf("s%05d", i), Domain: fmt.Sprintf("d%d", i%5), Slots: 4}
@@ -21,65 +21,65 @@
 }
 
 // Guards against a choice whose cost grows with the number of servers.
-func TestChoiceLooksAtFewOfManyServers(t *testing.T) {
-	const most = mostRecent + drawnNear + drawnAnywhere
+func TestChoiceSamplesFewOfManyServers(t *testing.T) {
+	const most = maxRecent + localSampleSize + globalSampleSize
 	for _, n := range []int{500, 2000, 8000} {
 		p := NewPool("d1", nil, 1)
-		p.SetServers(0, manyServers(n))
+		p.ReplaceServers(0, makeServers(n))
 		for i := range 200 {
-			sample, all := p.servers.draw(p.random.IntN)
+			sample, all := p.servers.sample(p.random.IntN)
 			assert.Assert(t, !all && len(sample) <= most, "%d of %d servers", len(sample), n)
-			w := enter(p, time.Duration(i)*ms, Waiter{})
+			w := enqueue(p, time.Duration(i)*ms, Waiter{})
 			assert.Equal(t, w.Server.Domain, "d1", "a server in the host's domain has room")
 		}
 	}
 }
 
 // Guards against requests that wait although a server outside the sample has room.
-func TestTheLastServerWithRoomIsFound(t *testing.T) {
+func TestLastServerWithRoomIsFound(t *testing.T) {
 	const n = 1000
-	servers := manyServers(n)
+	servers := makeServers(n)
 	for i := range servers {
 		servers[i].Draining = i != 777
 	}
 	p := NewPool("d1", nil, 1)
-	p.SetServers(0, servers)
-	assert.Equal(t, enter(p, 0, Waiter{}).Server.ID, "s00777")
+	p.ReplaceServers(0, servers)
+	assert.Equal(t, enqueue(p, 0, Waiter{}).Server.ID, "s00777")
 }
 
 // Guards against a set that loses servers or keeps removed ones.
-func TestRosterFollowsTheServers(t *testing.T) {
+func TestServerSetFollowsUpdates(t *testing.T) {
 	p := NewPool("d1", nil, 1)
-	p.SetServers(0, manyServers(600))
+	p.ReplaceServers(0, makeServers(600))
 	for i := range 40 {
-		enter(p, time.Duration(i)*ms, Waiter{})
+		enqueue(p, time.Duration(i)*ms, Waiter{})
 	}
-	assert.Equal(t, len(p.servers.recent), mostRecent)
+	assert.Equal(t, len(p.servers.recent), maxRecent)
 	moved := fleet.Server{ID: "s00001", Domain: "d2", Slots: 4}
-	p.ChangeServers(time.Second, []fleet.Server{moved, {ID: "a", Domain: "d1", Slots: 4}}, []string{"s00006", "s00000", "unknown", p.servers.recent[0].ID})
+	p.UpdateServers(time.Second, []fleet.Server{moved, {ID: "a", Domain: "d1", Slots: 4}}, []string{"s00006", "s00000", "unknown", p.servers.recent[0].ID})
 	assert.Equal(t, p.Servers()[0].ID, "a")
-	for _, server := range p.servers.near {
+	for _, server := range p.servers.local {
 		assert.Equal(t, server.Domain, "d1")
-		assert.Assert(t, p.Lists(server))
-		assert.Assert(t, p.servers.near[server.nearAt] == server)
+		assert.Assert(t, p.Contains(server))
+		assert.Assert(t, p.servers.local[server.localIndex] == server)
 	}
 	for _, server := range p.servers.recent {
-		assert.Assert(t, p.Lists(server))
+		assert.Assert(t, p.Contains(server))
 	}
-	p.SetServers(2*time.Second, nil)
-	assert.Equal(t, len(p.servers.near)+len(p.servers.order)+len(p.servers.recent)+len(p.servers.byID), 0)
+	p.ReplaceServers(2*time.Second, nil)
+	assert.Equal(t, len(p.servers.local)+len(p.servers.sorted)+len(p.servers.recent)+len(p.servers.byID), 0)
 }
 
 // Load pattern: 300 hosts that don't know of each other send requests to a thousand servers at
 // 30 % utilization. Of servers chosen at random, 4 % have no free slot.
-func TestReplayManyHostsAndServers(t *testing.T) {
+func TestSimulateManyHostsAndServers(t *testing.T) {
 	const hosts, n, slots, work = 300, 1000, 4, 400 * ms
 	const gap = work * 10 / (n * slots * 3) // interval between two requests
 	random := rand.New(rand.NewPCG(5, 5))
 	pools := make([]*Pool, hosts)
 	for i := range pools {
 		pools[i] = NewPool(fmt.Sprintf("d%d", i%5), nil, uint64(i))
-		pools[i].SetServers(0, manyServers(n))
+		pools[i].ReplaceServers(0, makeServers(n))
 	}
 	busy := map[string][]time.Duration{} // end times of the requests at each server
 	type running struct {
@@ -98,11 +98,11 @@
 			}
 			load := Load{Running: len(busy[r.server.ID]) - 1, Slots: slots}
 			busy[r.server.ID] = busy[r.server.ID][1:]
-			r.pool.Done(now, r.server, End{Outcome: Answered, Took: work, Load: &load})
+			r.pool.Done(now, r.server, AttemptResult{Outcome: Answered, Took: work, Load: &load})
 		}
 		inFlight = kept
 		pool := pools[random.IntN(hosts)]
-		w := enter(pool, now, Waiter{Objective: 1200 * ms, Deadline: now + 5*time.Second})
+		w := enqueue(pool, now, Waiter{Objective: 1200 * ms, Deadline: now + 5*time.Second})
 		if w.Server == nil {
 			continue
 		}
--- a/balance/share.go
+++ b/balance/share.go
@@ -11,62 +11,62 @@
 // need not exchange permits.
 
 const (
-	// shareKept is how long a share stays valid. The controller sends shares every half second;
+	// shareLifetime is how long a share stays valid. The controller sends shares every half second;
 	// an outdated one must not keep an owner idle.
-	shareKept = 1500 * time.Millisecond
-	// mostSaved is the size of a share's token bucket. It keeps hundreds of hosts from sending
-	// several requests each after a pause.
-	mostSaved = 1.0
-	// mostShareRetry bounds the retry delay given to a caller rejected because of a share: the
+	shareLifetime = 1500 * time.Millisecond
+	// shareBucketSize is the size of a share's token bucket. It keeps hundreds of hosts from
+	// sending several requests each after a pause.
+	shareBucketSize = 1.0
+	// maxShareRetryAfter bounds the retry delay given to a caller rejected because of a share: the
 	// load of a key can't be predicted for longer than some seconds.
-	mostShareRetry = 10 * time.Second
+	maxShareRetryAfter = 10 * time.Second
 )
 
-// share is the fraction of this host's requests for an overloaded key that may be sent.
-type share struct {
-	part  float64       // fraction of the requests
-	until time.Duration // end of validity
-	saved float64       // tokens in the bucket; each admitted request takes one
-	gap   time.Duration // smoothed interval between requests for the key
-	last  time.Duration // when the last request for the key came
+// keyShare is the fraction of this host's requests for an overloaded key that may be sent.
+type keyShare struct {
+	fraction        float64       // fraction of the requests
+	expiresAt       time.Duration // end of validity
+	tokens          float64       // tokens in the bucket; each admitted request takes one
+	requestInterval time.Duration // smoothed interval between requests for the key
+	lastRequestAt   time.Duration // when the last request for the key came
 }
 
-// SetShares sets, for each overloaded key, the fraction of its requests that the owner can
+// SetKeyShares sets, for each overloaded key, the fraction of its requests that the owner can
 // handle. Keys that are not in the map are not limited.
-func (p *Pool) SetShares(now time.Duration, fractions map[uint16]float64) {
-	for key := range p.shares {
+func (p *Pool) SetKeyShares(now time.Duration, fractions map[uint16]float64) {
+	for key := range p.keyShares {
 		if _, named := fractions[key]; !named {
-			delete(p.shares, key)
+			delete(p.keyShares, key)
 		}
 	}
 	for key, fraction := range fractions {
-		known := p.shares[key]
+		known := p.keyShares[key]
 		if known == nil {
 			// A random fill keeps hosts from sending at the same time.
-			known = &share{saved: p.random.Float64()}
-			p.shares[key] = known
+			known = &keyShare{tokens: p.random.Float64()}
+			p.keyShares[key] = known
 		}
-		known.part, known.until = fraction, now+shareKept
+		known.fraction, known.expiresAt = fraction, now+shareLifetime
 	}
 }
 
-// beyondShare rejects a request at once if its key is overloaded and this host's share has
+// checkKeyShare rejects a request at once if its key is overloaded and this host's share has
 // no token for it.
-func (p *Pool) beyondShare(now time.Duration, waiter *Waiter) *RejectedError {
-	known := p.shares[waiter.Key]
-	if known == nil || now >= known.until || known.part >= 1 {
+func (p *Pool) checkKeyShare(now time.Duration, waiter *Waiter) *RejectedError {
+	known := p.keyShares[waiter.Key]
+	if known == nil || now >= known.expiresAt || known.fraction >= 1 {
 		return nil
 	}
-	if known.last > 0 {
-		known.gap += time.Duration(gapWeight * float64(now-known.last-known.gap))
+	if known.lastRequestAt > 0 {
+		known.requestInterval += time.Duration(intervalWeight * float64(now-known.lastRequestAt-known.requestInterval))
 	}
-	known.last = now
-	known.saved = min(known.saved+known.part, mostSaved)
-	if known.saved >= mostSaved {
-		known.saved -= mostSaved
+	known.lastRequestAt = now
+	known.tokens = min(known.tokens+known.fraction, shareBucketSize)
+	if known.tokens >= shareBucketSize {
+		known.tokens -= shareBucketSize
 		return nil
 	}
-	requests := (mostSaved - known.saved) / known.part // number of requests until the next token
-	wait := time.Duration(requests * float64(known.gap))
-	return &RejectedError{Reason: Overload, RetryAfter: min(max(wait, leastRetryAfter), mostShareRetry), Expected: wait}
+	requests := (shareBucketSize - known.tokens) / known.fraction // number of requests until the next token
+	wait := time.Duration(requests * float64(known.requestInterval))
+	return &RejectedError{Reason: Overload, RetryAfter: min(max(wait, minRetryAfter), maxShareRetryAfter), Expected: wait}
 }
--- a/balance/waiter.go
+++ b/balance/waiter.go
@@ -20,12 +20,13 @@
 	// Priority is the priority level; 0 is the most urgent.
 	Priority int
 	Arrived  time.Duration
-	// Patience is the caller's timeout for this attempt; 0 if not known.
-	Patience time.Duration
-	// since is when the caller started its first attempt, as far as known. Enter sets it.
-	since time.Duration
-	// Entered is when the request was queued. Enter sets it.
-	Entered time.Duration
+	// Timeout is the caller's timeout for this attempt; 0 if not known.
+	Timeout time.Duration
+	// firstAttemptAt is when the caller started its first attempt, as far as known. Enqueue sets
+	// it.
+	firstAttemptAt time.Duration
+	// EnqueuedAt is when the request was queued. Enqueue sets it.
+	EnqueuedAt time.Duration
 	// Deadline is when the caller stops waiting for an answer.
 	Deadline time.Duration
 	// Objective is the latency objective.
@@ -54,11 +55,12 @@
 	NoOwner Reason = "no-owner"
 	// ColdOwner: the key's owner is cold and accepts no more requests for now.
 	ColdOwner Reason = "cold-owner"
-	// Limited: the servers that may take the request have limits, and no permit becomes valid
+	// ServerLimit: the servers that may take the request have limits, and no permit becomes valid
 	// in time.
-	Limited Reason = "server-limit"
-	// Resting: the servers that may take the request asked this host to back off for too long.
-	Resting Reason = "server-rest"
+	ServerLimit Reason = "server-limit"
+	// ServerBackoff: the servers that may take the request asked this host to back off for too
+	// long.
+	ServerBackoff Reason = "server-rest"
 	// Overload: the wait for a server is too long.
 	Overload Reason = "overload"
 	// Expired: the time left until the deadline is too short to run the request.
@@ -72,8 +74,8 @@
 	RetryAfter time.Duration
 	// Expected is the expected wait that led to the rejection.
 	Expected time.Duration
-	// Server is the server that the request would have to wait for; set for Limited and
-	// Resting only. Limit is its limit in requests per second; set for Limited only.
+	// Server is the server that the request would have to wait for; set for ServerLimit
+	// and ServerBackoff only. Limit is its limit in requests per second; set for ServerLimit only.
 	Server string
 	Limit  float64
 }
--- a/balance/window.go
+++ b/balance/window.go
@@ -10,53 +10,53 @@
 // at the hosts, where the most urgent can go first.
 
 const (
-	// crowdedQueue is the average number of queued requests per slot above which a host
+	// congestedQueue is the average number of queued requests per slot above which a host
 	// sends less. A queue of one per slot takes as long as the work itself, which is half of
 	// the time that most objectives leave.
-	crowdedQueue = 1.0
-	// easyQueue is the average below which a host sends more again. Some queueing is random:
+	congestedQueue = 1.0
+	// uncongestedQueue is the average below which a host sends more again. Some queueing is random:
 	// servers of unequal speed at 80 % utilization have 0.2 to 0.4 queued requests per slot.
-	easyQueue = 0.5
+	uncongestedQueue = 0.5
 	// queueWeight is the weight of a new answer in the average, which covers about five.
 	queueWeight = 0.2
-	// windowCut multiplies the window after each answer while the queues are too long; over
-	// the seven answers of a window of seven requests it halves. windowGrowth is added to the
+	// windowDecrease multiplies the window after each answer while the queues are too long; over
+	// the seven answers of a window of seven requests it halves. windowIncrease is added to the
 	// window over as many answers as it holds while the queues are short. In the simulated
-	// loss of two thirds of the servers (TestReplayTwoThirdsLost) the completed requests have
+	// loss of two thirds of the servers (TestSimulateTwoThirdsLost) the completed requests have
 	// 0.82 of the offered value with the window, and 0.78 without.
-	windowCut    = 0.9
-	windowGrowth = 1.0
-	// leastWindow lets a host still learn the length of the servers' queues.
-	leastWindow = 1.0
-	// openWindow is the size at which the limit is lifted; no host has as many requests in
+	windowDecrease = 0.9
+	windowIncrease = 1.0
+	// minWindow lets a host still learn the length of the servers' queues.
+	minWindow = 1.0
+	// unlimitedWindow is the size at which the limit is lifted; no host has as many requests in
 	// flight.
-	openWindow = 256.0
+	unlimitedWindow = 256.0
 )
 
-// window bounds the number of this host's requests in flight at the servers of a service.
-type window struct {
-	inFlight int
-	queue    float64 // smoothed number of queued requests per slot
-	limit    float64 // most requests in flight; 0: not limited
+// sendWindow bounds the number of this host's requests in flight at the servers of a service.
+type sendWindow struct {
+	inFlight      int
+	smoothedQueue float64 // smoothed number of queued requests per slot
+	limit         float64 // most requests in flight; 0: not limited
 }
 
-// open reports whether one more request may be sent.
-func (w *window) open() bool { return w.limit == 0 || float64(w.inFlight) < w.limit }
+// allowsSend reports whether one more request may be sent.
+func (w *sendWindow) allowsSend() bool { return w.limit == 0 || float64(w.inFlight) < w.limit }
 
-// report adjusts the window to the load that came with an answer.
-func (w *window) report(load Load) {
+// recordLoad adjusts the window to the load that came with an answer.
+func (w *sendWindow) recordLoad(load Load) {
 	if load.Slots <= 0 {
 		return
 	}
-	w.queue += queueWeight * (float64(load.Waiting)/float64(load.Slots) - w.queue)
+	w.smoothedQueue += queueWeight * (float64(load.Waiting)/float64(load.Slots) - w.smoothedQueue)
 	switch {
-	case w.queue > crowdedQueue:
+	case w.smoothedQueue > congestedQueue:
 		if w.limit == 0 {
 			w.limit = float64(w.inFlight + 1)
 		}
-		w.limit = max(w.limit*windowCut, leastWindow)
-	case w.limit > 0 && w.queue < easyQueue:
-		if w.limit += windowGrowth / w.limit; w.limit >= openWindow {
+		w.limit = max(w.limit*windowDecrease, minWindow)
+	case w.limit > 0 && w.smoothedQueue < uncongestedQueue:
+		if w.limit += windowIncrease / w.limit; w.limit >= unlimitedWindow {
 			w.limit = 0
 		}
 	}
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -39,8 +39,8 @@
 }
 
 // end is what the result tells of the server.
-func (r *attemptResult) end(req *request, took time.Duration) balance.End {
-	return balance.End{Outcome: r.outcome, Took: took, Objective: req.route.TargetLatency, Load: r.load}
+func (r *attemptResult) end(req *request, took time.Duration) balance.AttemptResult {
+	return balance.AttemptResult{Outcome: r.outcome, Took: took, Objective: req.route.TargetLatency, Load: r.load}
 }
 
 // Errors of answers.
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -65,5 +65,5 @@
 func (s *service) limits() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.pool.Limits()
+	return s.pool.LimitedServers()
 }
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -51,8 +51,8 @@
 	// Asked is the slot time asked for, in microseconds, by key.
 	Asked map[uint16]int64 `json:"asked"`
 	// WorkMicros is how long one request holds a slot, in microseconds.
-	WorkMicros int64                              `json:"workMicros"`
-	Paces      map[fleet.Incarnation]balance.Pace `json:"paces,omitempty"`
+	WorkMicros int64                                      `json:"workMicros"`
+	Paces      map[fleet.Incarnation]balance.ServiceTimes `json:"paces,omitempty"`
 	// Cases are the requests under which servers ended, as far as the controller has not
 	// heard of them; KnownCases is up to which change the host has heard of the controller's.
 	Cases      []poison.Case `json:"cases,omitempty"`
--- a/gateway/places.go
+++ b/gateway/places.go
@@ -62,7 +62,7 @@
 
 // reservePlaces asks for places at a service's servers, and hands the service what became
 // of it.
-func (g *Gateway) reservePlaces(s *service, wishes []balance.Wish) {
+func (g *Gateway) reservePlaces(s *service, wishes []balance.ReservationRequest) {
 	for _, wish := range wishes {
 		go func() {
 			got := g.reserve(wish)
@@ -72,25 +72,25 @@
 }
 
 // reserve asks the scheduler for places at a server.
-func (g *Gateway) reserve(wish balance.Wish) balance.Reservation {
+func (g *Gateway) reserve(wish balance.ReservationRequest) balance.Reservation {
 	asked := g.now()
 	news, _ := g.limits.of(wish.Server)
-	request := placesRequest{Server: limitToldOf(notice.TellOf(asked, wish.Server, news)), Places: wish.Places, WithinMicros: wish.Within.Microseconds()}
+	request := placesRequest{Server: limitToldOf(notice.TellOf(asked, wish.Server, news)), Places: wish.Permits, WithinMicros: wish.Within.Microseconds()}
 	answer, err := g.askPlaces(&request)
 	if err != nil || !answer.Schedules {
 		if g.failureLines.take() {
-			g.log.Info("no places given: the host keeps to its own part", "server", wish.Server.String(), "places", wish.Places, "error", errorText(err))
+			g.log.Info("no places given: the host keeps to its own part", "server", wish.Server.String(), "places", wish.Permits, "error", errorText(err))
 		}
 		return balance.Reservation{}
 	}
 	g.hearLimits([]limitTold{answer.Server}, "scheduler")
-	got := balance.Reservation{Reached: true, Asked: asked, Full: time.Duration(answer.FullMicros) * time.Microsecond}
+	got := balance.Reservation{Reached: true, RequestedAt: asked, RefusedWait: time.Duration(answer.FullMicros) * time.Microsecond}
 	for _, wait := range answer.WaitsMicros {
 		got.Waits = append(got.Waits, time.Duration(wait)*time.Microsecond)
 	}
 	if g.loadLines.take() {
-		g.log.Debug("places reserved", "server", wish.Server.String(), "asked", wish.Places, "given", len(got.Waits),
-			"within-ms", wish.Within.Milliseconds(), "full-ms", got.Full.Milliseconds(), "answered-ms", (g.now() - asked).Milliseconds())
+		g.log.Debug("places reserved", "server", wish.Server.String(), "asked", wish.Permits, "given", len(got.Waits),
+			"within-ms", wish.Within.Milliseconds(), "full-ms", got.RefusedWait.Milliseconds(), "answered-ms", (g.now() - asked).Milliseconds())
 	}
 	return got
 }
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -204,14 +204,14 @@
 func (g *Gateway) forward(ctx context.Context, req *request) *reply {
 	for {
 		waiter := &balance.Waiter{Keyed: req.service.view != nil, Key: req.Key, Priority: req.route.Priority,
-			Arrived: req.arrived, Deadline: req.deadline, Objective: req.route.TargetLatency, Patience: req.Patience, Tried: req.tried, Ready: make(chan struct{})}
+			Arrived: req.arrived, Deadline: req.deadline, Objective: req.route.TargetLatency, Timeout: req.Patience, Tried: req.tried, Ready: make(chan struct{})}
 		server, link, err := req.service.acquire(ctx, waiter)
 		if err != nil {
 			return g.unplaced(req, err)
 		}
 		// Servers may have ended under copies of it while it waited.
 		if refused := g.quarantined(req); refused != nil {
-			req.service.done(server, balance.End{Outcome: balance.Abandoned})
+			req.service.done(server, balance.AttemptResult{Outcome: balance.Abandoned})
 			return refused
 		}
 		result := g.attempt(ctx, req, server, link)
@@ -299,7 +299,7 @@
 func (s *service) mean() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.pool.Mean()
+	return s.pool.MeanServiceTime()
 }
 
 // outgoing builds the request for a server.
--- a/gateway/rest.go
+++ b/gateway/rest.go
@@ -34,14 +34,14 @@
 func (s *service) rest(server fleet.Incarnation, length time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pool.Rest(s.now(), server, length)
+	s.pool.BackOff(s.now(), server, length)
 	s.armPump()
 }
 
 func (s *service) resting() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.pool.Resting(s.now())
+	return s.pool.ServersInBackoff(s.now())
 }
 
 // longRest is how much of a rest must be left for keys to pass on because of it: a move takes
@@ -52,12 +52,12 @@
 func (s *service) longRests() []fleet.Incarnation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.pool.AnyRests(s.now()) {
+	if !s.pool.AnyBackoff(s.now()) {
 		return nil
 	}
 	var resting []fleet.Incarnation
 	for _, server := range s.pool.Servers() {
-		if server.RestLeft(s.now()) >= longRest {
+		if server.BackoffLeft(s.now()) >= longRest {
 			resting = append(resting, server.Incarnation())
 		}
 	}
@@ -68,11 +68,11 @@
 func (s *service) restLeft(server *balance.Server) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return server.RestLeft(s.now())
+	return server.BackoffLeft(s.now())
 }
 
 // restingResult is the result of an attempt at a server that asked for rest while a connection to
 // it was being opened.
 func restingResult(left time.Duration) attemptResult {
-	return attemptResult{notRun: true, failed: true, outcome: balance.Abandoned, reply: turnedAway(string(balance.Resting), left)}
+	return attemptResult{notRun: true, failed: true, outcome: balance.Abandoned, reply: turnedAway(string(balance.ServerBackoff), left)}
 }
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -37,18 +37,18 @@
 	budget *dispatch.Budget
 	// reserveShared is set once the host has its part of the reserve of a start.
 	reserveShared bool
-	asked         map[uint16]time.Duration           // slot time by key, since the last report
-	paces         map[fleet.Incarnation]balance.Pace // since the last report
+	asked         map[uint16]time.Duration                   // slot time by key, since the last report
+	paces         map[fleet.Incarnation]balance.ServiceTimes // since the last report
 	pumping       bool
 
 	// reserve asks for places at servers that name limits. It does not block.
-	reserve func(s *service, wishes []balance.Wish)
+	reserve func(s *service, wishes []balance.ReservationRequest)
 }
 
 func newService(name string, identity Identity, keyed bool, now func() time.Duration) *service {
 	share := retryPart * cmp.Or(identity.RetryRatio, defaultRetryRatio)
 	s := &service{name: name, now: now, links: map[string]*serverLink{},
-		budget: dispatch.NewBudget(share, 0), asked: map[uint16]time.Duration{}, paces: map[fleet.Incarnation]balance.Pace{}}
+		budget: dispatch.NewBudget(share, 0), asked: map[uint16]time.Duration{}, paces: map[fleet.Incarnation]balance.ServiceTimes{}}
 	reserve := reserveOf(identity.RetryReserve, 0)
 	s.budget.SetReserve(reserve.most, reserve.first)
 	var owner balance.Owner
@@ -58,7 +58,7 @@
 	}
 	s.pool = balance.NewPool(identity.Domain, owner, identity.Incarnation)
 	if identity.EvacuateWithin > 0 {
-		s.pool.SetEvacuateWithin(identity.EvacuateWithin - identity.ObeyWithin)
+		s.pool.SetEvacuationGrace(identity.EvacuateWithin - identity.ObeyWithin)
 	}
 	return s
 }
@@ -67,7 +67,7 @@
 func (s *service) setCold(perSecond float64, hosts int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pool.SetCold(perSecond, hosts)
+	s.pool.SetColdStartLimit(perSecond, hosts)
 }
 
 // doubt takes that a server's process may have started again, and reports whether it is to be
@@ -75,14 +75,14 @@
 func (s *service) doubt(server *balance.Server) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.pool.Doubt(s.now(), server.Incarnation())
+	return s.pool.SuspectRestart(s.now(), server.Incarnation())
 }
 
 // toldCold takes that a server said for how long it is still cold.
 func (s *service) toldCold(server *balance.Server, coldFor time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pool.ToldCold(s.now(), server.Incarnation(), coldFor)
+	s.pool.SetColdFor(s.now(), server.Incarnation(), coldFor)
 }
 
 // setLimits takes the limits that servers name, and how many hosts there are.
@@ -95,7 +95,7 @@
 
 // wish has places reserved for waiting requests. s.mu is held.
 func (s *service) wish() {
-	if wishes := s.pool.Wishes(s.now()); len(wishes) > 0 {
+	if wishes := s.pool.ReservationRequests(s.now()); len(wishes) > 0 {
 		s.reserve(s, wishes)
 	}
 }
@@ -104,7 +104,7 @@
 func (s *service) reserved(server fleet.Incarnation, got balance.Reservation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pool.Reserved(s.now(), server, got)
+	s.pool.ApplyReservation(s.now(), server, got)
 	s.wish()
 	s.armPump()
 }
@@ -126,7 +126,7 @@
 	if s.view != nil {
 		s.view.changePresent(changed, gone)
 	}
-	s.pool.ChangeServers(s.now(), changed, gone)
+	s.pool.UpdateServers(s.now(), changed, gone)
 }
 
 // serverLink holds the connections to one incarnation of a server.
@@ -143,7 +143,7 @@
 // has connections to few of the servers, so they are made when they are first used. s.mu is
 // held.
 func (s *service) link(server *balance.Server) *backendlink.Pool {
-	if !s.pool.Lists(server) {
+	if !s.pool.Contains(server) {
 		return nil
 	}
 	linked := s.links[server.ID]
@@ -170,7 +170,7 @@
 	defer s.mu.Unlock()
 	s.budget.First()
 	if key != nil {
-		s.asked[*key] += s.pool.Mean()
+		s.asked[*key] += s.pool.MeanServiceTime()
 	}
 }
 
@@ -197,7 +197,7 @@
 // acquire waits for a server. Errors: *balance.RejectedError, or the context's.
 func (s *service) acquire(ctx context.Context, waiter *balance.Waiter) (*balance.Server, *backendlink.Pool, error) {
 	s.mu.Lock()
-	s.pool.Enter(s.now(), waiter)
+	s.pool.Enqueue(s.now(), waiter)
 	s.wish()
 	s.armPump()
 	s.mu.Unlock()
@@ -205,9 +205,9 @@
 	case <-waiter.Ready:
 	case <-ctx.Done():
 		s.mu.Lock()
-		given := s.pool.Leave(waiter)
+		given := s.pool.Cancel(waiter)
 		if given != nil {
-			s.pool.Done(s.now(), given, balance.End{Outcome: balance.Abandoned})
+			s.pool.Done(s.now(), given, balance.AttemptResult{Outcome: balance.Abandoned})
 		}
 		s.mu.Unlock()
 		return nil, nil, ctx.Err()
@@ -219,7 +219,7 @@
 	defer s.mu.Unlock()
 	link := s.link(waiter.Server)
 	if link == nil {
-		s.pool.Done(s.now(), waiter.Server, balance.End{Outcome: balance.Abandoned})
+		s.pool.Done(s.now(), waiter.Server, balance.AttemptResult{Outcome: balance.Abandoned})
 		return nil, nil, &balance.RejectedError{Reason: balance.NoServer, RetryAfter: retryAfterUnknown}
 	}
 	return waiter.Server, link, nil
@@ -231,16 +231,16 @@
 func (s *service) expectedToEnd(server *balance.Server, brokeOff bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return server.Leaving() || brokeOff && !s.pool.Lists(server)
+	return server.Leaving() || brokeOff && !s.pool.Contains(server)
 }
 
 // done gives a server back.
-func (s *service) done(server *balance.Server, end balance.End) {
+func (s *service) done(server *balance.Server, end balance.AttemptResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	pace := s.pool.Done(s.now(), server, end)
-	if s.view != nil && pace.Samples > 0 {
-		s.paces[server.Incarnation()] = s.paces[server.Incarnation()].Plus(pace)
+	if s.view != nil && pace.Count > 0 {
+		s.paces[server.Incarnation()] = s.paces[server.Incarnation()].Merge(pace)
 	}
 	s.wish()
 	s.armPump()
@@ -256,7 +256,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.pumping = false
-		s.pool.Pump(s.now())
+		s.pool.Dispatch(s.now())
 		s.wish()
 		s.armPump()
 	})
@@ -266,7 +266,7 @@
 func (s *service) pump() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pool.Pump(s.now())
+	s.pool.Dispatch(s.now())
 	s.wish()
 }
 
@@ -287,24 +287,24 @@
 	asked map[uint16]time.Duration
 	// work is how long one request holds a slot.
 	work  time.Duration
-	paces map[fleet.Incarnation]balance.Pace
+	paces map[fleet.Incarnation]balance.ServiceTimes
 }
 
 // takeLoad returns the load since the last call.
 func (s *service) takeLoad() keyLoad {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	taken := keyLoad{asked: s.asked, work: s.pool.Mean(), paces: s.paces}
-	s.asked, s.paces = map[uint16]time.Duration{}, map[fleet.Incarnation]balance.Pace{}
+	taken := keyLoad{asked: s.asked, work: s.pool.MeanServiceTime(), paces: s.paces}
+	s.asked, s.paces = map[uint16]time.Duration{}, map[fleet.Incarnation]balance.ServiceTimes{}
 	return taken
 }
 
 // learn takes what another host has measured of the servers' speed.
-func (s *service) learn(paces map[fleet.Incarnation]balance.Pace) {
+func (s *service) learn(paces map[fleet.Incarnation]balance.ServiceTimes) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for incarnation, pace := range paces {
-		s.pool.Learn(incarnation, pace)
+		s.pool.AddServiceTimes(incarnation, pace)
 	}
 }
 
@@ -312,7 +312,7 @@
 func (s *service) setShares(parts map[uint16]float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pool.SetShares(s.now(), parts)
+	s.pool.SetKeyShares(s.now(), parts)
 }
 
 // serverState is what the controller of a service's keys needs of its servers.
@@ -328,7 +328,7 @@
 	defer s.mu.Unlock()
 	var states []serverState
 	for _, server := range s.pool.Servers() {
-		states = append(states, serverState{Server: server.Server, Speed: s.pool.Speed(s.now(), server), LongRest: server.RestLeft(s.now()) >= longRest})
+		states = append(states, serverState{Server: server.Server, Speed: s.pool.Speed(s.now(), server), LongRest: server.BackoffLeft(s.now()) >= longRest})
 	}
 	return states
 }
--- a/tools/mutants/limits.go
+++ b/tools/mutants/limits.go
@@ -4,7 +4,7 @@
 func limitMutants() []mutant {
 	told := breaking("notice", ".")
 	in := breaking("ratelimit", ".")
-	pool := breaking("balance", "Limit|Place|Turn|Others|Doubted")
+	pool := breaking("balance", "Limit|Permit|Fallback|Suspected|AtOnce|RejectedOnBackoff")
 	host := breaking("gateway", "LimitOfAServer|KeyedServices|RestartedServer|NewScheduler")
 	return []mutant{
 		told("ledger.go", "end a limit by an answer under way", "return n.Sent >= known.Heard", "return n.Heard >= known.Heard"),
@@ -19,17 +19,17 @@
 		in("schedule.go", "give places that are due too late", "if wait > within {", "if false {"),
 		in("schedule.go", "keep to all of the limit when alone", "aloneShare = 0.2", "aloneShare = 1.0"),
 		in("schedule.go", "save turns", "turnKept = time.Second", "turnKept = time.Hour"),
-		pool("limited.go", "use a place twice", "l.places = l.places[1:]", "_ = l"),
-		pool("limited.go", "use places for good", "return now > each.until", "return false"),
-		pool("limited.go", "use a turn although the schedule answers", "return l.alone(now) && l.turn", "return l.turn"),
-		pool("limited.go", "use a turn twice", "		l.turn.Take(p.turnInterval(l.perSecond))", "		_ = l.turn"),
-		pool("limited.go", "reserve places for each request at each server", "wish.Places = unkeyed - p.reservedPlaces()", "wish.Places = unkeyed"),
-		pool("limited.go", "wait although no place is due in time", "if server == nil || wait <= p.patience(now, waiter) {", "if true {"),
-		pool("limited.go", "tell all callers to come back at once", "		l.retryAt += spacing\n", ""),
-		pool("pool.go", "forget limits when servers are listed", "	p.noteCold(now, server)\n	p.noteLimit(now, server)\n", "	p.noteCold(now, server)\n"),
-		pool("cold.go", "leave a limited server its keys", "if server.limited() {", "if false {"),
+		pool("limited.go", "use a place twice", "l.permits = l.permits[1:]", "_ = l"),
+		pool("limited.go", "use places for good", "return now > each.validUntil", "return false"),
+		pool("limited.go", "use a turn although the schedule answers", "return l.usesFallback(now) && l.fallback", "return l.fallback"),
+		pool("limited.go", "use a turn twice", "		l.fallback.Take(p.fallbackInterval(l.perSecond))", "		_ = l.fallback"),
+		pool("limited.go", "reserve places for each request at each server", "request.Permits = unkeyed - p.reservedPermits()", "request.Permits = unkeyed"),
+		pool("limited.go", "wait although no place is due in time", "if server == nil || wait <= p.remainingWait(now, waiter) {", "if true {"),
+		pool("limited.go", "tell all callers to come back at once", "		l.lastRetryAt += spacing\n", ""),
+		pool("pool.go", "forget limits when servers are listed", "	p.updateColdBucket(now, server)\n	p.updateLimit(now, server)\n", "	p.updateColdBucket(now, server)\n"),
+		pool("cold.go", "leave a limited server its keys", "if server.hasLimit() {", "if false {"),
 		pool("cold.go", "doubt servers that use an ID once", " || incarnation.Start == 0", ""),
-		pool("cold.go", "go on doubting a server that told", "server.doubtUntil, server.toldColdUntil = 0, now+coldFor", "server.toldColdUntil = now + coldFor"),
+		pool("cold.go", "go on doubting a server that told", "server.assumedColdUntil, server.reportedColdUntil = 0, now+coldFor", "server.reportedColdUntil = now + coldFor"),
 		host("limits.go", "do not decide by limits", "	g.applyLimits()\n	g.nudge()", "	g.nudge()"),
 		host("places.go", "schedule beside a predecessor", " || len(c.machine.Unproven(now)) > 0", ""),
 		host("coordination.go", "leave hosts without keys alone", "if len(g.keyedServices()) == 0 {", "if false {"),
--- a/tools/mutants/scale.go
+++ b/tools/mutants/scale.go
@@ -2,13 +2,13 @@
 
 // scaleMutants break the rules that keep a host's costs from growing with the fleet.
 func scaleMutants() []mutant {
-	choice := breaking("balance", "Choice|LastServer|Roster")
+	choice := breaking("balance", "Choice|LastServer|ServerSet")
 	host := breaking("gateway", "CostOfAChange|ServerOfAnother|FarBehind|RelayTellsDeletions|ListsPass|FollowersGrow|NamedAnew|FirstReports|Reserves|OneHostReads|FirstAssignment|EarlierHosts|SlowCallers|ReadAhead|ThoughItsCaller")
 	keys := breaking("keyspace", "FirstClaim|FirstAssignment|CallsToThousands|SlowAnswers|RecordsAre|ColumnsThat")
 	entries := breaking("fleet", "Changes|Entries|Texts")
 	return []mutant{
-		choice("roster.go", "look at all servers", "	if len(r.order) <= allLooked {\n		return r.order, true\n	}\n	r.drawn", "	if len(r.order) > 0 {\n		return r.order, true\n	}\n	r.drawn"),
-		choice("pool.go", "look at no others if the drawn ones are full", "	candidates := p.servers.order\n", "	candidates := sample\n"),
+		choice("roster.go", "look at all servers", "	if len(r.sorted) <= fullScanLimit {\n		return r.sorted, true\n	}\n	r.sampleBuffer", "	if len(r.sorted) > 0 {\n		return r.sorted, true\n	}\n	r.sampleBuffer"),
+		choice("pool.go", "look at no others if the drawn ones are full", "	candidates := p.servers.sorted\n", "	candidates := sample\n"),
 		choice("roster.go", "offer servers that are gone", "	r.recent = without(r.recent, server)\n}", "}"),
 		entries("fleet.go", "tell all servers at each change", "	clear(d.changed)\n", "	d.TouchAll()\n"),
 		entries("fleet.go", "keep entries that came back among those that fade", "	delete(d.fading, version.ID)\n	d.Touch", "	d.fading[version.ID] = known\n	d.Touch"),
