--- a/balance/limited.go
+++ b/balance/limited.go
@@ -18,7 +18,7 @@
 	// schedulerRetryDelay is how long a host that got no answer from the scheduler limits itself
 	// to its fallback share before it asks again.
 	schedulerRetryDelay = time.Second
-	// maxReservation is the most permits requested at once.
+	// maxReservation is the most permits requested from the scheduler at once.
 	maxReservation = 16
 	// maxLimitRetryAfter bounds the retry delay given to a caller that has to wait for a permit or
 	// for the end of a backoff: limits and key owners change within seconds.
--- a/balance/limited_fuzz_test.go
+++ b/balance/limited_fuzz_test.go
@@ -14,8 +14,9 @@
 	"cicadarouter/ratelimit"
 )
 
-// Required behavior: a limit applies contactGrace after its first announcement, to hosts that
-// have known it for knownGrace, and is counted over any limitWindow.
+// Required behavior: a limit applies from contactGrace after its first announcement on, to hosts
+// that have known it for knownGrace and have not restarted within contactGrace. It is counted over
+// any limitWindow.
 const (
 	contactGrace = 3 * time.Second
 	knownGrace   = 500 * ms
@@ -112,8 +113,8 @@
 
 func (w *limitSimulation) send(now time.Duration, h *simulatedHost, pool *Pool, waiter *Waiter) {
 	knowsLimit := h.toldAt >= 0 && now-h.toldAt >= knownGrace
-	inTouch := h.starts == 1 || now-h.startedAt >= contactGrace // the limit does not apply right after a restart
-	w.sends = append(w.sends, sentRequest{at: now, counted: knowsLimit && inTouch})
+	notRestarted := h.starts == 1 || now-h.startedAt >= contactGrace // the limit does not apply right after a restart
+	w.sends = append(w.sends, sentRequest{at: now, counted: knowsLimit && notRestarted})
 	w.at(now+w.randomDelay("run time", 1, 150), func(completed time.Duration) {
 		perSecond := w.currentLimit()
 		w.at(completed+w.randomDelay("return delay", 1, 60), func(received time.Duration) {
--- a/balance/replay_test.go
+++ b/balance/replay_test.go
@@ -75,7 +75,7 @@
 	requests, inTime, late, rejected, timedOut int
 	// rejectedWait is the mean time that rejected requests waited.
 	rejectedWait time.Duration
-	// offeredValue is the value of all requests, and earned that of the completed ones. The value
+	// offeredValue is the value of all requests, completedValue that of the completed ones. The value
 	// of a request depends on its class; a late answer counts half.
 	offeredValue, completedValue float64
 	// retried counts callers rejected once, and rejectedAgain those rejected twice.
@@ -141,7 +141,7 @@
 	return last
 }
 
-// simulation is one run of the simulation.
+// simulation is one simulated run.
 type simulation struct {
 	workload
 	events            eventQueue
