--- a/delta/delta.go
+++ b/delta/delta.go
@@ -1,8 +1,8 @@
-// Package delta tells one version of a JSON document by what differs from
-// another. It is pure.
+// Package delta encodes a version of a JSON document as its difference from another version.
+// It performs no I/O.
 //
-// Load pattern: documents of hundreds of small objects (ranges of keys, routes)
-// of which a change touches a few, sent to every host at each change.
+// Load pattern: documents of hundreds of small objects, such as key ranges and routes. A
+// change touches few of them, and every change is sent to every host.
 package delta
 
 import (
@@ -11,23 +11,22 @@
 	"hash/crc64"
 )
 
-// Delta makes one version of a document into another.
+// Delta transforms one version of a document into another.
 type Delta struct {
-	// Steps build the fresh version from its beginning.
+	// Steps build the new version from its beginning.
 	Steps []Step `json:"steps"`
-	// Sum is the checksum of the fresh version.
+	// Sum is the CRC-64 checksum of the new version.
 	Sum uint64 `json:"sum"`
 }
 
-// Step appends Count pieces of the old version from its piece From on, and then
-// Text.
+// Step appends Count pieces of the old version, starting at piece From, and then Text.
 type Step struct {
 	From  int    `json:"f,omitempty"`
 	Count int    `json:"n,omitempty"`
 	Text  string `json:"t,omitempty"`
 }
 
-// MismatchError reports a delta that is not one of the version at hand.
+// MismatchError reports a delta that does not apply to the given version.
 type MismatchError struct{ What string }
 
 // Error implements error.
@@ -35,7 +34,7 @@
 
 var table = crc64.MakeTable(crc64.ECMA)
 
-// Make returns the delta between two versions.
+// Make returns the delta from the old version to the fresh one.
 func Make(old, fresh []byte) *Delta {
 	pieces := split(old)
 	at := make(map[string]int, len(pieces))
@@ -68,14 +67,14 @@
 	return made
 }
 
-// Apply returns the fresh version. It fails with a *MismatchError if the old
-// version is not the one that the delta was made of.
+// Apply returns the new version. It fails with a *MismatchError if the delta was made from
+// another version than old.
 func (d *Delta) Apply(old []byte) ([]byte, error) {
 	pieces := split(old)
 	var fresh []byte
 	for _, step := range d.Steps {
 		if step.From < 0 || step.Count < 0 || step.From+step.Count > len(pieces) {
-			return nil, &MismatchError{What: fmt.Sprintf("pieces %d to %d of a version that has %d", step.From, step.From+step.Count, len(pieces))}
+			return nil, &MismatchError{What: fmt.Sprintf("step copies pieces %d to %d of a version with %d pieces", step.From, step.From+step.Count, len(pieces))}
 		}
 		for _, piece := range pieces[step.From : step.From+step.Count] {
 			fresh = append(fresh, piece...)
@@ -83,13 +82,12 @@
 		fresh = append(fresh, step.Text...)
 	}
 	if crc64.Checksum(fresh, table) != d.Sum {
-		return nil, &MismatchError{What: "the version that it makes has another checksum"}
+		return nil, &MismatchError{What: "the checksum of the resulting version does not match"}
 	}
 	return fresh, nil
 }
 
-// split cuts a document before each object. The pieces together are the
-// document.
+// splitAtObjects splits a document before each '{'. The concatenated pieces are the document.
 func split(document []byte) [][]byte {
 	var pieces [][]byte
 	first := 0
--- a/delta/delta_test.go
+++ b/delta/delta_test.go
@@ -16,7 +16,7 @@
 	return []byte(strings.Join(parts, ""))
 }
 
-// A delta, sent as JSON, makes the one version into the other.
+// A delta, encoded as JSON and decoded, turns the old version into the new one.
 func TestDelta(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old, fresh := drawDocument(t, "old"), drawDocument(t, "fresh")
@@ -30,7 +30,7 @@
 	})
 }
 
-// A delta of another version, or one that was damaged, is noticed.
+// A delta that was made from another version or is damaged is rejected.
 func TestDeltaOfAnotherVersion(t *testing.T) {
 	made := Make([]byte(`[{"a":1},{"a":2}]`), []byte(`[{"a":1},{"a":3}]`))
 	var mismatch *MismatchError
@@ -42,7 +42,7 @@
 	assert.Assert(t, errors.As(err, &mismatch))
 }
 
-// One changed object of hundreds makes a delta of a few hundred bytes.
+// A change of one object among hundreds makes a delta of a few hundred bytes.
 func TestDeltaIsSmall(t *testing.T) {
 	document := func(changed int) []byte {
 		var parts []string
--- a/keyspace/answers.go
+++ b/keyspace/answers.go
@@ -8,18 +8,16 @@
 )
 
 const (
-	// callRetry is how soon a call that got no answer is made again.
+	// releaseRetryDelay is the delay before an unanswered release is sent again.
 	callRetry = 250 * time.Millisecond
-	// probeEvery is how often a server that does not answer is asked, without
-	// waiting for the call before: what was sent into a cut does not arrive when
-	// it has healed, so with one call of 0.6 s at a time a server's return would be
-	// noticed up to 0.85 s late. Each liveness check has a price.
+	// probeInterval is how often an unresponsive server is probed. Probes overlap: one sent
+	// while the network is down never arrives, so with one probe of 0.6 s at a time a server's
+	// return would be noticed up to 0.85 s late. Shorter intervals cost more calls.
 	probeEvery = 250 * time.Millisecond
 )
 
-// Answered takes the result of a call that began and ended at the given times.
-// An unanswered call must have been aborted, so that it can't arrive any more
-// after ended.
+// CallCompleted takes the result of a call with its start and end times. An unanswered call
+// must have been aborted, so that it can't arrive after ended.
 func (m *Machine) Answered(call Call, result CallResult, handoff string, began, ended time.Duration) {
 	m.underWay--
 	l, known := m.leases[leaseKey{from: call.From, to: call.To, holder: call.Holder}]
@@ -49,7 +47,8 @@
 	}
 }
 
-// noteAnswer notes that a server answers again: all of its ranges are renewed.
+// noteResponse records that a server answers again, and makes its unresponsive ranges due
+// for renewal.
 func (m *Machine) noteAnswer(server fleet.Incarnation, now time.Duration) {
 	for key, l := range m.leases {
 		if key.holder.Incarnation() == server && l.silent {
@@ -58,9 +57,9 @@
 	}
 }
 
-// firstRenewal returns when a range is renewed that has just been granted to a server. Those of
-// thousands of servers that are granted together are renewed one after the other from then on,
-// those of one server together.
+// firstRenewal returns the delay from a server's first grant to its first renewal. Servers
+// that are granted ranges at the same time are renewed at different times from then on, the
+// ranges of one server together.
 func firstRenewal(server string) time.Duration {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(server)) // never fails
--- a/keyspace/call.go
+++ b/keyspace/call.go
@@ -1,15 +1,15 @@
 package keyspace
 
-// CallKind is what a call asks of a server.
+// CallKind is the operation that a call requests from a server.
 type CallKind int
 
 // The kinds of calls.
 const (
 	// GrantCall grants or renews the keys.
 	GrantCall CallKind = iota
-	// ReleaseCall takes the keys back.
+	// ReleaseCall requests the release of the keys.
 	ReleaseCall
-	// ProbeCall only asks whether the server answers.
+	// ProbeCall only tests whether the server answers.
 	ProbeCall
 )
 
@@ -27,12 +27,12 @@
 // Call is a call to make to a server.
 type Call struct {
 	Kind CallKind
-	// Holder is the incarnation of the server that the call is meant for. One
-	// that has started again meanwhile is reached in its place.
+	// Holder is the incarnation that the call is meant for. If the server has restarted
+	// meanwhile, the call reaches the later incarnation instead.
 	Holder
 	From uint16
 	To   uint16
-	// Handoff is what the last holder's release returned.
+	// Handoff is the value returned by the last holder's release.
 	Handoff string
 }
 
@@ -41,10 +41,10 @@
 
 // The results of calls.
 const (
-	// CallDone: the server answered and did it.
+	// CallDone means that the server answered and did what was requested.
 	CallDone CallResult = iota
-	// CallStale: the server has seen a higher token.
+	// CallStaleToken means that the server has seen a higher token.
 	CallStale
-	// CallUnanswered: the call may take effect, or may have.
+	// CallUnanswered means that the call may have taken effect or may still do so.
 	CallUnanswered
 )
--- a/keyspace/calls_test.go
+++ b/keyspace/calls_test.go
@@ -8,7 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against servers that are never granted keys because others are called again and again.
+// Guards against servers that are never granted keys because calls to others use up all
+// calls in flight.
 func TestSlowAnswersKeepNoServerFromItsTurn(t *testing.T) {
 	const n = 3000
 	var servers []Server
@@ -39,11 +40,11 @@
 	m.Confirm(AuthorityBound)
 	assert.Assert(t, !m.AssignFirst(AuthorityBound, nil), "there is no server")
 	assert.Assert(t, m.AssignFirst(AuthorityBound, servers))
-	assert.Assert(t, !m.AssignFirst(AuthorityBound, servers), "it is being written")
+	assert.Assert(t, !m.AssignFirst(AuthorityBound, servers), "the assignment is being written")
 }
 
-// Guards against a burst of calls to all servers at each renewal, and at the first grants: as
-// many wait in vain for their answers as the host can't send in the meantime.
+// Guards against bursts of calls to all servers at the first grants and at each renewal. Calls
+// beyond what the host can send in time are not answered before they are aborted.
 func TestCallsToThousandsOfServersAreSpread(t *testing.T) {
 	for _, n := range []int{500, 2000, 4000} {
 		var servers []Server
@@ -59,7 +60,7 @@
 			assert.Assert(t, len(calls) <= mostCalls)
 			if now > 3*time.Second {
 				mean := float64(n) * float64(slot) / float64(renewEvery)
-				assert.Assert(t, float64(len(calls)) < 4*mean+20, "%d calls at once, %v on average", len(calls), mean)
+				assert.Assert(t, float64(len(calls)) < 4*mean+20, "%d calls in one step, %v on average", len(calls), mean)
 			}
 			for _, call := range calls {
 				granted[call.Server] = now
--- a/keyspace/change.go
+++ b/keyspace/change.go
@@ -7,8 +7,8 @@
 	"cicadarouter/fleet"
 )
 
-// propose sets the pending record if something has to change: finished moves
-// first, then servers that left, then balance.
+// propose sets the pending record if something has to change. Finished moves come first,
+// then evacuations, then load balancing.
 func (m *Machine) propose(now time.Duration, servers []Server, live map[string]Server) {
 	next := m.record.Clone()
 	changed := m.nameRelays(next)
@@ -36,9 +36,8 @@
 	}
 }
 
-// nameRelays takes the relays over into a record, and reports whether they are a
-// reason to write it: each write has a price, and the record is to name somebody
-// who lives.
+// updateRelays copies the relays into a record, and reports whether they are a reason to
+// write it: only if the record names none that is still a relay, because writes are costly.
 func (m *Machine) nameRelays(next *Record) bool {
 	if len(m.relays) == 0 {
 		return false
@@ -56,16 +55,16 @@
 	return alive == 0
 }
 
-// stays reports whether a range stays with its owner for now.
+// keepsOwner reports whether a range stays with its owner for now.
 func (m *Machine) stays(now time.Duration, r *Range, live map[string]Server) bool {
 	server, registered := live[r.Server]
 	switch {
 	case registered && m.replaced(now, r.Holder, server):
-		return true // its later incarnation is given the keys
+		return true // the owner's later incarnation is given the keys
 	case m.hasEnded(r.Holder):
-		// Whatever an earlier controller still grants to it reaches nobody, so not
-		// even a successor has to wait. A controller is often lost together with
-		// servers; until it can't grant any more takes 5.75 s.
+		// Grants by an earlier controller have no effect on an ended process, so even a
+		// successor need not wait the 5.75 s until the earlier controller can't grant any
+		// more. A controller is often lost together with servers.
 		return false
 	case !m.Settled(now):
 		return true
@@ -75,13 +74,12 @@
 	return m.waitFor(now, r)
 }
 
-// waitFor reports a lost owner whose keys stay with it until its lease has run
-// out: it does not answer, so nobody can have them earlier. An owner that is
-// only cut off is back by then, more often than not with its whole failure
-// domain, whose keys would otherwise fill the other servers for seconds after. One
-// that answers again is given the time to register anew: moving the keys of a
-// whole domain at its return turned away a quarter of the service's requests for
-// 6 s when the controller was lost on top of it.
+// awaitsLeaseExpiry reports whether the keys of a lost owner stay with it until its lease has
+// expired. It does not answer, so no one can have the keys earlier. An owner that was only
+// disconnected is usually back by then, together with its failure domain; moving the
+// domain's keys would overload the other servers for seconds. An owner that answers again
+// gets time to register again: when the controller was lost at the same time, moving a
+// whole domain's keys at its return rejected a quarter of the service's requests for 6 s.
 func (m *Machine) waitFor(now time.Duration, r *Range) bool {
 	l := m.lease(r, r.Holder)
 	if l.backAt > 0 && now < l.backAt+returnWait {
@@ -90,12 +88,12 @@
 	return !l.heard && now < l.until
 }
 
-// returnWait is how long a server that answers again has to be registered again:
-// live servers renew their entries within about 2 s.
+// reregistrationWait is how long a server that answers again has to register again. Live
+// servers renew their entries within about 2 s.
 const returnWait = 2 * time.Second
 
-// markSilent marks the servers that left a grant unanswered or have ended. One
-// that has fallen silent has no load soon, and would be given the busiest keys.
+// markUnresponsive marks the servers that left a grant unanswered or have ended. Their
+// measured load drops soon, which would make them receivers of the busiest keys.
 func (m *Machine) markSilent(servers []Server) []Server {
 	silent := map[fleet.Incarnation]bool{}
 	for key, l := range m.leases {
@@ -111,8 +109,8 @@
 	return marked
 }
 
-// finishMoves takes the former holders out of ranges whose owner holds them. An
-// owner takes over what binds its earlier incarnations.
+// finishMoves removes the former holders from ranges whose owner has confirmed its grant.
+// The owner inherits the leases of its earlier incarnations.
 func (m *Machine) finishMoves(next *Record) bool {
 	changed := false
 	for i := range next.Ranges {
@@ -127,8 +125,7 @@
 	return changed
 }
 
-// apply changes the record by the moves. Leases of ranges that are cut apart
-// pass to the parts.
+// applyMoves changes the record by the moves. When a range is split, both parts get its leases.
 func (m *Machine) apply(now time.Duration, next *Record, moves []Move, live map[string]Server) bool {
 	changed := false
 	for _, move := range moves {
@@ -156,11 +153,10 @@
 	return changed
 }
 
-// free reports whether nobody can hold the keys of a range any more. They are
-// given to their next owner by one record then. A successor that finds the move
-// half-way, with a former holder that does not answer, would have to wait for the
-// longest lease again; when all hosts were killed just as the keys of a domain
-// that had been cut off were moving, that took 6 s.
+// unheld reports whether no one can hold the keys of a range any more. A single record then
+// gives them to the next owner. A successor that read the move half done, with a former
+// holder that does not answer, would wait for the longest lease again: 6 s when all hosts
+// were killed while the keys of a disconnected domain were moving.
 func (m *Machine) free(now time.Duration, r *Range) bool {
 	for _, holder := range append(slices.Clone(r.Former), r.Holder) {
 		if l := m.lease(r, holder); l.calling || !l.over(now) {
@@ -170,8 +166,8 @@
 	return true
 }
 
-// calling reports whether a call about the keys to move is under way. Its
-// answer speaks of the range as it was, so the range is not cut meanwhile.
+// moveBlocked reports whether a call about the keys to move is in flight. Its result refers
+// to the range as it was, so the range must not be split meanwhile.
 func (m *Machine) calling(next *Record, move Move) bool {
 	for i := range next.Ranges {
 		r := &next.Ranges[i]
@@ -185,8 +181,8 @@
 	return false
 }
 
-// renewStale gives a new token to owners that have seen a higher one than the
-// record gives them: they refuse every renewal.
+// reissueStaleTokens gives a new token to owners that have seen a higher one than the
+// record's: they refuse every renewal.
 func (m *Machine) renewStale(now time.Duration, next *Record) bool {
 	changed := false
 	for i := range next.Ranges {
@@ -202,12 +198,12 @@
 	return changed
 }
 
-// mergeAt is how many ranges must be superfluous before they are joined for
-// that alone; each range costs a call for every renewal.
+// mergeThreshold is how many ranges must be redundant before merging them justifies a write
+// of its own. Each range costs a call per renewal.
 const mergeAt = 8
 
-// merge joins neighbouring ranges of one owner under a new token. The owner
-// holds the keys already, so nothing has to be released.
+// mergeRanges joins adjacent ranges of one owner under a new token. The owner already holds
+// the keys, so nothing has to be released.
 func (m *Machine) merge(next *Record, writing bool) bool {
 	joinable := 0
 	for i := 1; i < len(next.Ranges); i++ {
@@ -235,7 +231,7 @@
 	return true
 }
 
-// joinable reports whether two neighbouring ranges can become one now.
+// mergeable reports whether two adjacent ranges can be merged now.
 func (m *Machine) joinable(a, b *Range) bool {
 	if a.Incarnation() != b.Incarnation() || a.Moving() || b.Moving() || m.hasEnded(a.Holder) {
 		return false
@@ -245,7 +241,7 @@
 		!left.silent && !right.silent && !left.stale && !right.stale
 }
 
-// cut makes a range begin at a key.
+// splitRange splits the range that contains a key, so that a range starts at the key.
 func (m *Machine) cut(next *Record, at uint16) {
 	r := next.At(at)
 	if r == nil || r.From == at {
--- a/keyspace/era.go
+++ b/keyspace/era.go
@@ -1,29 +1,31 @@
 package keyspace
 
-// A store may come back from a copy that is some seconds old. The record that it then holds is
-// an earlier one: it names owners that have released their keys, tokens that have been given
-// out again since, perhaps a controller that has stopped.
+// A store may be restored from a backup that is some seconds old. Its record is then an
+// earlier one: it names owners that have released their keys, a highest token below those
+// issued since, and perhaps a controller that has stopped.
 //
-// What goes wrong without care: the controller stays in force under a record that the store
-// does not hold, and can't write the next one; or another process takes the old record for
-// the newest, renews owners by it whose keys others hold, and gives out tokens for the second
-// time. So a record says in which era it was written. The controller that has authority as it
-// reads an earlier record writes its own again. Whoever takes over from a record that nobody
-// has written in the era of the store knows neither all holders nor all tokens: every range
-// then waits until whatever may have been granted has lapsed, and tokens and terms begin
-// beyond all that may have been given out.
+// Two failures must be prevented. The controller may stay active with a record that the
+// store does not hold, and fail to write the next one. Or another process may take the old
+// record for the newest, renew owners whose keys are held by others, and issue tokens twice.
+//
+// A record therefore contains the store's era in which it was written; each restore from a
+// backup begins a new era. A controller that has authority and reads an older record than its
+// own writes its own again. A successor that takes over a record written in an earlier era
+// knows neither all holders nor all tokens. Every range then waits until all leases that may
+// have been granted have expired, and tokens and terms continue above any that may have been
+// issued.
 
 const (
-	// tokensPerEra and termsPerEra are beyond what can be given out in the seconds that a
-	// store forgets.
+	// tokensPerEra and termsPerEra exceed the numbers that can be issued in the seconds of
+	// writes that a restore loses.
 	tokensPerEra = 1 << 20
 	termsPerEra  = 1 << 20
-	// unknownServer names a holder that nobody knows, of whom only time frees the keys.
+	// unknownServer stands for an unknown holder, whose lease only ends by expiry.
 	unknownServer = "?"
 )
 
-// OlderThan reports whether a record was written before another one of the same service, also
-// in an earlier era: terms of a later one are beyond all of those before.
+// OlderThan reports whether a record was written before another one of the same service. This
+// holds across eras too: the terms of a later era exceed all terms before.
 func (r *Record) OlderThan(other *Record) bool {
 	if r.Term != other.Term {
 		return r.Term < other.Term
@@ -31,10 +33,11 @@
 	return r.Writes < other.Writes
 }
 
-// WrittenIn reports whether the record was written in an era of the store, or does not tell.
+// WrittenIn reports whether the record was written in the given era of the store or later, or
+// contains no era.
 func (r *Record) WrittenIn(era uint64) bool { return r.Era == 0 || r.Era > era }
 
-// SucceedIn returns the record under a new controller that writes it in an era of the store.
+// TakeOverInEra returns the record with a new controller that writes it in an era of the store.
 func (r *Record) SucceedIn(era uint64, controller Controller) *Record {
 	next := r.Succeed(controller)
 	if !r.WrittenIn(era) {
@@ -44,7 +47,7 @@
 	return next
 }
 
-// forgetHolders takes that holders and tokens are not all known.
+// addUnknownHolders accounts for holders and tokens that the record may not contain.
 func (r *Record) forgetHolders() {
 	r.Term += termsPerEra
 	r.LastToken += tokensPerEra
@@ -56,9 +59,9 @@
 	}
 }
 
-// Forgotten has the record written again that the store has forgotten, in the era in which it
-// has come back. No write may be under way. The controller must have authority: a successor
-// that the store has forgotten as well has changed nothing then.
+// RewriteLostRecord makes the record that the store has lost pending again, in the era since
+// the restore. No write may be in flight. The controller must have authority; a lost
+// successor's record has then not had any effect.
 func (m *Machine) Forgotten(era uint64) {
 	next := m.record
 	if m.pending != nil {
--- a/keyspace/era_test.go
+++ b/keyspace/era_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a record that the store held before it forgot a later one being taken for the
-// newest: it names owners that have released their keys.
+// Guards against taking the record in a restored store for the newest although later writes
+// were lost: it names owners that have released their keys.
 func TestForgottenRecordsAreNewerThanWhatTheStoreHolds(t *testing.T) {
 	one, two := Controller{Host: "one", Incarnation: 1}, Controller{Host: "two", Incarnation: 2}
 	first := First(one, 0, []Server{{ID: "a", Slots: 1}})
@@ -20,7 +20,7 @@
 	}
 	m.Written(0)
 	moved := m.Record()
-	assert.Assert(t, first.OlderThan(moved), "each write counts")
+	assert.Assert(t, first.OlderThan(moved), "each write makes a record newer")
 	assert.Assert(t, !moved.OlderThan(first) && !moved.OlderThan(moved))
 	successor := moved.SucceedIn(0, two)
 	assert.Assert(t, moved.OlderThan(successor))
@@ -28,21 +28,21 @@
 	m.Forgotten(1)
 	m.Written(0)
 	again := m.Record()
-	assert.Assert(t, successor.OlderThan(again), "a successor that the store forgot")
+	assert.Assert(t, successor.OlderThan(again), "newer than the record of a successor that the store has lost")
 	assert.Assert(t, again.WrittenIn(1) && !again.WrittenIn(2) && !moved.WrittenIn(1))
 	assert.Assert(t, again.LastToken >= moved.LastToken+tokensPerEra)
 	assert.DeepEqual(t, again.Ranges, moved.Ranges)
 }
 
-// Guards against a controller that knows neither holders nor tokens and grants keys at once:
-// the record that it took over is not the newest.
+// Guards against a controller that grants keys at once after it has taken over a record that
+// is not the newest, so that it knows neither all holders nor all tokens.
 func TestKeysOfAForgottenRecordWaitUntilAllLeasesHaveLapsed(t *testing.T) {
 	servers := []Server{{ID: "a", Slots: 1}, {ID: "b", Slots: 1}}
 	first := First(Controller{Host: "one", Incarnation: 1}, 0, servers)
 	known := first.SucceedIn(1, Controller{Host: "two", Incarnation: 2})
 	assert.Assert(t, known.LastToken > first.LastToken+tokensPerEra)
 	m := Adopt(known, 0, 0)
-	m.Stopped(0, first.Controller) // others that the store has forgotten may not have
+	m.Stopped(0, first.Controller) // controllers that the store has lost may still be running
 	granted := time.Duration(-1)
 	for now := time.Duration(0); now < 30*time.Second && granted < 0; now += 100 * time.Millisecond {
 		m.Confirm(now)
@@ -61,5 +61,5 @@
 	assert.Assert(t, granted >= AuthorityBound+LeaseTerm, "granted after %v", granted)
 	upgraded := First(Controller{Host: "one", Incarnation: 1}, 0, servers)
 	upgraded.Era = 0
-	assert.Equal(t, upgraded.SucceedIn(7, Controller{}).LastToken, upgraded.LastToken, "written by a host that tells no era")
+	assert.Equal(t, upgraded.SucceedIn(7, Controller{}).LastToken, upgraded.LastToken, "written by a host that reports no era")
 }
--- a/keyspace/faults_test.go
+++ b/keyspace/faults_test.go
@@ -9,13 +9,13 @@
 	"cicadarouter/fleet"
 )
 
-// bench is a machine for two servers, with the time in the test's hands.
+// harness runs a state machine for two servers, with the time under the test's control.
 type bench struct {
 	t       *testing.T
 	m       *Machine
 	now     time.Duration
 	servers []Server
-	// answer decides how a call ends; nil means done at once.
+	// answer decides the result of a call; nil means CallDone at once.
 	answer func(Call) CallResult
 	grants map[string]time.Duration // by server: when a grant was last sent
 }
@@ -29,7 +29,7 @@
 	return First(Controller{Host: "one", Incarnation: 1}, 0, []Server{{ID: "a", Slots: 2}, {ID: "b", Slots: 2}})
 }
 
-// run steps the machine until a time, with the store confirming it.
+// run steps the state machine until a time, with the store confirming the controller.
 func (b *bench) run(until time.Duration) {
 	for ; b.now < until; b.now += tick {
 		b.m.Confirm(b.now)
@@ -53,13 +53,13 @@
 	}
 }
 
-// owner returns who owns key 0 and whether it has confirmed.
+// owner returns the owner of key 0 and whether it has confirmed its grant.
 func (b *bench) owner() (string, bool) {
 	r := b.m.Record().At(0)
 	return r.Server, !r.Moving() && b.m.Granted(r)
 }
 
-// loseA lets server a fall silent and its entry go.
+// loseA makes server a unresponsive and removes its entry.
 func (b *bench) loseA() {
 	b.answer = func(call Call) CallResult {
 		if call.Server == "a" {
@@ -70,8 +70,8 @@
 	b.servers = b.servers[1:]
 }
 
-// silenceA lets server a fall silent; its entry lapses after three missed
-// heartbeats. It returns the servers as they were registered.
+// silenceA makes server a unresponsive. Its entry expires after three missed heartbeats. It
+// returns the servers as they were registered.
 func (b *bench) silenceA() []Server {
 	registered := b.servers
 	b.loseA()
@@ -82,10 +82,9 @@
 	return registered
 }
 
-// Symptom: two servers run requests for the same keys for a tenth of a second.
-// Sequence: a server falls silent but lives; its keys pass on when the lease has
-// run out on the controller's clock; the server's clock runs 2% slow.
-// Cause: the wait did not cover the slow clock.
+// Guards against two servers that run requests for the same keys for a tenth of a second. A
+// server becomes unresponsive but lives, and its clock runs 2% slow. Its keys move when the
+// lease has expired on the controller's clock, but not yet on the server's.
 func TestSilentServersLeaseRunsOutOnItsOwnClock(t *testing.T) {
 	b := newBench(t, New(twoServers(), 0, 0), 0)
 	b.run(3 * time.Second)
@@ -100,10 +99,9 @@
 	assert.Assert(t, b.grants["b"] >= last+onSlowClock, "b was granted the keys %v after a", b.grants["b"]-last)
 }
 
-// Symptom: two servers hold the same keys, seconds after a hand-over.
-// Sequence: a grant to a has no answer; a is to leave and confirms its release;
-// b gets the keys; then the first grant takes effect at a, late.
-// Cause: a release was taken to undo a grant that was still to take effect.
+// Guards against two servers that hold the same keys, seconds after a move. A grant to a is
+// unanswered; a is leaving and confirms its release, and b gets the keys. Then the delayed
+// grant takes effect at a. The release does not undo a grant that is still in flight.
 func TestUnansweredGrantOutlivesRelease(t *testing.T) {
 	b := newBench(t, New(twoServers(), 0, 0), 0)
 	b.run(2 * time.Second)
@@ -118,17 +116,16 @@
 	b.servers[0].Leaving = true
 	b.run(lost + LeaseTerm - 2*tick)
 	_, held := b.owner()
-	assert.Assert(t, !held, "the keys have an owner while the lost grant may yet take effect")
+	assert.Assert(t, !held, "the keys have an owner while the unanswered grant may still take effect")
 	b.run(lost + LeaseTerm + 2*time.Second)
 	owner, held := b.owner()
 	assert.Equal(t, owner, "b")
 	assert.Assert(t, held)
 }
 
-// Symptom: as above.
-// Sequence: a controller is cut off from the store for long; another takes over
-// and moves keys; the first renews the old owner's lease.
-// Cause: the controller went on granting without the store's word.
+// Guards against two holders of the same keys after a controller is disconnected from the
+// store for long. Another one takes over and moves keys, while the first keeps renewing the
+// old owner's lease without confirmation by the store.
 func TestNoGrantWithoutTheStoresWord(t *testing.T) {
 	b := newBench(t, New(twoServers(), 0, 0), 0)
 	b.run(2 * time.Second)
@@ -139,11 +136,9 @@
 	assert.Assert(t, !b.m.Authority(b.now))
 }
 
-// Symptom: as above.
-// Sequence: a controller is cut off from the store and goes on renewing; a
-// second takes over, asks a server to release its keys and passes them on; the
-// first renews the old owner's lease after the release.
-// Cause: a release was taken as final while an earlier controller could grant.
+// Guards against two holders of the same keys when a release is treated as final while an
+// earlier controller can still grant. That controller is disconnected from the store and
+// renews the old owner's lease after its successor got the release and moved the keys.
 func TestReleaseCountsOnceEarlierControllersHaveStopped(t *testing.T) {
 	record := twoServers()
 	record.Ranges[0].Former = []Holder{{Server: "a", Token: record.Ranges[0].Token}}
@@ -160,10 +155,9 @@
 	assert.Assert(t, held)
 }
 
-// Symptom: as above.
-// Sequence: controller one is cut off; two takes over, and resigns at once;
-// three takes over from two and moves keys, while one still renews them.
-// Cause: three only asked whether its predecessor had stopped.
+// Guards against a successor that only waits for its direct predecessor. Controller one is
+// disconnected; two takes over and resigns at once; three takes over from two and moves keys
+// that one still renews.
 func TestAllEarlierControllersMustHaveStopped(t *testing.T) {
 	second := twoServers().Succeed(Controller{Host: "two", Incarnation: 2})
 	third := second.Succeed(Controller{Host: "three", Incarnation: 3})
@@ -180,9 +174,8 @@
 	assert.Equal(t, len(afterResigning.Earlier), 1)
 }
 
-// Symptom: the keys of a live server pass to another while it runs requests.
-// Sequence: one grant to a server has no answer.
-// Cause: silence was taken for the end of the server.
+// Guards against moving the keys of a live server, which is running requests, because one
+// grant to it was unanswered.
 func TestSilenceIsNoProofOfTheEnd(t *testing.T) {
 	b := newBench(t, New(twoServers(), 0, 0), 0)
 	b.run(2 * time.Second)
@@ -194,7 +187,7 @@
 	b.servers = lost
 	b.run(b.now + 2*time.Second)
 	owner, held := b.owner()
-	assert.Assert(t, owner == "a" || !held, "the keys passed on within a's lease")
+	assert.Assert(t, owner == "a" || !held, "the keys moved within a's lease")
 }
 
 // The proof that a server's process has ended frees its keys at once.
@@ -209,10 +202,9 @@
 	assert.Assert(t, held)
 }
 
-// Symptom: the controller's host answers requests seconds late.
-// Sequence: 170 servers of two slots; four ranges a server; a call for each
-// range at every renewal, 570 calls a second.
-// Cause: the number of ranges grew with the servers without bound.
+// Guards against a number of ranges that makes the controller's host answer requests seconds
+// late. 170 servers of two slots had four ranges each, and a call for each range at every
+// renewal made 570 calls a second.
 func TestRangesOfAFirstAssignmentAreBounded(t *testing.T) {
 	for _, n := range []int{1, 3, 14, 170} {
 		var servers []Server
@@ -230,11 +222,10 @@
 	}
 }
 
-// Symptom: two servers hold the same keys, seconds after a hand-over.
-// Sequence: a grant to a has no answer; later ones have; a's two ranges are
-// joined; a is to leave and confirms its release; the first grant takes effect
-// at a, late, while the next owner has the keys.
-// Cause: joining the ranges forgot the grant that had no answer.
+// Guards against two servers that hold the same keys, seconds after a move. One grant to a is
+// unanswered, later ones are answered, and two ranges of a are merged. Then a is leaving and
+// confirms its release, and the delayed grant takes effect while the next owner has the
+// keys, if the merge has dropped the unanswered grant.
 func TestJoinedRangesKeepTheirUnansweredGrants(t *testing.T) {
 	record := &Record{Term: 1, Controller: Controller{Host: "one", Incarnation: 1}, LastToken: 4, Ranges: []Range{
 		{From: 0, To: 9999, Holder: Holder{Server: "a", Token: 1}}, {From: 10000, To: 19999, Holder: Holder{Server: "a", Token: 2}},
@@ -252,30 +243,28 @@
 	lost := b.grants["a"]
 	b.answer = nil
 	b.run(b.now + 10*tick)
-	b.servers[1].Leaving = true // a reason to write the record
+	b.servers[1].Leaving = true // so that the record is written
 	b.run(b.now + 4*tick)
-	assert.Assert(t, b.m.Record().At(0).To >= 19999, "the ranges of a are joined")
+	assert.Assert(t, b.m.Record().At(0).To >= 19999, "the ranges of a are merged")
 	b.servers[0].Leaving = true
 	b.run(lost + LeaseTerm - 2*tick)
 	owner, held := b.owner()
-	assert.Assert(t, owner != "a" && !held, "%s has the keys while the lost grant may yet take effect", owner)
+	assert.Assert(t, owner != "a" && !held, "%s has the keys while the unanswered grant may still take effect", owner)
 	b.run(lost + LeaseTerm + 2*time.Second)
 	_, held = b.owner()
 	assert.Assert(t, held)
 }
 
-// Symptom: for seconds after a failure domain was cut off and is back, its
-// servers run nothing and the others turn requests away.
-// Sequence: a server falls silent and its entry goes; it is back, with the same
-// process, before its lease has run out.
-// Cause: its keys were given to others although nobody could have them earlier.
+// Guards against overload for seconds after a failure domain was disconnected for less than a
+// lease. Its servers had lost their keys to others although no one could get the keys
+// before the leases expired.
 func TestKeysStayWithAnOwnerThatIsBackInTime(t *testing.T) {
 	b := newBench(t, New(twoServers(), 0, 0), 0)
 	b.run(2 * time.Second)
 	registered, token := b.servers, b.m.Record().LastToken
 	b.loseA()
 	b.servers = registered
-	b.run(b.now + 2*time.Second) // its entry lapses after three missed heartbeats
+	b.run(b.now + 2*time.Second) // its entry expires after three missed heartbeats
 	b.servers = registered[1:]
 	b.run(b.now + 1500*time.Millisecond)
 	b.servers, b.answer = registered, nil
@@ -286,8 +275,8 @@
 	assert.Equal(t, b.m.Record().LastToken, token)
 }
 
-// A server whose entry is gone but that answers is cut off from the registry
-// only: it releases its keys, which are served again at once.
+// A server without an entry that answers is only disconnected from the registry. It releases
+// its keys, and they are served by another server at once.
 func TestKeysOfAReachableServerPassOnAtOnce(t *testing.T) {
 	b := newBench(t, New(twoServers(), 0, 0), 0)
 	b.run(8 * time.Second)
@@ -298,8 +287,8 @@
 	assert.Assert(t, held)
 }
 
-// A controller that has just taken over asks a server without an entry whether
-// it answers, and does not wait for its lease.
+// A controller that has just taken over probes an owner without an entry instead of waiting
+// for its lease to expire.
 func TestSuccessorAsksLostOwners(t *testing.T) {
 	m := Adopt(twoServers().Succeed(Controller{Host: "two", Incarnation: 2}), 0, 0)
 	m.Stopped(0, Controller{Host: "one", Incarnation: 1})
@@ -313,7 +302,7 @@
 	assert.Assert(t, held)
 }
 
-// begun is a record in which controller one has begun to move the keys of a to b.
+// begun returns a record in which controller one has begun to move the keys of a to b.
 func begun(answered bool) *Record {
 	record := twoServers()
 	record.LastToken++
@@ -321,12 +310,10 @@
 	return record
 }
 
-// Symptom: a key that all callers ask for has no owner for ten seconds.
-// Sequence: the controller writes that the key is to move, from an owner that has
-// answered all grants, and its host is lost for good.
-// Cause: its successor waited until the controller could not grant any more, and
-// then for the longest lease that it could have granted. By the record that it
-// wrote last, it grants the keys to no one but their new owner.
+// Guards against a key that has no owner for ten seconds after the controller's host is lost.
+// The controller had just written a move from an owner that had answered all grants. Its
+// successor need not wait for the predecessor's authority and longest lease to expire: by
+// its last record the predecessor grants the keys only to their new owner.
 func TestSuccessorFinishesWhatItsPredecessorBegan(t *testing.T) {
 	start := time.Minute
 	b := newBench(t, Adopt(begun(true).Succeed(Controller{Host: "two", Incarnation: 2}), start, start), start)
@@ -336,10 +323,9 @@
 	assert.Assert(t, held)
 }
 
-// Symptom: two servers hold the same keys.
-// Sequence: as above, but a grant to the old owner had no answer, or a controller
-// before the lost one could still renew its lease.
-// Cause: the old owner's release was taken as final.
+// Guards against two holders of the same keys in the same situation when a grant to the old
+// owner was unanswered, or when a still earlier controller may renew its lease. The old
+// owner's release is not final then.
 func TestSuccessorWaitsForGrantsThatMayTakeEffect(t *testing.T) {
 	cutOff := begun(true)
 	cutOff.Earlier = []Controller{{Host: "zero", Incarnation: 9}}
@@ -355,7 +341,7 @@
 	}
 }
 
-// What the record says of grants is what the controller knows of them.
+// The record of a move says whether the controller got answers to all of its grants.
 func TestRecordTellsWhetherGrantsWereAnswered(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		b := newBench(t, New(twoServers(), 0, 0), 0)
@@ -380,11 +366,10 @@
 	}
 }
 
-// Symptom: a third of all keys has no owner for six seconds.
-// Sequence: a server falls silent; when its lease has run out its keys are given
-// to others; all hosts are killed before those are granted them.
-// Cause: the record still named the silent server as one that may hold the keys,
-// and the successor waited for the longest lease once more.
+// Guards against a third of all keys having no owner for six seconds. An unresponsive server's
+// lease has expired and its keys are given to others; all hosts are killed before those are
+// granted the keys. If the record still names the unresponsive server as a holder, the
+// successor waits for the longest lease again.
 func TestKeysWhoseLeaseHasRunOutAreGivenByOneRecord(t *testing.T) {
 	b := newBench(t, New(twoServers(), 0, 0), 0)
 	b.run(2 * time.Second)
--- a/keyspace/first.go
+++ b/keyspace/first.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// AssignFirst proposes the first assignment of a service whose record has none. It reports
-// whether it did: the record must be acknowledged and the controller have authority.
+// AssignInitially proposes the first assignment of a service whose record has none, and
+// reports whether it did. The record must be acknowledged and the controller have authority.
 //
-// An earlier controller that has proposed one meets this controller's record when it writes,
-// and nobody grants what no acknowledged record says, so nothing has to be waited for. Only
-// a store that has come back from a copy may have forgotten an assignment.
+// No wait is needed: an earlier controller's proposal fails because this controller's record
+// has replaced the one that it read, and no one grants what no acknowledged record contains.
+// Only a store that was restored from a backup may have lost an assignment.
 func (m *Machine) AssignFirst(now time.Duration, servers []Server) bool {
 	if !m.record.Unassigned || m.pending != nil || len(servers) == 0 || !m.Authority(now) {
 		return false
 	}
 	next := m.record.Clone()
-	m.nameRelays(next) // hosts that start again learn from the record whom to ask
+	m.nameRelays(next) // hosts that restart find relays in the record
 	next.Unassigned = false
 	forgotten := next.LastToken > 0
 	next.assign(servers)
@@ -25,8 +25,8 @@
 	return true
 }
 
-// bindForgotten makes each range wait until whatever a forgotten assignment may have granted
-// has lapsed.
+// awaitUnknownLeases makes each range wait until every lease that a lost assignment may have
+// granted has expired.
 func (m *Machine) bindForgotten(now time.Duration, next *Record) {
 	lapsed := lapse(now + AuthorityBound + clockMargin + underWay)
 	for i := range next.Ranges {
--- a/keyspace/fuzz_test.go
+++ b/keyspace/fuzz_test.go
@@ -10,9 +10,9 @@
 	"cicadarouter/fleet"
 )
 
-// Whatever calls are lost, late or take effect long after they arrived, whoever
-// believes to be the controller, and whichever servers leave, end or are cut
-// off: no key is ever held by two servers that are up.
+// No key is ever held by two running servers, whichever calls are lost or delayed or take
+// effect long after their arrival, whichever processes act as the controller, and whichever
+// servers leave, end or are disconnected.
 func TestNoKeyIsHeldTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -20,7 +20,7 @@
 	})
 }
 
-// The same from a service's first claim on, before any key is assigned.
+// The same from the first claim of a service on, before any key is assigned.
 func TestNoKeyIsHeldTwiceAfterAFirstClaim(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newUnassignedWorld(t)
@@ -28,7 +28,7 @@
 	})
 }
 
-// A controller that has yet to assign keys is replaced; every key has an owner nevertheless.
+// Every key gets an owner even if the controller is replaced before it has assigned any.
 func TestSuccessorMakesTheFirstAssignment(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newUnassignedWorld(t)
@@ -47,7 +47,7 @@
 func (w *world) actions() map[string]func(*rapid.T) {
 	pickHost := func(t *rapid.T) *trueHost { return rapid.SampledFrom(w.hosts).Draw(t, "host") }
 	known := func(t *rapid.T) *Record {
-		if w.stored.OlderThan(w.latest) && rapid.Bool().Draw(t, "it knows what the store has forgotten") {
+		if w.stored.OlderThan(w.latest) && rapid.Bool().Draw(t, "it knows the record that the store has lost") {
 			return w.latest
 		}
 		return w.stored
@@ -96,8 +96,8 @@
 			}
 			w.confirm(h)
 		},
-		"the store is copied":                              func(*rapid.T) { w.copied, w.copyOf = w.stored.Clone(), w.version },
-		"the store comes back from its copy":               func(*rapid.T) { w.comeBack() },
+		"the store is backed up":                           func(*rapid.T) { w.copied, w.copyOf = w.stored.Clone(), w.version },
+		"the store backup is restored":                     func(*rapid.T) { w.comeBack() },
 		"a host takes over, its predecessor being cut off": func(t *rapid.T) { w.claim(pickHost(t), known(t)) },
 		"a controller resigns, and a host takes over": func(t *rapid.T) {
 			w.resign()
@@ -131,12 +131,12 @@
 				h.cut = false
 			}
 		},
-		"a host freezes or thaws":                          func(t *rapid.T) { h := pickHost(t); h.frozen = !h.frozen },
-		"an entry comes or goes":                           func(t *rapid.T) { s := pickServer(t); s.registered = !s.registered },
-		"a server begins to leave, or thinks better of it": func(t *rapid.T) { s := pickServer(t); s.leaving = !s.leaving },
-		"a server ends and others know": func(t *rapid.T) {
+		"a host freezes or unfreezes":      func(t *rapid.T) { h := pickHost(t); h.frozen = !h.frozen },
+		"an entry comes or goes":           func(t *rapid.T) { s := pickServer(t); s.registered = !s.registered },
+		"a server begins or stops leaving": func(t *rapid.T) { s := pickServer(t); s.leaving = !s.leaving },
+		"a server ends and others get proof": func(t *rapid.T) {
 			s := pickServer(t)
-			s.up, s.registered, s.holds, s.taken = false, rapid.Bool().Draw(t, "its entry has not lapsed"), nil, true
+			s.up, s.registered, s.holds, s.taken = false, rapid.Bool().Draw(t, "its entry has not expired"), nil, true
 			for _, h := range w.hosts {
 				if h.machine != nil {
 					h.machine.Ended(fleet.Incarnation{ID: s.id, Start: s.start})
@@ -145,13 +145,13 @@
 		},
 		"a server starts again under its ID": func(t *rapid.T) {
 			s := pickServer(t)
-			// Mostly later than before; the clock may have been set back.
+			// Usually later than before, but the clock may have been set back.
 			s.restart(s.start + int64(rapid.SampledFrom([]int{1, 800, 5000, -3000}).Draw(t, "later by ms")))
-			if rapid.Bool().Draw(t, "its entry tells") {
+			if rapid.Bool().Draw(t, "its entry is updated") {
 				s.tells()
 			}
 		},
-		"an entry catches up": func(t *rapid.T) {
+		"an entry catches up with its server": func(t *rapid.T) {
 			s := pickServer(t)
 			s.tells()
 			s.registered = true
@@ -189,7 +189,7 @@
 	return rapid.SampledFrom(fitting).Draw(t, "call")
 }
 
-// answer tells a controller of a call that took effect.
+// answer passes the result of a call that took effect to its controller.
 func (w *world) answer(c *trueCall) {
 	c.told = true
 	switch {
@@ -202,7 +202,7 @@
 	}
 }
 
-// calmTick lets everything that is under way succeed.
+// faultFreeTick lets everything in flight succeed.
 func (w *world) calmTick() {
 	for _, h := range w.hosts {
 		if h.machine != nil && !h.frozen && !h.cut {
@@ -227,8 +227,8 @@
 	w.advance(tick)
 }
 
-// Without faults, every key has an owner that holds it, also after a server
-// has left and another has come.
+// Without faults, every key is held by its owner, also after one server has left and another
+// has joined.
 func TestCalmAssignmentIsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
--- a/keyspace/keyless_test.go
+++ b/keyspace/keyless_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// A controller without keys has nothing to grant or move, and says so in its record.
+// A controller without keys has nothing to grant or move, and marks its record as keyless.
 func TestControllerWithoutKeys(t *testing.T) {
 	one, two := Controller{Host: "one", Incarnation: 1}, Controller{Host: "two", Incarnation: 2}
 	first := FirstKeyless(one, 0)
@@ -27,5 +27,5 @@
 	assert.Equal(t, len(adopted.Unproven(time.Second)), 0)
 	next.Ranges = First(two, 0, []Server{{ID: "a", Slots: 1}}).Ranges
 	assert.Assert(t, next.Check() != nil, "ranges in a record without keys")
-	assert.Assert(t, (&Record{}).Check() != nil, "a record of keys without ranges")
+	assert.Assert(t, (&Record{}).Check() != nil, "a record with keys but no ranges")
 }
--- a/keyspace/large_test.go
+++ b/keyspace/large_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// largeServices are services of hundreds of servers of four slots, at 65% of
-// them, a third of whose requests turns to 200 keys side by side.
+// largeServices returns services of hundreds of servers with four slots each, at 65% load. A
+// third of the requests turns to 200 adjacent keys.
 func largeServices() map[string]keyLoad {
 	loads := map[string]keyLoad{}
 	for _, servers := range []int{434, 1100} {
@@ -20,11 +20,9 @@
 	return loads
 }
 
-// Symptom: a few servers turn away a third of a service's requests for as long as
-// its keys are hot, and the assignment never changes.
-// Sequence: a service has 434 servers, and so 434 ranges; 200 keys side by side
-// turn hot.
-// Cause: the ranges of a service were bounded by 400, whatever its servers.
+// Guards against a few servers rejecting a third of a service's requests while 200 adjacent
+// keys are hot. With a fixed limit of 400 ranges, a service of 434 servers had no ranges left
+// to split, and its assignment never changed.
 func TestReplayHotKeysOfHundredsOfServers(t *testing.T) {
 	for name, l := range largeServices() {
 		t.Run(name, func(t *testing.T) {
@@ -35,8 +33,8 @@
 	}
 }
 
-// Each range costs a call for every renewal, so hot keys that come and go must not
-// leave ever more of them.
+// Guards against a number of ranges that grows as hot keys come and go. Each range costs a
+// call per renewal.
 func TestRangesStayBounded(t *testing.T) {
 	for _, servers := range []int{8, 434, 1100} {
 		var listed []Server
@@ -61,8 +59,8 @@
 	}
 }
 
-// largeReports are what the hosts of a large fleet tell in half a second: each
-// was asked for a few of 60,000 keys.
+// largeReports returns the reports of the hosts of a large fleet in half a second. Each host
+// got requests for a few of 60,000 keys.
 func largeReports(hosts, requests int) []map[uint16]time.Duration {
 	random := rand.New(rand.NewPCG(3, 4))
 	reports := make([]map[uint16]time.Duration, hosts)
@@ -75,9 +73,9 @@
 	return reports
 }
 
-// BenchmarkReports is the processor time of a controller for the reports of 300
-// hosts in half a second, 1,500 requests: 18 ms while each report decayed the loads
-// of all keys, 0.08 ms with loads kept as of one moment.
+// BenchmarkReports measures the controller's processor time for the reports of 300 hosts in
+// half a second, with 1,500 requests: 18 ms when each report decayed the loads of all keys,
+// 0.08 ms with loads stored relative to a base time.
 func BenchmarkReports(b *testing.B) {
 	reports := largeReports(300, 5)
 	loads := NewKeyLoads()
@@ -99,9 +97,9 @@
 	}
 }
 
-// BenchmarkStep is the processor time of one step of a controller of 434 servers,
-// 60 of which don't answer, and of the keys asked for in 10 s: 0.95 ms while each step
-// made a ledger of all keys, 0.25 ms with one made when something moves.
+// BenchmarkStep measures the processor time of one step of a controller of 434 servers, of
+// which 60 don't answer, with the keys requested in 10 s: 0.95 ms when each step built a load
+// model of all keys, 0.25 ms when it is built only if something moves.
 func BenchmarkStep(b *testing.B) {
 	var servers []Server
 	for i := range 434 {
@@ -135,8 +133,8 @@
 	}
 }
 
-// BenchmarkPlan is the processor time of one plan for balance: 434 servers, 20,000
-// keys with some load, and 200 keys side by side that ask for a third of it: 17 ms.
+// BenchmarkPlan measures the processor time of one plan for balance with 434 servers, 20,000
+// keys with some load and 200 adjacent keys with a third of the load: 17 ms.
 func BenchmarkPlan(b *testing.B) {
 	var servers []Server
 	for i := range 434 {
@@ -163,10 +161,9 @@
 	b.ReportMetric(float64(moves), "moves")
 }
 
-// Symptom: small hosts answer late while keys move.
-// Sequence: 100 keys change their owners; each move ends at a moment of its own, as
-// the requests at the old owner do; each end is a record, which every host decodes.
-// Cause: a record was written as soon as anything had changed.
+// Guards against slow answers of small hosts while keys move. 100 keys change owners, and
+// each move ends at its own time, when the old owner's requests end. Without a minimum
+// interval each end writes a record, which every host decodes.
 func TestMovesThatEndSoonAfterEachOtherShareARecord(t *testing.T) {
 	const pace = 120 * time.Millisecond
 	var servers []Server
--- a/keyspace/lease.go
+++ b/keyspace/lease.go
@@ -7,35 +7,35 @@
 	"cicadarouter/fleet"
 )
 
-// lease is what is known of one holder of one range. It lives in memory only.
+// lease is the in-memory state of one holder of one range.
 type lease struct {
-	// until is when the holder's lease has surely run out.
+	// expiry is when the holder's lease has certainly expired.
 	until time.Duration
-	// late is when an unanswered grant, which may still take effect although a
-	// release was answered, has surely run out.
+	// unansweredExpiry is when the leases of all unanswered grants have certainly expired.
+	// Such a grant may take effect even after an answered release.
 	late     time.Duration
 	released bool
 	handoff  string
 	calling  bool
-	next     time.Duration // not granted again before
-	retry    time.Duration // not asked to release again before
-	silent   bool          // the last grant had no answer: probe before granting again
-	backAt   time.Duration // when the server last answered after it had been silent
-	heard    bool          // the last call had an answer
+	next     time.Duration // no grant before
+	retry    time.Duration // no release call before
+	silent   bool          // the last grant or probe was unanswered: probe before the next grant
+	backAt   time.Duration // when the server answered again after being unresponsive
+	heard    bool          // the last call was answered
 	granted  bool
 	stale    bool // refused: the server has seen a higher token
-	// successor is set if a later incarnation was asked to release the keys: it
-	// never worked on them and has nothing to hand over.
+	// successorAsked is set if a later incarnation was asked to release the keys. It never
+	// worked on them and has nothing to hand over.
 	successor bool
 }
 
-// leaseKey names a lease: the holder's token is unique for a range and a time.
+// leaseKey identifies a lease. The holder's token is unique per range and assignment.
 type leaseKey struct {
 	from, to uint16
 	holder   Holder
 }
 
-// forget drops leases that the record no longer speaks of.
+// dropUnusedLeases drops leases that are no longer in the record.
 func (m *Machine) forget() {
 	current := map[leaseKey]bool{}
 	for i := range m.record.Ranges {
@@ -69,8 +69,8 @@
 	return l
 }
 
-// over reports whether a holder surely holds its keys no more: its lease has run
-// out, or it has released them and no unanswered grant can take effect.
+// lapsed reports whether a holder certainly holds its keys no more: its lease has expired, or
+// it has released them and no unanswered grant can take effect.
 func (l *lease) over(now time.Duration) bool {
 	return now >= l.until || l.released && now >= l.late
 }
--- a/keyspace/loads.go
+++ b/keyspace/loads.go
@@ -9,58 +9,58 @@
 )
 
 const (
-	// loadMemory is the time constant of the measured load: a group of keys that
-	// turns busy is known within two reports of the hosts.
+	// loadTimeConstant is the time constant of the measured load. A group of keys that
+	// becomes busy is noticed within two reports of the hosts.
 	loadMemory = 1500 * time.Millisecond
-	// leastRate is the busy slots below which a key's load is forgotten.
+	// minRate is the number of busy slots below which a key's load is dropped.
 	leastRate = 0.002
 )
 
-// KeyLoads is the smoothed load that is asked of single keys, in slots: what
-// the owner would have busy if it could take on every request. What a full
-// owner serves says nothing of how much more is asked.
+// KeyLoads is the smoothed demand for each key, in slots: how many slots the owner would
+// have busy if it could accept every request. The number of requests that a fully loaded
+// owner serves does not show how many more are wanted.
 //
-// Load pattern: hundreds of hosts report twice a second, tens of thousands of keys
-// are asked for now and then. All loads decay alike, so they are kept as of one
-// moment, base, and what is added later is scaled up; only when the base moves is
-// every key looked at. With every key decayed at each report, the reports of 300
-// hosts took a controller 18 ms in each half second (go test -bench Reports).
+// Load pattern: hundreds of hosts report twice a second, with tens of thousands of keys each
+// requested occasionally. All loads decay at the same rate, so they are stored relative to
+// one time, base, and later additions are scaled up. Only a change of the base visits every
+// key. Decaying every key at each report cost a controller with 300 hosts 18 ms per half
+// second (go test -bench Reports).
 type KeyLoads struct {
-	// rates are the loads in slots, as of base; what came later counts for more.
+	// rates are the loads in slots relative to base; later additions have a larger weight.
 	rates map[uint16]float64
 	base  time.Duration
 	at    time.Duration // of the last report
-	// work is how long one request holds a slot.
+	// serviceTime is how long one request occupies a slot.
 	work time.Duration
 }
 
-// rebaseAfter is how long the base stays: a few times the loads' memory, so that
-// most keys that are forgotten are dropped soon.
+// rebaseInterval is how long the base is kept: a few time constants, so that most keys
+// below minRate are dropped soon.
 const rebaseAfter = 2 * loadMemory
 
-// NewKeyLoads returns loads without observations.
+// NewKeyLoads returns an empty KeyLoads.
 func NewKeyLoads() *KeyLoads { return &KeyLoads{rates: map[uint16]float64{}} }
 
-// Any reports whether any key has been asked for lately.
+// Any reports whether any key has been requested recently.
 func (k *KeyLoads) Any() bool { return len(k.rates) > 0 }
 
-// Add takes the slot time that requests for keys asked for at one host, up to
-// now. work is how long one request holds a slot.
-func (k *KeyLoads) Add(now time.Duration, asked map[uint16]time.Duration, work time.Duration) {
-	k.at, k.work = now, work
+// Add adds the slot time that requests for keys demanded at one host, up to now.
+// serviceTime is how long one request occupies a slot.
+func (k *KeyLoads) Add(now time.Duration, demand map[uint16]time.Duration, serviceTime time.Duration) {
+	k.at, k.work = now, serviceTime
 	if now-k.base >= rebaseAfter {
 		k.rebase(now)
 	}
 	scale := 1 / decayed(now-k.base)
-	for key, held := range asked {
-		k.rates[key] += scale * float64(held) / float64(loadMemory)
+	for key, slotTime := range demand {
+		k.rates[key] += scale * float64(slotTime) / float64(loadMemory)
 	}
 }
 
-// decayed is what is left of a load after some time.
+// decayFactor is the fraction of a load that is left after some time.
 func decayed(after time.Duration) float64 { return math.Exp(-float64(after) / float64(loadMemory)) }
 
-// rebase expresses all loads as of now, and forgets the least ones.
+// rebase converts all loads to be relative to now, and drops the smallest ones.
 func (k *KeyLoads) rebase(now time.Duration) {
 	factor := decayed(now - k.base)
 	k.base = now
@@ -73,18 +73,18 @@
 	}
 }
 
-// each calls take with each key's load, in the order of the keys.
-func (k *KeyLoads) each(take func(keyRate)) {
+// forEach calls visit with each key's load, in key order.
+func (k *KeyLoads) each(visit func(keyRate)) {
 	factor := decayed(k.at - k.base)
 	for _, key := range slices.Sorted(maps.Keys(k.rates)) {
 		if rate := factor * k.rates[key]; rate >= leastRate {
-			take(keyRate{key: key, rate: rate})
+			visit(keyRate{key: key, rate: rate})
 		}
 	}
 }
 
-// chance is the standard deviation of a measured load: some of what is measured
-// of an even load is the luck of the last requests.
+// stdDev is the standard deviation of a measured load, which comes from the random arrival
+// of the most recent requests.
 func (k *KeyLoads) chance(load float64) float64 {
 	return math.Sqrt(load * float64(k.work) / float64(loadMemory))
 }
@@ -95,20 +95,20 @@
 	rate float64
 }
 
-// ledger is the load of the servers as a plan is made.
+// loadModel is the load of the servers while a plan is made.
 type ledger struct {
 	loads    *KeyLoads
 	capacity map[string]float64
 	load     map[string]float64
 	keys     map[string][]keyRate
-	asked    []keyRate      // all keys that are asked for, in order
-	spans    map[string]int // keys owned
-	// saturated are the servers that this plan gives a key that fills them.
+	asked    []keyRate      // all requested keys, in order
+	spans    map[string]int // number of keys by owner
+	// saturated contains the servers to which this plan moves a key that saturates them.
 	saturated map[string]bool
 	names     []string
-	// receivers are the servers that may be given keys.
+	// receivers are the servers to which keys may be moved.
 	receivers []string
-	// ranges is how many more ranges the record may have.
+	// rangesLeft is how many more ranges the record may have.
 	ranges int
 }
 
@@ -133,7 +133,7 @@
 			return
 		}
 		l.load[r.Server] += asked.rate
-		if !r.Moving() { // else not before it has arrived
+		if !r.Moving() { // keys that are still moving can't be moved again
 			l.keys[r.Server] = append(l.keys[r.Server], asked)
 		}
 	})
@@ -143,7 +143,7 @@
 	return l
 }
 
-// busyIn returns the keys of a range that are asked for, in order.
+// busyIn returns the requested keys of a range, in order.
 func (l *ledger) busyIn(r *Range) []keyRate {
 	from, _ := slices.BinarySearchFunc(l.asked, r.From, func(k keyRate, key uint16) int { return cmp.Compare(k.key, key) })
 	to := from
@@ -153,18 +153,18 @@
 	return l.asked[from:to]
 }
 
-// full is the load of a server over its slots.
+// utilization is the load of a server divided by its capacity.
 func (l *ledger) full(name string) float64 { return l.load[name] / l.capacity[name] }
 
-// lightest returns the receiver that is least busy, by load and then by keys.
+// leastUtilized returns the receiver with the lowest utilization, then the fewest keys.
 func (l *ledger) lightest() string {
 	return slices.MinFunc(l.receivers, func(a, b string) int {
 		return cmp.Or(cmp.Compare(l.full(a), l.full(b)), cmp.Compare(l.spans[a], l.spans[b]))
 	})
 }
 
-// overloaded returns the servers that have more than their share, the fullest
-// first. share is the mean load over the slots.
+// overloaded returns the servers that have more than their share, the most utilized first.
+// share is the mean utilization of all servers.
 func (l *ledger) overloaded(share float64) []string {
 	var over []string
 	for _, name := range l.names {
@@ -177,7 +177,7 @@
 	return over
 }
 
-// mean is the load of all servers over their slots.
+// meanUtilization is the load of all servers divided by their capacity.
 func (l *ledger) mean() float64 {
 	load, capacity := 0.0, 0.0
 	for _, name := range l.names {
--- a/keyspace/loads_test.go
+++ b/keyspace/loads_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Loads decay by their memory, whenever reports come, and are forgotten in the end.
+// Loads decay with their time constant whenever reports come, and are dropped in the end.
 func TestKeyLoadsDecay(t *testing.T) {
 	loads := NewKeyLoads()
 	loads.Add(0, map[uint16]time.Duration{1: loadMemory}, time.Millisecond)
@@ -27,11 +27,11 @@
 		assert.Assert(t, got[2] >= 0.1 && got[2] < 0.5, "%v", got[2])
 	}
 	loads.Add(30*time.Second, nil, time.Millisecond)
-	assert.Equal(t, len(loads.rates), 0, "what nobody asks for takes memory")
+	assert.Equal(t, len(loads.rates), 0, "keys without requests take memory")
 }
 
-// The record names relays that live. A write for that alone is made only when it names
-// none, since each write has a price.
+// The record names live relays. Because writes are costly, the relays alone cause a write
+// only when none of those in the record is a relay any more.
 func TestRecordNamesRelays(t *testing.T) {
 	servers := []Server{{ID: "a", Slots: 2, Speed: 1}}
 	b := newBench(t, New(First(Controller{Host: "one"}, 0, servers), 0, 0), 0)
--- a/keyspace/plan.go
+++ b/keyspace/plan.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Move takes the keys to another server.
+// Move assigns the keys to another server.
 type Move struct {
 	From, To uint16
 	Server   string
@@ -14,50 +14,46 @@
 
 // Policy of placement.
 const (
-	// planEvery is the least time between plans for balance: the reports of all
-	// hosts come once within it. Loads are those of keys, so a plan knows the
-	// effect of the one before without waiting for it.
+	// planInterval is the minimum time between two plans for balance; every host reports once
+	// within it. Loads are measured per key, so a plan can account for the moves of the
+	// previous one without waiting for them.
 	planEvery = 500 * time.Millisecond
-	// tolerance is the load over the fair share that is left alone.
+	// overloadTolerance is the load relative to the fair share up to which a server is left alone.
 	tolerance = 1.25
-	// busyShare is the share of its slots that the fullest server must have
-	// busy before load is worth a move.
+	// minUtilization is the utilization below which a server's load is not worth a move.
 	busyShare = 0.45
-	// movesPerPlan and serversPerMove bound the moves of one plan, which hold
-	// requests back for as long as those at the old owners run: four, or one for
-	// each four servers. A group of keys that takes a third of a service's load
-	// needs a third of its servers.
+	// movesPerPlan and serversPerMove bound the moves of one plan to four, or one per four
+	// servers. A move holds requests back until those running at the old owner end. A group
+	// of keys with a third of a service's load needs a third of its servers.
 	movesPerPlan   = 4
 	serversPerMove = 4
-	// leastMostRanges and rangesPerServer bound the ranges of a service: each costs
-	// the controller a call for every renewal, 330 a second for a small service and
-	// 1.7 a second for each server of a large one. A group of hot keys that takes a
-	// third of the load needs a range for each of its keys, up to one a server.
+	// minRangeLimit and rangesPerServer bound the ranges of a service. Each range costs the
+	// controller a call per renewal: 330 calls a second for a small service, 1.7 a second per
+	// server for a large one. A group of hot keys with a third of the load needs a range for
+	// each of its keys, up to one per server.
 	leastMostRanges = 400
 	rangesPerServer = 2
-	// overFill is how far a receiver may be filled over its share: keys can't
-	// be cut as finely as the load.
+	// maxOverfill is how far a receiver may be filled beyond its share, because keys can't be
+	// divided as finely as the load.
 	overFill = 1.3
-	// worthwhile is the fullness of a receiver after the move of a single busy
-	// key over that of its owner before it, above which the move only turns
-	// the two about.
+	// maxRelativeUtilization bounds the utilization of a receiver after the move of a single
+	// busy key, relative to the owner's utilization before it. Above the bound the move would
+	// only swap the roles of the two servers.
 	worthwhile = 0.8
-	// leastSpan is the least share of what is wanted that is worth a move.
+	// minMoveShare is the least part of the wanted load that is worth a move.
 	leastSpan = 0.1
 )
 
-// cutsOfMove is by how many ranges a move of some keys from the middle of a range
-// makes the record grow.
+// rangesAddedByMove is how many ranges a move of keys from the middle of a range adds.
 const cutsOfMove = 2
 
-// rangesAllowed is the most ranges of a service. A bound that does not follow the
-// servers ends all balancing of a service that has as many: with 400 for 434
-// servers, 0.68 of the demand fitted while 200 keys were hot, 0.91 with it.
+// rangeLimit is the maximum number of ranges of a service. A limit that did not grow with
+// the servers would stop all balancing of a service with that many servers: with 400 ranges
+// for 434 servers, 0.68 of the demand could be served while 200 keys were hot, against 0.91.
 func rangesAllowed(servers int) int { return max(leastMostRanges, rangesPerServer*servers) }
 
-// evacuations moves the ranges that do not stay with their owners, which are gone
-// or leaving. They are cut so that no single server takes over all of a lost one's
-// load.
+// evacuations moves the ranges that do not stay with their owners, which are gone or
+// leaving. Busy ranges are split so that no single server takes over a lost server's load.
 func evacuations(record *Record, servers []Server, loads *KeyLoads, stays func(*Range) bool) []Move {
 	var leaving []*Range
 	for i := range record.Ranges {
@@ -66,7 +62,7 @@
 		}
 	}
 	if len(leaving) == 0 {
-		return nil // nearly always: the ledger looks at every key
+		return nil // the usual case; building the load model visits every key
 	}
 	l := newLedger(record, servers, loads)
 	if len(l.receivers) == 0 {
@@ -80,14 +76,14 @@
 }
 
 const (
-	// partsOfLost is into how many parts a busy range of a lost server is cut.
+	// partsPerLostRange is the number of parts into which a busy range of a lost server is split.
 	partsOfLost = 3
-	// wholeShare is the share of a server's mean load up to which a range is
-	// left whole.
+	// maxWholeRangeShare is the load, relative to a server's mean load, up to which a range
+	// is not split.
 	wholeShare = 0.25
 )
 
-// spread divides a range among the lightest servers.
+// spreadRange divides a range among the least utilized servers.
 func (l *ledger) spread(r *Range) []Move {
 	busy := l.busyIn(r)
 	total := 0.0
@@ -119,10 +115,10 @@
 	return moves
 }
 
-// rebalance moves load off servers that have more than their share, and gives
-// servers without keys some. It fills as many servers as it takes up to their
-// share: making two servers even at a time leaves a group of busy keys in pairs
-// of servers that are both too full for as many plans as it takes to halve it.
+// rebalance moves load away from servers that have more than their share, and gives some
+// to servers without keys. It fills as many servers as needed up to their share. Balancing
+// two servers at a time would leave a group of busy keys on pairs of overloaded servers
+// until enough plans had halved it.
 func rebalance(record *Record, servers []Server, loads *KeyLoads) []Move {
 	l := newLedger(record, servers, loads)
 	if len(l.names) < 2 || len(l.receivers) == 0 {
@@ -140,8 +136,8 @@
 	return moves
 }
 
-// next returns the move that helps most: to the least full server, from the
-// fullest that has something to give.
+// nextMove returns the most useful move: to the least utilized server, from the most
+// utilized one that has suitable keys.
 func (l *ledger) next(record *Record, share float64) (Move, bool) {
 	to := l.lightest()
 	if l.spans[to] == 0 {
@@ -162,7 +158,7 @@
 	return Move{}, false
 }
 
-// join gives a server without keys its share, from the fullest server.
+// fillEmptyServer gives a server without keys its share, from the most utilized server.
 func (l *ledger) join(record *Record, to string) (Move, bool) {
 	from := slices.MaxFunc(l.names, func(a, b string) int { return cmp.Compare(l.full(a), l.full(b)) })
 	want := (l.full(from) - l.full(to)) / (1/l.capacity[from] + 1/l.capacity[to])
@@ -172,7 +168,7 @@
 	return l.half(record, to)
 }
 
-// half gives a server that joins half of the widest range, when no load is known.
+// splitWidest gives a server half of the widest range, for when no run of busy keys fits.
 func (l *ledger) half(record *Record, to string) (Move, bool) {
 	var widest *Range
 	for i := range record.Ranges {
@@ -190,17 +186,17 @@
 	return Move{From: middle, To: widest.To, Server: to}, true
 }
 
-// keySpan is a run of busy keys within one range.
+// keyRun is a run of busy keys within one range.
 type keySpan struct {
 	from, to uint16
 	load     float64
-	first, n int // its keys, as an index into the server's
-	cuts     int // ranges that the record grows by
+	first, n int // position and number of its keys in the server's list of keys
+	cuts     int // ranges that the move adds to the record
 }
 
-// span returns the run of a server's keys within one of its ranges whose load
-// comes nearest to what is wanted without exceeding it by much. Idle keys at the
-// ends of the range go with it, so that ranges don't crumble.
+// bestRun returns the run of a server's keys within one range whose load is closest to
+// want, without exceeding it by much. Idle keys at the ends of the range are included, so
+// that ranges don't fragment.
 func (l *ledger) span(record *Record, name string, want float64) (keySpan, bool) {
 	keys := l.keys[name]
 	var best keySpan
@@ -224,11 +220,10 @@
 	return best, best.n > 0 && best.load >= want*leastSpan
 }
 
-// busiestKey returns the busiest single key whose move makes the fuller of the
-// two servers less full. Where keys are busier than what a server lacks, no run
-// of keys fits, and the owner of several such keys would keep them all. A key
-// that is nearly all of its owner's load stays: another owner would be as full,
-// and the key would go on from server to server.
+// busiestKey returns the busiest key whose move lowers the higher utilization of the two
+// servers. Where single keys are busier than the room of a server, no run of keys fits, and
+// the owner of several such keys would keep them all. A key with nearly all of its
+// owner's load stays: the next owner would be as full, and the key would keep moving.
 func (l *ledger) busiestKey(record *Record, from, to string) (keySpan, bool) {
 	var best keySpan
 	for i, busy := range l.keys[from] {
@@ -245,15 +240,14 @@
 	return best, best.n > 0
 }
 
-// saturatedShare is the share of its owner's slots that a single key must ask for to
-// decide by itself how much of it is served.
+// saturatedShare is the part of its owner's capacity from which a single key counts as
+// saturating the owner, whose speed then decides how much of the key's load is served.
 const saturatedShare = 0.9
 
-// saturating returns the busiest key of a server if it fills its owner by itself, and
-// the fastest server, if that serves enough more of it to be worth the move. No
-// server has room for such a key, so the least full one is not looked for. The
-// other keys of its new owner leave that with the next plans. A server that has
-// such a key already is not given another.
+// saturatingMove returns the busiest key of a server if it saturates its owner, and the
+// fastest server if that serves enough more of the load to be worth the move. No server has
+// room for such a key, so the least utilized one is not chosen. Later plans move the new
+// owner's other keys away. A server that already has such a key is not given another.
 func (l *ledger) saturating(record *Record, from string) (span keySpan, fastest string, ok bool) {
 	i := l.saturatedBy(from)
 	if i < 0 {
@@ -276,8 +270,8 @@
 	return span, fastest, true
 }
 
-// saturatedBy returns the index of the busiest of a server's keys if that fills the
-// server by itself, or -1.
+// saturatingKey returns the index of a server's busiest key if it saturates the server by
+// itself, or -1.
 func (l *ledger) saturatedBy(name string) int {
 	busiest, most := -1, saturatedShare*l.capacity[name]
 	for i, busy := range l.keys[name] {
@@ -288,8 +282,8 @@
 	return busiest
 }
 
-// widen returns the run of a server's keys with the idle keys of its range
-// beside it, if it reaches to an end of the range's busy keys.
+// includeIdleKeys returns a run of a server's keys extended over the idle keys beside it
+// if it reaches the first or last busy key of the range.
 func (l *ledger) widen(r *Range, name string, first, last int) keySpan {
 	keys := l.keys[name]
 	span := keySpan{from: keys[first].key, to: keys[last].key, first: first, n: last - first + 1}
@@ -308,7 +302,7 @@
 	return span
 }
 
-// move takes a run of keys from one server to another.
+// applyMove accounts for a move of a run of keys between two servers.
 func (l *ledger) move(span keySpan, from, to string) Move {
 	l.load[from] -= span.load
 	l.load[to] += span.load
--- a/keyspace/plan_test.go
+++ b/keyspace/plan_test.go
@@ -8,16 +8,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// serverSpeeds are those of a service's servers, over their mean.
+// serverSpeeds are the speeds of a service's servers relative to their mean.
 var serverSpeeds = []float64{0.6, 1, 1.4, 0.6, 1, 1.4}
 
-// hotKey is a key that all callers ask for; it is with a slow server at first.
+// hotKey is a key that all callers request. A slow server owns it at first.
 const hotKey = 1000
 
-// replayHotKey plays a service of two slots a server, of the serverSpeeds above, with a
-// background of 55% of its slots, and one key that asks from second 2 on for 6
-// slots. It returns the requests for that key that its owners could have run, each
-// of 60 ms at speed 1, and the machine's bench.
+// replayHotKey simulates a service with two slots per server and the serverSpeeds above. It
+// has a background load of 55% of its slots, and from second 2 on one key with a demand of
+// 6 slots. It returns the number of requests for that key that its owners could have run,
+// each of 60 ms at speed 1, and the harness.
 func replayHotKey(t *testing.T, until time.Duration) (served float64, b *bench) {
 	const work, background, hotFrom = 60 * time.Millisecond, 0.55, 2 * time.Second
 	var servers []Server
@@ -49,24 +49,22 @@
 	return served, b
 }
 
-// Symptom: of the requests for a key that all callers ask for a fifth is served,
-// where another server would serve twice as many.
-// Sequence: a key asks for three times what its owner can do; the owner is a slow
-// server, or one of mean speed.
-// Cause: no server had room for such a key, so it stayed where it was.
+// Guards against serving a fifth of the requests for a key where another server would serve
+// twice as many. The key's demand is three times the capacity of its owner, a server of low
+// or mean speed. No server has room for such a key, so it must not be moved by room alone.
 func TestReplayKeyThatFillsItsOwner(t *testing.T) {
 	served, b := replayHotKey(t, 7*time.Second)
 	r := b.m.Record().At(hotKey)
 	t.Logf("%.0f requests in 5 s, at last by %s", served, r.Server)
 	assert.Assert(t, r.Server == "s2" || r.Server == "s5", "the key is with %s", r.Server)
-	assert.Assert(t, served > 190, "%.0f requests", served) // 5 s of the fastest server: 233
+	assert.Assert(t, served > 190, "%.0f requests", served) // the fastest server could run 233 in 5 s
 	token := r.Token
 	_, b = replayHotKey(t, 12*time.Second)
-	assert.Equal(t, b.m.Record().At(hotKey).Server, r.Server, "it stays there")
+	assert.Equal(t, b.m.Record().At(hotKey).Server, r.Server, "the key stays there")
 	assert.Equal(t, b.m.Record().At(hotKey).Token, token)
 }
 
-// Two keys that fill their owners are not given to one server.
+// Two keys that saturate their owners are not moved to the same server.
 func TestKeysThatFillTheirOwnersStayApart(t *testing.T) {
 	servers := []Server{{ID: "a", Slots: 2, Speed: 0.6}, {ID: "b", Slots: 2, Speed: 0.6}, {ID: "c", Slots: 2, Speed: 1.4}}
 	record := First(Controller{}, 0, servers)
--- a/keyspace/recordjson.go
+++ b/keyspace/recordjson.go
@@ -7,37 +7,37 @@
 	"strings"
 )
 
-// Thousands of ranges are written column by column: a host reads them in a tenth of the time
-// that it takes one by one, each time that the assignment changes.
+// Records with thousands of ranges are stored column by column. Each host reads the record
+// at every change of the assignment, ten times as fast as with one object per range.
 
-// columnsFrom is from how many ranges on a record is written in columns.
+// minColumnRanges is the number of ranges from which a record is stored in columns.
 const columnsFrom = 1024
 
-// serverSeparator parts the servers of a column. A record with a server whose ID has one is
-// not written in columns.
+// serverSeparator separates the servers of a column. A record with a server whose ID contains
+// it is not stored in columns.
 const serverSeparator = "\n"
 
-// rangeColumns are the ranges of a record, column by column. Numbers are big-endian, of two
-// bytes in To and of eight in the others.
+// rangeColumns are the ranges of a record, column by column. Numbers are big-endian, with two
+// bytes in To and eight in the others.
 type rangeColumns struct {
-	// To are the last keys; each range begins after the one before.
+	// To contains the last keys. Each range starts after the end of the one before.
 	To []byte `json:"to"`
-	// Servers are the owners, parted by serverSeparator.
+	// Servers contains the owners, separated by serverSeparator.
 	Servers string `json:"servers"`
 	Starts  []byte `json:"starts"`
 	Tokens  []byte `json:"tokens"`
-	// Moving are the ranges that have former holders.
+	// Moving contains the ranges that have former holders.
 	Moving []movingRange `json:"moving,omitempty"`
 }
 
-// movingRange is a range between owners.
+// movingRange holds the fields of a moving range that have no column.
 type movingRange struct {
 	Index    int      `json:"index"`
 	Former   []Holder `json:"former"`
 	Answered bool     `json:"answered,omitempty"`
 }
 
-// recordFields are the fields of a record without its methods.
+// recordFields is a Record without its methods.
 type recordFields Record
 
 // wireRecord is a record as it is stored.
@@ -89,7 +89,7 @@
 	servers := strings.Split(c.Servers, serverSeparator)
 	n := len(servers)
 	if len(c.To) != 2*n || len(c.Starts) != 8*n || len(c.Tokens) != 8*n {
-		return &InvariantError{What: "columns have different lengths"}
+		return &InvariantError{What: "the columns have different lengths"}
 	}
 	r.Ranges = make([]Range, n)
 	from := 0
@@ -101,7 +101,7 @@
 	}
 	for _, moving := range c.Moving {
 		if moving.Index < 0 || moving.Index >= n {
-			return &InvariantError{What: "columns name a range that is not there"}
+			return &InvariantError{What: "the moving column has an index that is out of range"}
 		}
 		r.Ranges[moving.Index].Former, r.Ranges[moving.Index].Answered = moving.Former, moving.Answered
 	}
--- a/keyspace/recordjson_test.go
+++ b/keyspace/recordjson_test.go
@@ -10,11 +10,11 @@
 	"pgregory.net/rapid"
 )
 
-// A record is the same after it has been stored, whatever the number of its ranges.
+// A record is unchanged by encoding and decoding, whatever the number of its ranges.
 func TestRecordsAreReadAsTheyWereWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{1, 10, columnsFrom - 1, columnsFrom, columnsFrom + 500}).Draw(t, "servers")
-		starts := rapid.Bool().Draw(t, "servers tell their starts")
+		starts := rapid.Bool().Draw(t, "servers report their starts")
 		var servers []Server
 		for i := range n {
 			server := Server{ID: fmt.Sprintf("s%d", i), Slots: 1}
@@ -51,7 +51,7 @@
 	}
 }
 
-// BenchmarkRecordRead is what a host spends on reading an assignment.
+// BenchmarkRecordRead measures what a host spends on decoding an assignment.
 func BenchmarkRecordRead(b *testing.B) {
 	for _, n := range []int{columnsFrom - 1, 4018} {
 		var servers []Server
--- a/keyspace/renew.go
+++ b/keyspace/renew.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// stepRange renews an owner, or brings a move forward.
+// stepRange renews the grant of an owner, or continues a move.
 func (m *Machine) stepRange(now time.Duration, r *Range, live map[string]Server, calls []Call) []Call {
 	free := true
 	handoff := ""
@@ -37,23 +37,23 @@
 		}
 		return calls
 	case m.replaced(now, r.Holder, server):
-		return calls // it is granted the keys once the record gives them to it
+		return calls // granted once the record names the later incarnation
 	case now < l.next || m.changing(r):
 		return calls
 	case l.silent:
 		return m.probe(now, r, l, calls)
 	}
 	l.calling = true
-	// Whoever may hold keys from now on is not known to have ended: a server that
-	// does not tell its starts may be back under its ID at another address.
+	// An earlier proof of the holder's end no longer applies once it may hold keys: a
+	// server that does not report its start time may be back at another address.
 	delete(m.ended, r.Incarnation())
 	return append(calls, Call{Kind: GrantCall, Holder: r.Holder, From: r.From, To: r.To, Handoff: handoff})
 }
 
-// probe asks an owner that left a grant unanswered, or has no entry, whether it
-// answers. One range of the server is as good as all. It goes on as long as the
-// lease lasts: a server that is back is granted its keys, and the answer of
-// another at its address proves that it has ended, which frees them.
+// probeOwner probes an owner that left a grant unanswered or has no entry. One probe serves
+// for all ranges of the server. Probing continues until the lease expires: a server that is
+// back is granted its keys, and if another server answers at the address the owner is
+// proven to have ended, which frees its keys.
 func (m *Machine) probe(now time.Duration, r *Range, l *lease, calls []Call) []Call {
 	server := r.Incarnation()
 	if now < m.probeAt[server] || m.hasEnded(r.Holder) {
@@ -64,8 +64,8 @@
 	return append(calls, Call{Kind: ProbeCall, Holder: r.Holder, From: r.From, To: r.To})
 }
 
-// changing reports whether the pending record takes the range from its owner:
-// renewing it would only lengthen the wait.
+// changePending reports whether the pending record takes the range from its owner. A renewal
+// would only lengthen the wait for the lease.
 func (m *Machine) changing(r *Range) bool {
 	if m.pending == nil {
 		return false
@@ -74,19 +74,19 @@
 	return next == nil || next.Holder != r.Holder || next.To != r.To
 }
 
-// answered reports whether all grants to the owner of a range have been answered
-// that may still take effect.
+// grantsAnswered reports whether every grant to the owner of a range that may still take
+// effect has been answered.
 func (m *Machine) answered(now time.Duration, r *Range) bool {
 	l := m.lease(r, r.Holder)
 	return !l.calling && now >= l.late
 }
 
-// clear reports whether a former holder surely holds the keys no more.
+// holderCleared reports whether a former holder certainly holds the keys no more.
 func (m *Machine) clear(now time.Duration, r *Range, former Holder, l *lease) bool {
 	if l.over(now) {
 		return true
 	}
-	// The process of an earlier incarnation of the owner has ended. What reached
-	// the later one in its place that one holds itself, and the keys are its own.
+	// An earlier incarnation of the owner has ended. Grants that reached the later
+	// incarnation instead do no harm, because the later one owns the keys.
 	return r.Incarnation().Replaces(former.Incarnation())
 }
--- a/keyspace/replay_test.go
+++ b/keyspace/replay_test.go
@@ -13,8 +13,8 @@
 	"cicadarouter/ratelimit"
 )
 
-// keyLoad is a load on the keys of a service: a background over all keys, and
-// from some moment a share of all requests for few keys that lie side by side.
+// keyLoad is a load on the keys of a service: a background load over all keys, and from
+// hotFrom on a share of all requests for a few adjacent keys.
 type keyLoad struct {
 	servers   int
 	slots     int
@@ -25,33 +25,33 @@
 	hotFrom   time.Duration
 	length    time.Duration
 	seed      uint64
-	// limited servers, the first ones, take some requests a second from limitFrom on. told
-	// says whether the plan knows.
+	// The first limited servers accept limit requests per second from limitFrom on. told
+	// reports whether the plan knows the limit.
 	limited   int
 	limit     float64
 	limitFrom time.Duration
 	told      bool
-	// patience is how long a request waits for a place there.
+	// patience is how long a request waits for a permit of a limited server.
 	patience time.Duration
 	fill     float64
 }
 
-// limitedAt reports whether a server takes a limited number of requests at a time.
+// limitedAt reports whether a server's requests per second are limited at a time.
 func (l keyLoad) limitedAt(now time.Duration, server string) bool {
 	return now >= l.limitFrom && server < serverName(l.limited)
 }
 
 func serverName(i int) string { return fmt.Sprintf("s%03d", i) }
 
-// keyVerdict is what a replay found while the keys were hot.
+// replayResult is the outcome of a replay while the keys were hot.
 type keyVerdict struct {
-	fits  float64 // share of the demand that the keys' owners could take on while the keys were hot
-	moved float64 // keys that changed hands, as a share of all keys
+	fits  float64 // share of the demand that the keys' owners could accept
+	moved float64 // keys that changed owners, as a share of all keys
 }
 
 func (v keyVerdict) String() string { return fmt.Sprintf("fits %.3f, moved %.3f", v.fits, v.moved) }
 
-// replayKeys plays the load against a machine whose calls are answered at once.
+// replayKeys simulates the load with a state machine whose calls are answered at once.
 func replayKeys(t *testing.T, l keyLoad) keyVerdict {
 	var servers []Server
 	for i := range l.servers {
@@ -97,7 +97,7 @@
 	return verdict
 }
 
-// arrivals draws the slot time that is asked for in one tick, by key.
+// arrivals draws the slot time that is demanded in one tick, by key.
 func (l keyLoad) arrivals(random *rand.Rand, hot bool, hotAt uint16) map[uint16]time.Duration {
 	arrived := map[uint16]time.Duration{}
 	mean := l.perSecond * tick.Seconds()
@@ -111,15 +111,14 @@
 	return arrived
 }
 
-// backlogs is the slot time that is asked of each server and not yet given.
+// backlogs is the demanded slot time that has not been served yet, by server.
 type backlogs map[string]float64
 
-// mostWait is how long a request may wait for a slot, in service times; beyond
-// it is turned away.
+// maxWait is how long a request may wait for a slot, in service times, before it is rejected.
 const mostWait = 2
 
-// take returns the demand of a tick and what of it the owners of the keys take
-// on. Keys between owners are turned away.
+// take returns the demand of a tick and the part of it that the owners of the keys accept.
+// Requests for moving keys are rejected.
 func (b backlogs) take(l keyLoad, now time.Duration, record *Record, arrived map[uint16]time.Duration, places map[string]*ratelimit.Schedule) (demand, taken float64) {
 	for server, left := range b {
 		b[server] = max(0, left-float64(l.slots)*tick.Seconds())
@@ -165,27 +164,25 @@
 	return n
 }
 
-// manyServers is a service of 170 small servers, a third of whose requests turn
-// to 200 keys side by side.
+// manyServers returns a service of 170 small servers. A third of its requests turns to 200
+// adjacent keys.
 func manyServers() keyLoad {
 	return keyLoad{servers: 170, slots: 2, perSecond: 1200, work: 160 * time.Millisecond,
 		hotShare: 0.33, hotKeys: 200, hotFrom: 4 * time.Second, length: 9 * time.Second, seed: 1}
 }
 
-// Symptom: a third of a service's requests is turned away for as long as a
-// group of keys is busy.
-// Sequence: a third of all requests turns to 200 keys side by side, 20 times
-// what their one owner can run; each plan moves half of the load of the fullest
-// server to one other, and the next plan waits until all moves have ended.
-// Cause: the plan made pairs of servers even, in place of filling as many
-// servers as it takes to their share.
+// Guards against rejecting a third of a service's requests while a group of keys is busy. A
+// third of all requests turns to 200 adjacent keys, 20 times the capacity of their one owner.
+// Plans that move half of the fullest server's load to one other server, and wait for all
+// moves to end before the next plan, take too long; a plan must fill as many servers as
+// needed up to their share.
 func TestReplayHotKeysOfManyServers(t *testing.T) {
 	verdict := replayKeys(t, manyServers())
 	t.Log(verdict)
 	assert.Assert(t, verdict.fits > 0.85)
 }
 
-// The same with few servers of four slots, at 60% of the slots.
+// The same with few servers of four slots, at 60% load.
 func TestReplayHotKeysOfFewServers(t *testing.T) {
 	l := manyServers()
 	l.servers, l.slots, l.perSecond, l.work = 14, 4, 370, 90*time.Millisecond
@@ -194,10 +191,8 @@
 	assert.Assert(t, verdict.fits > 0.9)
 }
 
-// Symptom: keys change hands all the time although the load is even.
-// Sequence: every server is asked for its share; chance gives some more for a
-// while; the plan takes that for load worth moving.
-// Cause: no allowance for chance.
+// Guards against moving keys all the time under an even load. Random arrival gives some
+// servers more load for a while, which a plan must not treat as worth moving.
 func TestReplayEvenLoadMovesFewKeys(t *testing.T) {
 	l := manyServers()
 	l.hotShare, l.hotFrom, l.length = 0, 2*time.Second, 12*time.Second
@@ -206,15 +201,15 @@
 	assert.Assert(t, verdict.moved < 0.25)
 }
 
-// limitedServers is a service of ten servers at half of their load, two of which take a
-// quarter of what they are asked for.
+// limitedServers returns a service of ten servers at half of their load. Two of them accept a
+// quarter of their demand.
 func limitedServers(seed uint64, hotShare float64, told bool) keyLoad {
 	return keyLoad{servers: 10, slots: 2, perSecond: 118, work: 90 * time.Millisecond, hotShare: hotShare, hotKeys: 60, hotFrom: 8 * time.Second, length: 30 * time.Second, seed: seed,
 		limited: 2, limit: 2.8, limitFrom: 8 * time.Second, told: told, patience: 210 * time.Millisecond, fill: 0.5}
 }
 
-// Guards against servers that keep keys which ask for several times the limits that they
-// name.
+// Guards against servers that keep keys with several times the demand of the limits that the
+// servers announce.
 func TestReplayLimitedOwnersLoseKeys(t *testing.T) {
 	for _, hotShare := range []float64{0, 0.36} {
 		for seed := range uint64(2) {
--- a/keyspace/restart.go
+++ b/keyspace/restart.go
@@ -5,28 +5,27 @@
 	"time"
 )
 
-// A server may start again under its ID. Its process then holds none of its
-// keys and has forgotten the tokens that it saw, while the record still names
-// the process that ended.
+// A server may restart under its ID. The new process holds no keys and has lost the tokens
+// that the old one had seen, while the record still names the old process.
 //
-// What goes wrong without care: the record's token is renewed, and a grant of
-// the earlier incarnation's that is still on its way is as good as the newest;
-// the keys pass to another server on the word that the earlier process has
-// ended, while the later one was granted them by a call that was meant for the
-// earlier; or nobody notices, and every request for the keys is refused until
-// the next renewal. So the record names the incarnation, the later one is given
-// the keys anew with a higher token, and whatever may have reached either of
-// them binds the owner (see finishMoves).
+// Three failures must be prevented. If the token in the record were renewed, a delayed grant
+// to the earlier incarnation would be as valid as the newest one. If the proof that the
+// earlier process has ended freed the keys, they would move to another server while the later
+// process may hold them by a call meant for the earlier one. And if the restart went
+// unnoticed, every request for the keys would be refused until the next renewal.
+//
+// The record therefore names the incarnation, the later one is granted the keys with a
+// higher token, and the owner inherits the leases of its earlier incarnations (see
+// finishMoves).
 
-// earlierBelieved is for how long an owner's entry must name an earlier start
-// than the record before the record is taken to be behind. A controller that
-// takes over may itself be behind its predecessor's record, by 2 s at most; a
-// server whose clock was set back between two starts names the earlier one for
-// good.
+// earlierStartDelay is how long an owner's entry must have an earlier start than the record
+// before the record counts as outdated. A controller that takes over may itself see entries
+// that are up to 2 s behind its predecessor's record. A server whose clock was set back
+// between two starts keeps the earlier start.
 const earlierBelieved = 3 * time.Second
 
-// noteEarlierStarts notes since when the entries of owners have named earlier
-// starts than the record.
+// noteEarlierStarts records since when the entries of owners have had earlier starts than
+// the record.
 func (m *Machine) noteEarlierStarts(now time.Duration, live map[string]Server) {
 	behind := map[string]bool{}
 	for i := range m.record.Ranges {
@@ -47,7 +46,7 @@
 	}
 }
 
-// replaced reports whether a holder's server runs as another incarnation now.
+// restarted reports whether a holder's server now runs as another incarnation.
 func (m *Machine) replaced(now time.Duration, holder Holder, server Server) bool {
 	if server.Start > holder.Start {
 		return true
@@ -56,9 +55,9 @@
 	return behind && server.Start < holder.Start && now-since >= earlierBelieved
 }
 
-// grantAnew gives the keys of owners that have started again to their new
-// incarnations, with new tokens. It needs no word of earlier controllers: the
-// keys stay with the server, and what those may still grant has lower tokens.
+// reassignRestarted gives the keys of restarted owners to their new incarnations with new
+// tokens. This need not wait for earlier controllers: the keys stay with the server, and
+// grants by those controllers have lower tokens.
 func (m *Machine) grantAnew(now time.Duration, next *Record, live map[string]Server) bool {
 	changed := false
 	for i := range next.Ranges {
@@ -74,16 +73,16 @@
 	return changed
 }
 
-// callingEarlier reports whether a call to an earlier incarnation of the owner
-// is under way: it may yet reach the owner.
+// formerCallInFlight reports whether a call to an earlier incarnation of the owner is in
+// flight. It may still reach the owner.
 func (m *Machine) callingEarlier(r *Range) bool {
 	return slices.ContainsFunc(r.Former, func(former Holder) bool {
 		return former.Server == r.Server && m.lease(r, former).calling
 	})
 }
 
-// inherit binds an owner by the calls that were made to its earlier
-// incarnations.
+// inheritLeases extends an owner's lease by those of its earlier incarnations, whose calls
+// may have reached it.
 func (m *Machine) inherit(r *Range) {
 	own := m.lease(r, r.Holder)
 	for _, former := range r.Former {
--- a/keyspace/restart_test.go
+++ b/keyspace/restart_test.go
@@ -11,8 +11,7 @@
 
 const laterStart = firstStart + 5000
 
-// restarting is a bench whose server a has told its start, and that has run for
-// a while.
+// restarting returns a harness that has run for a while. Its server a reports its start time.
 func restarting(t *testing.T) *bench {
 	b := newBench(t, nil, 0)
 	b.servers[0].Start = firstStart
@@ -21,10 +20,9 @@
 	return b
 }
 
-// Symptom: every request for a server's keys is refused for a second after it
-// has started again.
-// Sequence: a server crashes and starts again under its ID within a renewal.
-// Cause: the controller told servers by their IDs, and waited for the renewal.
+// Guards against refusing every request for a server's keys for a second after it crashed and
+// restarted under its ID between two renewals. A controller that tells servers apart only
+// by ID would wait for the next renewal.
 func TestServerThatStartedAgainIsGrantedItsKeysAtOnce(t *testing.T) {
 	b := restarting(t)
 	before := b.m.Record().LastToken
@@ -34,15 +32,13 @@
 	owner, held := b.owner()
 	assert.Equal(t, owner, "a")
 	assert.Equal(t, r.Start, int64(laterStart))
-	assert.Assert(t, r.Token > before, "a key passes to another incarnation with a higher token")
+	assert.Assert(t, r.Token > before, "another incarnation is granted the key with a higher token")
 	assert.Assert(t, held)
 }
 
-// Symptom: a server that has just started again takes a token that was its
-// predecessor's.
-// Sequence: the entry of the new incarnation is known, the record that names it
-// is not written yet; a renewal is due.
-// Cause: the renewal was made to whoever has the ID.
+// Guards against a restarted server that accepts its predecessor's token. The entry of the
+// new incarnation is known, the record that names it is not written yet, and a renewal is
+// due, which must not go to whichever process has the ID.
 func TestLaterIncarnationIsNotRenewedUnderTheEarlierToken(t *testing.T) {
 	b := restarting(t)
 	b.servers[0].Start = laterStart
@@ -55,11 +51,9 @@
 	}
 }
 
-// Symptom: two servers hold the same keys.
-// Sequence: a server starts again under its ID; the controller's renewal, made
-// before it knew, reaches the new process; the keys are moved to another server.
-// Cause: the end of the earlier process was taken to free the keys, while the
-// later one held them.
+// Guards against two servers that hold the same keys. A server restarts under its ID, and a
+// renewal that the controller sent before it knew reaches the new process. The end of the
+// earlier process must not free the keys for another server.
 func TestKeysOfARestartedServerPassOnWithItsWordOnly(t *testing.T) {
 	b := restarting(t)
 	b.servers[0].Start, b.servers[0].Leaving = laterStart, true
@@ -89,11 +83,9 @@
 	assert.Assert(t, held)
 }
 
-// Symptom: the keys of a server that started again are served slowly by their
-// next owner, which was told that it has their state.
-// Sequence: the later incarnation, which never worked on the keys, is asked to
-// release them and answers with a hand-over of nothing.
-// Cause: the hand-over was passed on as that of the last holder.
+// Guards against serving the keys of a restarted server slowly because their next owner was
+// told that it has their state. The later incarnation never worked on the keys, so the
+// empty hand-over of its release must not be passed on.
 func TestLaterIncarnationHandsNothingOver(t *testing.T) {
 	b := restarting(t)
 	b.servers[0].Start, b.servers[0].Leaving = laterStart, true
@@ -116,13 +108,10 @@
 	assert.Equal(t, handed, "")
 }
 
-// Symptom: two servers hold the same keys, seconds after a server started again
-// for the second time.
-// Sequence: a grant to a server has no answer; the server starts again and is
-// given the keys anew; they pass to another server, whose grant is at its start;
-// the unanswered grant reaches the server that has started again once more and
-// has forgotten the tokens that would have refused it.
-// Cause: what bound the earlier incarnation was forgotten with it.
+// Guards against two servers that hold the same keys, seconds after the second restart of a
+// server. A grant to it is unanswered; it restarts and is granted the keys again; they move
+// to another server. Then the delayed grant reaches the server, which has restarted once more
+// and lost the tokens that would have refused it. Leases must outlive the incarnation.
 func TestUnansweredGrantBindsLaterIncarnations(t *testing.T) {
 	b := restarting(t)
 	b.answer = func(call Call) CallResult {
@@ -148,10 +137,9 @@
 	assert.Assert(t, held)
 }
 
-// Symptom: two servers hold the same keys.
-// Sequence: a server's process is proven to have ended; it starts again under
-// its ID and is given keys; they pass on without its word.
-// Cause: the proof was kept by ID.
+// Guards against two servers that hold the same keys. A server's process is proven to have
+// ended, and the server restarts under its ID and is granted keys. A proof kept by ID would
+// let them move without its release.
 func TestProofOfTheEndIsOfOneIncarnation(t *testing.T) {
 	b := restarting(t)
 	b.m.Ended(fleet.Incarnation{ID: "a", Start: firstStart})
@@ -159,15 +147,15 @@
 	b.run(b.now + time.Second)
 	_, held := b.owner()
 	assert.Assert(t, held)
-	b.m.Ended(fleet.Incarnation{ID: "a", Start: firstStart}) // told once more
+	b.m.Ended(fleet.Incarnation{ID: "a", Start: firstStart}) // a repeated proof
 	b.loseA()
 	b.run(b.grants["a"] + LeaseTerm)
 	owner, held := b.owner()
-	assert.Assert(t, owner == "a" || !held, "the keys passed on within the lease of the later incarnation")
+	assert.Assert(t, owner == "a" || !held, "the keys moved within the lease of the later incarnation")
 }
 
-// The same for a server that does not tell its starts: it holds keys again once
-// it is granted some.
+// The same for a server that does not report its start time: it may hold keys again once it
+// is granted some.
 func TestProofOfTheEndIsOverWithTheNextGrant(t *testing.T) {
 	b := newBench(t, New(twoServers(), 0, 0), 0)
 	b.run(2 * time.Second)
@@ -177,13 +165,12 @@
 	b.loseA()
 	b.run(b.grants["a"] + LeaseTerm)
 	owner, held := b.owner()
-	assert.Assert(t, owner == "a" || !held, "the keys passed on within a's lease")
+	assert.Assert(t, owner == "a" || !held, "the keys moved within a's lease")
 }
 
-// Symptom: two servers hold the same keys.
-// Sequence: a grant is on its way when another server answers at the address;
-// the server starts again and the grant reaches it.
-// Cause: the proof was taken to cover calls that had not ended.
+// Guards against two servers that hold the same keys. A grant is in flight when another
+// server answers at the address; then the server restarts and the grant reaches it. The proof
+// must not cover calls that have not ended.
 func TestProofOfTheEndDoesNotCoverCallsUnderWay(t *testing.T) {
 	b := restarting(t)
 	b.now += renewEvery
@@ -197,18 +184,18 @@
 	b.loseA()
 	b.run(sent + LeaseTerm)
 	owner, held := b.owner()
-	assert.Assert(t, owner == "a" || !held, "the keys passed on within the lease that was under way")
+	assert.Assert(t, owner == "a" || !held, "the keys moved within the lease that was in flight")
 }
 
-// Symptom: a server runs nothing until the controller is replaced.
-// Sequence: the clock of a server's machine is set back between two starts.
-// Cause: an earlier start was taken for old news for ever.
+// Guards against a server that runs nothing until the controller is replaced, because its
+// machine's clock was set back between two starts and the earlier start counts as outdated
+// forever.
 func TestServerWhoseClockWasSetBackIsGrantedItsKeys(t *testing.T) {
 	b := restarting(t)
 	before := b.m.Record().At(0).Token
 	b.servers[0].Start = firstStart - 5000
 	b.run(b.now + earlierBelieved - tick)
-	assert.Equal(t, b.m.Record().At(0).Token, before, "a controller may be behind the record that it took over")
+	assert.Equal(t, b.m.Record().At(0).Token, before, "a controller's entries may be behind the record that it took over")
 	b.run(b.now + 6*tick)
 	assert.Assert(t, b.m.Record().At(0).Token > before)
 	assert.Equal(t, b.m.Record().At(0).Start, int64(firstStart-5000))
@@ -216,17 +203,16 @@
 	assert.Assert(t, held)
 }
 
-// Symptom: the keys of servers that ended have no owner for eleven seconds.
-// Sequence: a controller is lost for good together with a server; its successor
-// learns that another server answers at the address of the one that ended.
-// Cause: it moved nothing until its predecessor could not grant any more, although
-// nobody can grant anything to a process that has ended.
+// Guards against keys without an owner for eleven seconds after a controller was lost for
+// good together with a server. Its successor gets proof that the server has ended, and need
+// not wait until the predecessor can't grant any more, because grants to an ended process
+// have no effect.
 func TestSuccessorMovesKeysOfServersThatEnded(t *testing.T) {
 	start := time.Minute
 	b := newBench(t, Adopt(twoServers().Succeed(Controller{Host: "two", Incarnation: 2}), start, start), start)
 	registered := b.servers
 	b.loseA()
-	b.servers = registered // its entry has not lapsed yet
+	b.servers = registered // its entry has not expired yet
 	b.run(start + time.Second)
 	owner, _ := b.owner()
 	assert.Equal(t, owner, "a")
@@ -236,14 +222,12 @@
 	assert.Equal(t, owner, "b")
 	assert.Assert(t, held)
 	assert.Assert(t, !b.m.Settled(b.now))
-	assert.Equal(t, len(b.m.Record().Earlier), 1, "the earlier controller is not forgotten")
+	assert.Equal(t, len(b.m.Record().Earlier), 1, "the earlier controller is still listed")
 }
 
-// Symptom: the keys of a server that crashed have no owner until its lease has run
-// out, although another server answers at its address.
-// Sequence: a server leaves a grant unanswered; its entry lapses; its address is
-// used again.
-// Cause: it was not asked any more once its entry was gone.
+// Guards against keys that have no owner until the lease of a crashed server expires, although
+// another server answers at its address. The server left a grant unanswered, and its entry
+// expired before the address was reused, so probing must continue without an entry.
 func TestSilentOwnerIsAskedUntilItsLeaseRunsOut(t *testing.T) {
 	b := newBench(t, New(twoServers(), 0, 0), 0)
 	b.run(2 * time.Second)
@@ -257,16 +241,15 @@
 		return unanswered(call)
 	}
 	b.run(b.now + LeaseTerm - entryLapse - renewEvery)
-	assert.Assert(t, len(probes) > 3, "asked %d times", len(probes))
+	assert.Assert(t, len(probes) > 3, "probed %d times", len(probes))
 	for at, n := range probes {
-		assert.Equal(t, n, 1, "one call a server, at %v", at)
+		assert.Equal(t, n, 1, "probes of the server at %v", at)
 	}
 }
 
-// Symptom: a server's ranges are renewed one by one for seconds after a short cut.
-// Sequence: all grants to a server of several ranges are unanswered; it is back
-// and answers a probe.
-// Cause: the answer counted for one range alone.
+// Guards against renewing a server's ranges one by one for seconds after a short
+// disconnection. All grants to a server with several ranges are unanswered; its answer to one
+// probe must count for all of them.
 func TestAnswerToAProbeIsForAllRanges(t *testing.T) {
 	b := newBench(t, New(twoServers(), 0, 0), 0)
 	b.run(2 * time.Second)
@@ -285,8 +268,8 @@
 	}
 }
 
-// A successor leaves the keys of servers that may hold them where they are as long
-// as its predecessor can grant them: nobody could have them earlier.
+// A successor does not move keys that a server may hold while its predecessor can still grant
+// them: no one could have them earlier.
 func TestSuccessorMovesNothingElseAtFirst(t *testing.T) {
 	start := time.Minute
 	b := newBench(t, Adopt(twoServers().Succeed(Controller{Host: "two", Incarnation: 2}), start, start), start)
@@ -297,12 +280,9 @@
 	assert.Assert(t, !b.m.Record().At(0).Moving())
 }
 
-// Symptom: for seconds after a failure domain was cut off and is back, a quarter of
-// all requests find no owner.
-// Sequence: a domain is cut off for about as long as a lease; its servers answer
-// again; their entries come back with their next heartbeats.
-// Cause: a server that answered without an entry was taken for one that is cut off
-// from the registry, and all of its keys were moved.
+// Guards against a quarter of all requests finding no owner for seconds after a failure domain
+// was disconnected for about as long as a lease. Its servers answer again before their entries
+// are back; a server that answers without an entry must get time to register again.
 func TestKeysStayWithServersThatAreAboutToRegisterAgain(t *testing.T) {
 	b := newBench(t, New(twoServers(), 0, 0), 0)
 	b.run(2 * time.Second)
@@ -318,7 +298,7 @@
 	assert.Assert(t, held)
 	assert.Equal(t, b.m.Record().LastToken, token, "nothing was moved")
 
-	// One that does not come back to the registry loses its keys.
+	// A server that does not register again loses its keys.
 	b.silenceA()
 	b.run(b.now + time.Second)
 	b.answer = nil
--- a/keyspace/share.go
+++ b/keyspace/share.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// oversubscribed is how many times what its owner can do a key must ask for, and
-	// a standard deviation of what was measured more, before hosts are told to admit
-	// a part only: queues at hosts and servers take up less than that.
+	// oversubscriptionFactor is the demand for a key, relative to its owner's capacity, above
+	// which hosts are told to admit only a part of the requests. Queues at hosts and servers
+	// absorb less. The demand must exceed it by a standard deviation of the measurement.
 	oversubscribed = 1.25
-	// shareMargin is by how much the parts exceed what the owner can do: its speed is
-	// known by a few samples, and it has a queue for what comes too early.
+	// admissionMargin is how far the admitted load exceeds the owner's capacity: the speed is
+	// estimated from few samples, and the owner has a queue for requests that come early.
 	shareMargin = 1.05
-	// mostShares bounds the keys that are named to all hosts in each answer, in 1.5 KB.
-	// A group of 60 keys that takes 0.4 of the load of 434 servers asks for 1.5 times
-	// what the fastest owners can do, each by itself.
+	// maxAdmissionShares bounds the keys sent to all hosts in each answer, in 1.5 KB. Each
+	// key of a group of 60 with 0.4 of the load of 434 servers has 1.5 times the demand that
+	// the fastest owners can serve.
 	mostShares = 128
 )
 
-// Shares returns, for the keys that ask for more than their owner can do by
-// themselves, the part of it that the owner can take on. A key has one owner, so no
-// move helps it; the owner's other keys leave with the next plans.
+// AdmissionShares returns, for each key with more demand than its owner can serve even by
+// itself, the part of the requests to admit. A key has one owner, so a move does not help;
+// later plans move the owner's other keys away.
 func (m *Machine) Shares(servers []Server) map[uint16]float64 {
 	capacity := make(map[string]float64, len(servers))
 	least := 0.0
@@ -46,7 +46,7 @@
 	return shares
 }
 
-// atLeast returns the keys that ask for some load or more, the busiest first.
+// atLeast returns the keys with at least the given load, the busiest first.
 func (k *KeyLoads) atLeast(least float64) []keyRate {
 	factor := decayed(k.at - k.base)
 	var busy []keyRate
--- a/keyspace/share_test.go
+++ b/keyspace/share_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A key that asks for more than its owner can do is named with the part that fits;
-// what a key of ordinary load asks for by chance is not.
+// A key with more demand than its owner's capacity is listed with the share that fits; random
+// variation in the demand for an ordinary key does not list it.
 func TestShares(t *testing.T) {
 	servers := []Server{{ID: "a", Slots: 4, Speed: 1}, {ID: "b", Slots: 4, Speed: 0.5}}
 	m := New(First(Controller{}, 0, servers), 0, 0)
@@ -21,8 +21,8 @@
 	for key := uint16(100); key < 200; key++ {
 		asked[key] = work
 	}
-	asked[hot] = 40 * loadMemory       // 40 slots busy, of 4
-	asked[busy] = 25 * loadMemory / 10 // 2.5 slots busy, of 2
+	asked[hot] = 40 * loadMemory       // demand of 40 slots, capacity of 4
+	asked[busy] = 25 * loadMemory / 10 // demand of 2.5 slots, capacity of 2
 	m.Loads().Add(0, asked, work)
 	shares := m.Shares(servers)
 	assert.Equal(t, len(shares), 1, "%v", shares)
@@ -30,5 +30,5 @@
 	asked[hot] = 0
 	m.Loads().Add(5*loadMemory, asked, work)
 	_, named := m.Shares(servers)[hot]
-	assert.Assert(t, !named, "the load is forgotten")
+	assert.Assert(t, !named, "the load has decayed")
 }
--- a/keyspace/vacancy_test.go
+++ b/keyspace/vacancy_test.go
@@ -10,12 +10,11 @@
 	"cicadarouter/fleet"
 )
 
-// entryLapse is after how long without heartbeats a server's entry is gone: three
-// of 0.87 s.
+// entryExpiry is the time without heartbeats after which a server's entry is gone: three
+// heartbeats of 0.87 s.
 const entryLapse = 2600 * time.Millisecond
 
-// vacancy is how long key 0 has no owner that runs requests for it, from a loss
-// at a time on.
+// timeWithoutOwner returns for how long from now on key 0 has no owner that runs requests.
 func vacancy(b *bench, runsAt func(owner string, held bool) bool) time.Duration {
 	var without time.Duration
 	for end := b.now + 20*time.Second; b.now < end; {
@@ -40,7 +39,7 @@
 	{"server lost, another answers at its address", entryLapse + 300*time.Millisecond, func(b *bench) time.Duration {
 		return lost(b, func() { b.m.Ended(fleet.Incarnation{ID: "a"}) })
 	}},
-	{"server lost, another answers before its entry lapses", 2*time.Second + 300*time.Millisecond, func(b *bench) time.Duration {
+	{"server lost, another answers before its entry expires", 2*time.Second + 300*time.Millisecond, func(b *bench) time.Duration {
 		proofAt := b.now + 2*time.Second
 		return lost(b, func() {}, func() {
 			if b.now >= proofAt {
@@ -48,7 +47,7 @@
 			}
 		})
 	}},
-	{"server silent", renewEvery + lapse(0) + 2*tick, func(b *bench) time.Duration {
+	{"server unresponsive", renewEvery + lapse(0) + 2*tick, func(b *bench) time.Duration {
 		return lost(b, func() {})
 	}},
 	{"server cut off from the registry only", 200 * time.Millisecond, func(b *bench) time.Duration {
@@ -73,7 +72,7 @@
 	}},
 }
 
-// lost lets a fall silent; its entry goes when it has lapsed, and proof comes then.
+// lost makes a unresponsive. When its entry expires, the entry goes and proof is called.
 func lost(b *bench, proof func(), always ...func()) time.Duration {
 	registered := b.servers
 	b.loseA()
@@ -92,8 +91,8 @@
 	})
 }
 
-// How long keys stay without an owner, by cause, over all moments between two
-// renewals at which the loss may come.
+// Bounds the time that keys have no owner, by cause of the loss, over all times of the loss
+// between two renewals.
 func TestTimeWithoutAnOwner(t *testing.T) {
 	for _, loss := range losses {
 		var times []time.Duration
--- a/keyspace/world_test.go
+++ b/keyspace/world_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// world is the truth that machines know only in part: a store, servers with
-// what they really hold, and calls on their way.
+// simulation is the actual state of a system of which state machines know only a part: a
+// store, servers with the leases that they really hold, and calls in flight.
 type world struct {
 	t       *rapid.T
 	now     time.Duration
@@ -19,55 +19,55 @@
 	hosts   []*trueHost
 	calls   []*trueCall
 	term    uint64
-	// era counts how often the store has come back from its copy.
+	// era counts how often the store has been restored from its backup.
 	era     uint64
 	copied  *Record
 	copyOf  int         // the version of copied
 	latest  *Record     // the newest record that any store has acknowledged
-	granted []trueGrant // that took effect, for the tokens
+	granted []trueGrant // grants that took effect, for the check of tokens
 }
 
-// trueServer is a backend server.
+// simServer is a backend server.
 type trueServer struct {
 	id    string
 	start int64
-	// told is the start that its entry names. The entry of a server that is cut
-	// off from the registry is behind.
+	// entryStart is the start time in its entry, which is outdated for a server that is cut
+	// off from the registry.
 	told   int64
-	lives  int            // how often it has started
-	starts map[int64]bool // all that it had
-	// address is where it listens, toldAt the one in its entry. taken is set when
-	// another server has got the address after its end.
+	lives  int            // number of starts
+	starts map[int64]bool // all of its start times
+	// address is where it listens, entryAddress the address in its entry. addressReused is
+	// set when another server has got the address after the end of this one.
 	address, toldAt int
 	taken           bool
 	up              bool
 	registered      bool
 	leaving         bool
-	// slow is by how much its clock runs slow, in percent.
+	// clockSlowness is how much its clock runs slow, in percent.
 	slow  int
 	holds []trueHold
 }
 
-// trueHold is a lease that a server holds.
+// simLease is a lease that a server holds.
 type trueHold struct {
 	from, to uint16
 	token    uint64
 	until    time.Duration
 }
 
-// trueHost is a process that may be a controller.
+// simHost is a process that may be a controller.
 type trueHost struct {
 	id          int
 	incarnation uint64
 	machine     *Machine
-	version     int    // of the machine's record
+	version     int    // of the state machine's record
 	era         uint64 // of version
 	frozen      bool
-	cut         bool // from the store
+	cut         bool // disconnected from the store
 	write       *trueWrite
 }
 
-// trueWrite is a write on its way to the store.
+// simWrite is a write in flight to the store.
 type trueWrite struct {
 	host    *trueHost
 	machine *Machine
@@ -77,22 +77,22 @@
 	began   time.Duration
 }
 
-// trueCall is a call on its way to a server.
+// simCall is a call in flight to a server.
 type trueCall struct {
 	host    *trueHost
 	machine *Machine
 	call    Call
 	began   time.Duration
 	arrived time.Duration
-	here    bool // arrived
-	life    int  // of the server that it arrived at
-	address int  // that it was made to
+	here    bool // has arrived
+	life    int  // the server's number of starts at arrival
+	address int  // where it was sent
 	done    bool // took effect
-	told    bool // its end was told to the machine
+	told    bool // its result was passed to the state machine
 	refused bool
 }
 
-// firstStart is the start of the servers, in Unix milliseconds.
+// firstStart is the first start time of the servers, in Unix milliseconds.
 const firstStart = 1_700_000_000_000
 
 const tick = 50 * time.Millisecond
@@ -103,7 +103,8 @@
 	return w
 }
 
-// newUnassignedWorld returns a world whose first controller has yet to make an assignment.
+// newUnassignedSimulation returns a simulation whose first controller has not made an
+// assignment yet.
 func newUnassignedWorld(t *rapid.T) *world {
 	w := newServers(t)
 	w.begin(FirstUnassigned(w.controller(w.hosts[0]), 0))
@@ -121,7 +122,7 @@
 	return w
 }
 
-// begin lets the store hold the first record, and the first host be the controller.
+// begin puts the first record into the store and makes the first host the controller.
 func (w *world) begin(record *Record) {
 	first := w.hosts[0]
 	w.stored, w.version, w.term, w.latest = record, 1, 1, record
@@ -152,7 +153,7 @@
 	return nil
 }
 
-// advance lets time pass in small steps, and checks the promise at each.
+// advance lets time pass in small steps, and checks the invariant at each.
 func (w *world) advance(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.now += tick
@@ -161,8 +162,8 @@
 	}
 }
 
-// abortOld gives up calls that have been under way for the longest time that a
-// call may take. One that has not arrived by then never does.
+// abortOld aborts calls that have been in flight for maxCallTime. A call that has not arrived
+// by then never does.
 func (w *world) abortOld() {
 	kept := w.calls[:0]
 	for _, c := range w.calls {
@@ -177,7 +178,7 @@
 			w.tell(c, CallUnanswered, "")
 		}
 		if c.here && !c.done {
-			kept = append(kept, c) // it may yet take effect
+			kept = append(kept, c) // it may still take effect
 		}
 	}
 	w.calls = kept
@@ -189,7 +190,7 @@
 	}
 }
 
-// step lets a controller do what it would do now.
+// step steps a host's state machine.
 func (w *world) step(h *trueHost) {
 	if h.machine == nil || h.frozen {
 		return
@@ -197,7 +198,7 @@
 	h.machine.AssignFirst(w.now, w.eligible())
 	for _, call := range h.machine.Step(w.now, w.eligible()) {
 		if w.server(call.Server) == nil {
-			h.machine.Answered(call, CallUnanswered, "", w.now, w.now) // nobody knows where it is
+			h.machine.Answered(call, CallUnanswered, "", w.now, w.now) // its address is unknown
 			continue
 		}
 		w.calls = append(w.calls, &trueCall{host: h, machine: h.machine, call: call, began: w.now, address: w.server(call.Server).toldAt})
@@ -231,8 +232,8 @@
 	}
 }
 
-// arrive lets a call reach the server that runs under the ID it was made to, if
-// that listens at the address it was made to.
+// arrive lets a call reach the current process of the server if it listens at the address to
+// which the call was sent.
 func (w *world) arrive(c *trueCall) {
 	s := w.server(c.call.Server)
 	if c.address == s.address {
@@ -240,11 +241,11 @@
 	}
 }
 
-// tells lets the entry of a server tell what is so.
+// updateEntry brings the entry of a server up to date.
 func (s *trueServer) tells() { s.told, s.toldAt = s.start, s.address }
 
-// restart lets a server start again under its ID: it holds nothing, has
-// forgotten the tokens that it saw, and what it had not answered is lost.
+// restart restarts a server under its ID. It holds nothing, has lost the tokens that it had
+// seen, and does not answer earlier calls.
 func (s *trueServer) restart(start int64) {
 	for s.starts[start] {
 		start++ // no two starts are within the same millisecond
@@ -258,7 +259,7 @@
 	s.lives++
 }
 
-// drop ends what a server holds of a range.
+// drop removes a range from the leases of a server.
 func (s *trueServer) drop(from, to uint16) {
 	var kept []trueHold
 	for _, hold := range s.holds {
@@ -312,8 +313,8 @@
 	}
 }
 
-// land lets a write reach the store. It reports whether it took effect. One that was on its
-// way as the store came back may take effect in another era; its writer does not trust it.
+// land lets a write reach the store, and reports whether it took effect. A write in flight
+// during a restore may take effect in another era; its writer does not trust it then.
 func (w *world) land(write *trueWrite) bool {
 	if write.version != w.version {
 		return false
@@ -322,7 +323,7 @@
 	return write.era == w.era
 }
 
-// store lets the store hold a record.
+// store replaces the record in the store.
 func (w *world) store(record *Record) {
 	w.stored, w.version = record, w.version+1
 	if w.latest.OlderThan(record) {
@@ -330,14 +331,14 @@
 	}
 }
 
-// comeBack lets the store come back from its copy.
+// restoreBackup restores the store from its backup.
 func (w *world) comeBack() {
 	w.stored, w.version = w.copied.Clone(), w.copyOf
 	w.era++
 }
 
-// restore has a controller write its record again if the store has forgotten it, and reports
-// whether that is so.
+// rewriteIfLost makes a controller write its record again if the store has lost it, and
+// reports whether it was lost.
 func (w *world) restore(h *trueHost) bool {
 	if w.era <= h.era || h.machine.Record().OlderThan(w.stored) {
 		return false
@@ -354,7 +355,7 @@
 	return true
 }
 
-// confirm lets a controller read what the store holds.
+// confirm lets a controller read the record in the store.
 func (w *world) confirm(h *trueHost) {
 	switch {
 	case w.restore(h):
@@ -365,19 +366,19 @@
 	}
 }
 
-// trueGrant is a grant that took effect.
+// simGrant is a grant that took effect.
 type trueGrant struct {
 	Call
 	at time.Duration
 }
 
-// checkToken fails if a server takes keys by a call that was made when another had taken them
-// with a token that is as high.
+// checkToken fails if a server is granted keys by a call that was sent after another server
+// had been granted some of them with the same or a higher token.
 func (w *world) checkToken(c *trueCall) {
 	for _, earlier := range w.granted {
 		overlap := earlier.From <= c.call.To && c.call.From <= earlier.To
 		if earlier.at <= c.began && earlier.Server != c.call.Server && overlap && earlier.Token >= c.call.Token {
-			w.t.Fatalf("at %v %s takes keys %d-%d with token %d; at %v %s took some of them with %d",
+			w.t.Fatalf("at %v %s is granted keys %d-%d with token %d; at %v %s was granted some of them with token %d",
 				w.now, c.call.Server, c.call.From, c.call.To, c.call.Token, earlier.at, earlier.Server, earlier.Token)
 		}
 	}
@@ -407,8 +408,8 @@
 	return string(x) == string(y)
 }
 
-// claim makes a host the controller, as if its write had landed at once. It knows the newest
-// record or the one that the store holds.
+// claim makes a host the controller, as if its write had taken effect at once. It takes over
+// the newest record or the one that the store holds.
 func (w *world) claim(h *trueHost, known *Record) {
 	h.incarnation += 100
 	w.store(known.SucceedIn(w.era, w.controller(h)))
@@ -416,7 +417,7 @@
 	h.frozen, h.cut = false, false
 }
 
-// resign stops the controller, which tells so in the store.
+// resign stops the controller, which records it in the store.
 func (w *world) resign() {
 	for _, h := range w.hosts {
 		if h.machine != nil && h.incarnation == w.stored.Controller.Incarnation {
--- a/ratelimit/schedule_test.go
+++ b/ratelimit/schedule_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// The users' rule for a limit.
+// The bound that servers require for a limit: ruleOverage times the limit over ruleWindow, and
+// ruleSlack requests more.
 const (
 	ruleWindow  = 4 * time.Second
 	ruleOverage = 1.5
@@ -21,7 +22,7 @@
 	return ruleOverage*perSecond*ruleWindow.Seconds() + ruleSlack
 }
 
-// most returns how many of the times, in order, lie in the fullest window.
+// most returns the largest number of the sorted times that lie in one window.
 func most(times []time.Duration, window time.Duration) int {
 	fullest := 0
 	for from, to := 0, 0; to < len(times); to++ {
@@ -33,8 +34,8 @@
 	return fullest
 }
 
-// However requests come, and however late each place is used, the places of a schedule
-// stay within its bound, and that within the rule.
+// The permits of a schedule stay within its bound however requests come and however late each
+// permit is used, and the bound stays within what servers require.
 func TestScheduleBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		perSecond := rapid.Float64Range(0.05, 50).Draw(t, "limit")
@@ -57,8 +58,8 @@
 	})
 }
 
-// A process that begins to schedule gives no place at once: its predecessor may just have
-// given one, and control may pass several times in seconds.
+// A process that starts to schedule issues no permit at once. Its predecessor may just have
+// issued one, and control may change hands several times in seconds.
 func TestNewScheduleHasNothingSaved(t *testing.T) {
 	const perSecond = 20.0
 	var schedule Schedule
@@ -67,7 +68,7 @@
 	assert.Equal(t, wait, interval(perSecond))
 }
 
-// A schedule whose places are wanted gives out the whole limit.
+// A schedule with enough requests issues the whole limit.
 func TestScheduleGivesTheWholeLimit(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	const perSecond, span = 3.3, 100 * time.Second
@@ -81,8 +82,9 @@
 	assert.Assert(t, float64(given) >= 0.97*perSecond*span.Seconds(), "%d given", given)
 }
 
-// Hosts that can't reach the schedule stay within their share on average, and within the
-// rule together with a schedule that gives out all places to others, at any size.
+// Hosts that can't reach the schedule stay within their share on average, whatever their
+// number. Together with a schedule that issues all permits to others they stay within what
+// servers require.
 func TestTurnsOfAllHosts(t *testing.T) {
 	for _, hosts := range []int{1, 3, 8, 90, 295, 4000} {
 		for _, perSecond := range []float64{0.3, 2.3, 20} {
@@ -96,7 +98,7 @@
 			var used []time.Duration
 			for now := time.Duration(0); now < span; now += step {
 				for i := range turns {
-					// As much is asked for as a service is that has to name a limit.
+					// The demand is ten times the limit.
 					if random.Float64() < 10*perSecond*step.Seconds()/float64(hosts) && turns[i].Wait(now, every) == 0 {
 						turns[i].Take(every)
 						used = append(used, now)
@@ -110,7 +112,7 @@
 	}
 }
 
-// A host that was idle has one turn at most, however long it was.
+// A host that was idle may send one request at most, however long it was idle.
 func TestTurnsAreNotSaved(t *testing.T) {
 	every := TurnInterval(2, 8)
 	turn := NewTurn(0, every, 0.5)
@@ -123,5 +125,5 @@
 		}
 		now += time.Millisecond
 	}
-	t.Fatal("no turn came")
+	t.Fatal("no permit came")
 }
