--- a/keyspace/change.go
+++ b/keyspace/change.go
@@ -55,7 +55,7 @@
 	return alive == 0
 }
 
-// keepsOwner reports whether a range stays with its owner for now.
+// keepsOwner reports whether a range's owner keeps it for now.
 func (m *Machine) stays(now time.Duration, r *Range, live map[string]Server) bool {
 	server, registered := live[r.Server]
 	switch {
--- a/keyspace/first.go
+++ b/keyspace/first.go
@@ -15,9 +15,9 @@
 	next := m.record.Clone()
 	m.nameRelays(next) // hosts that restart find relays in the record
 	next.Unassigned = false
-	forgotten := next.LastToken > 0
+	restored := next.LastToken > 0
 	next.assign(servers)
-	if forgotten {
+	if restored {
 		m.bindForgotten(now, next)
 	}
 	next.Writes++
--- a/keyspace/loads.go
+++ b/keyspace/loads.go
@@ -29,7 +29,7 @@
 	// rates are the loads in slots relative to base; later additions have a larger weight.
 	rates map[uint16]float64
 	base  time.Duration
-	at    time.Duration // of the last report
+	at    time.Duration
 	// serviceTime is how long one request occupies a slot.
 	work time.Duration
 }
@@ -73,7 +73,7 @@
 	}
 }
 
-// forEach calls visit with each key's load, in key order.
+// forEach calls visit for the load of every key, in key order.
 func (k *KeyLoads) each(visit func(keyRate)) {
 	factor := decayed(k.at - k.base)
 	for _, key := range slices.Sorted(maps.Keys(k.rates)) {
@@ -108,7 +108,7 @@
 	names     []string
 	// receivers are the servers to which keys may be moved.
 	receivers []string
-	// rangesLeft is how many more ranges the record may have.
+	// rangesLeft is by how much Record.Ranges may still grow.
 	ranges int
 }
 
--- a/keyspace/plan.go
+++ b/keyspace/plan.go
@@ -168,7 +168,8 @@
 	return l.half(record, to)
 }
 
-// splitWidest gives a server half of the widest range, for when no run of busy keys fits.
+// splitWidest splits the widest range in the middle and gives a server one part, for when no
+// run of busy keys fits.
 func (l *ledger) half(record *Record, to string) (Move, bool) {
 	var widest *Range
 	for i := range record.Ranges {
@@ -302,7 +303,7 @@
 	return span
 }
 
-// applyMove accounts for a move of a run of keys between two servers.
+// applyMove accounts for the transfer of a run of keys between two servers.
 func (l *ledger) move(span keySpan, from, to string) Move {
 	l.load[from] -= span.load
 	l.load[to] += span.load
--- a/keyspace/renew.go
+++ b/keyspace/renew.go
@@ -50,8 +50,8 @@
 	return append(calls, Call{Kind: GrantCall, Holder: r.Holder, From: r.From, To: r.To, Handoff: handoff})
 }
 
-// probeOwner probes an owner that left a grant unanswered or has no entry. One probe serves
-// for all ranges of the server. Probing continues until the lease expires: a server that is
+// probeOwner probes an owner that left a grant unanswered or has no entry, one range of the
+// server in place of all. Probing continues until the lease expires: a server that is
 // back is granted its keys, and if another server answers at the address the owner is
 // proven to have ended, which frees its keys.
 func (m *Machine) probe(now time.Duration, r *Range, l *lease, calls []Call) []Call {
@@ -74,8 +74,8 @@
 	return next == nil || next.Holder != r.Holder || next.To != r.To
 }
 
-// grantsAnswered reports whether every grant to the owner of a range that may still take
-// effect has been answered.
+// grantsAnswered reports whether the owner of a range has replied to every grant that may
+// still take effect.
 func (m *Machine) answered(now time.Duration, r *Range) bool {
 	l := m.lease(r, r.Holder)
 	return !l.calling && now >= l.late
--- a/keyspace/share.go
+++ b/keyspace/share.go
@@ -23,24 +23,24 @@
 // itself, the part of the requests to admit. A key has one owner, so a move does not help;
 // later plans move the owner's other keys away.
 func (m *Machine) Shares(servers []Server) map[uint16]float64 {
-	capacity := make(map[string]float64, len(servers))
-	least := 0.0
+	capacities := make(map[string]float64, len(servers))
+	minCapacity := 0.0
 	for _, server := range servers {
-		able := server.capacity()
-		capacity[server.ID] = able
-		if least == 0 || able < least {
-			least = able
+		capacity := server.capacity()
+		capacities[server.ID] = capacity
+		if minCapacity == 0 || capacity < minCapacity {
+			minCapacity = capacity
 		}
 	}
 	shares := map[uint16]float64{}
-	for _, asked := range m.loads.atLeast(oversubscribed * least) {
+	for _, asked := range m.loads.atLeast(oversubscribed * minCapacity) {
 		r := m.record.At(asked.key)
-		able := 0.0
+		capacity := 0.0
 		if r != nil {
-			able = capacity[r.Server]
+			capacity = capacities[r.Server]
 		}
-		if able > 0 && asked.rate > oversubscribed*able+m.loads.chance(asked.rate) && len(shares) < mostShares {
-			shares[asked.key] = shareMargin * able / asked.rate
+		if capacity > 0 && asked.rate > oversubscribed*capacity+m.loads.chance(asked.rate) && len(shares) < mostShares {
+			shares[asked.key] = shareMargin * capacity / asked.rate
 		}
 	}
 	return shares
--- a/keyspace/world_test.go
+++ b/keyspace/world_test.go
@@ -22,7 +22,7 @@
 	// era counts how often the store has been restored from its backup.
 	era     uint64
 	copied  *Record
-	copyOf  int         // the version of copied
+	copyOf  int         // the version of that backup
 	latest  *Record     // the newest record that any store has acknowledged
 	granted []trueGrant // grants that took effect, for the check of tokens
 }
@@ -43,7 +43,7 @@
 	up              bool
 	registered      bool
 	leaving         bool
-	// clockSlowness is how much its clock runs slow, in percent.
+	// clockSlowness is how much time its clock loses, in percent.
 	slow  int
 	holds []trueHold
 }
@@ -63,7 +63,7 @@
 	version     int    // of the state machine's record
 	era         uint64 // of version
 	frozen      bool
-	cut         bool // disconnected from the store
+	cut         bool // from the store
 	write       *trueWrite
 }
 
--- a/tools/mutants/keyspace.go
+++ b/tools/mutants/keyspace.go
@@ -8,7 +8,7 @@
 		in("machine.go", "large services: write a record for each move that ends", "m.pending == nil && (m.proposed == 0 || now-m.proposed >= m.pace)", "m.pending == nil"),
 		in("loads.go", "large services: never drop small loads", "if rate *= factor; rate < leastRate {", "if rate *= factor; false {"),
 		in("loads.go", "large services: do not scale later loads up", "scale := 1 / decayed(now-k.base)", "scale := 1.0"),
-		in("share.go", "limit admission of keys whose owners can serve the demand", "asked.rate > oversubscribed*able+m.loads.chance(asked.rate)", "asked.rate > able"),
+		in("share.go", "limit admission of keys whose owners can serve the demand", "asked.rate > oversubscribed*capacity+m.loads.chance(asked.rate)", "asked.rate > capacity"),
 		in("change.go", "keep dead relays in the record", "	return alive == 0\n", "	return false\n"),
 		in("record.go", "ignore slow clocks of servers", "LeaseTerm*(100+slowClock)/100 + clockMargin", "LeaseTerm"),
 		in("renew.go", "move the keys of an unresponsive server at once", "	if l.over(now) {\n", "	if l.silent || l.over(now) {\n"),
--- a/tools/mutants/scale.go
+++ b/tools/mutants/scale.go
@@ -28,7 +28,7 @@
 		host("readahead.go", "hold whatever callers do not read", "		case a.held+readAheadChunk <= mostReadAhead && a.quota.take(readAheadChunk):", "		case true:"),
 		host("readahead.go", "keep what a caller that left held", "	a.give(a.held)\n", ""),
 		keys("first.go", "assign keys without authority", " || !m.Authority(now) {", " {"),
-		keys("first.go", "assign keys that others may hold", "	if forgotten {", "	if forgotten && false {"),
+		keys("first.go", "assign keys that others may hold", "	if restored {", "	if restored && false {"),
 		keys("machine.go", "call all servers at once", "		if m.underWay+len(calls) >= mostCalls {", "		if false {"),
 		keys("machine.go", "call the first servers again and again", "			m.turn = (m.turn + i) % len(ranges)\n", ""),
 		keys("answers.go", "renew all ranges together", "			l.next = began + firstRenewal(server)\n", ""),
