--- a/keyspace/loads.go
+++ b/keyspace/loads.go
@@ -58,7 +58,7 @@
 }
 
 // decayFactor is the fraction of a load that is left after some time.
-func decayed(after time.Duration) float64 { return math.Exp(-float64(after) / float64(loadMemory)) }
+func decayed(d time.Duration) float64 { return math.Exp(-float64(d) / float64(loadMemory)) }
 
 // rebase converts all loads to be relative to now, and drops the smallest ones.
 func (k *KeyLoads) rebase(now time.Duration) {
--- a/keyspace/machine.go
+++ b/keyspace/machine.go
@@ -146,7 +146,7 @@
 // ConfirmedAge returns the time since the store last confirmed this controller.
 func (m *Machine) ConfirmedAge(now time.Duration) time.Duration { return now - m.confirmed }
 
-// HasAuthority reports whether the controller may still grant.
+// Authorized reports whether the controller may still grant.
 func (m *Machine) Authority(now time.Duration) bool { return now-m.confirmed < AuthorityBound }
 
 // WriteAcknowledged records that the store acknowledged the pending record by a call
