--- a/balance/limited.go
+++ b/balance/limited.go
@@ -37,7 +37,7 @@
 	fullUntil time.Duration
 	// aloneUntil is until when the schedule counts as out of reach.
 	aloneUntil time.Duration
-	turn       ratelimit.Turn
+	turn       ratelimit.FallbackLimiter
 	// retryAt is when the caller last turned away was told to come back.
 	retryAt time.Duration
 }
@@ -90,14 +90,14 @@
 	case perSecond == 0:
 		server.limit = limit{}
 	case server.limit.perSecond == 0:
-		server.limit = limit{perSecond: perSecond, turn: ratelimit.NewTurn(now, p.turnInterval(perSecond), p.random.Float64())}
+		server.limit = limit{perSecond: perSecond, turn: ratelimit.NewFallbackLimiter(now, p.turnInterval(perSecond), p.random.Float64())}
 	default:
 		server.limit.perSecond = perSecond
 	}
 }
 
 func (p *Pool) turnInterval(perSecond float64) time.Duration {
-	return ratelimit.TurnInterval(perSecond, p.hosts)
+	return ratelimit.FallbackInterval(perSecond, p.hosts)
 }
 
 // limited reports whether a server names a limit.
@@ -306,7 +306,7 @@
 	}
 	for _, wait := range got.Waits {
 		due := got.Asked + wait
-		l.places = append(l.places, place{from: due, until: due + ratelimit.PlaceKept})
+		l.places = append(l.places, place{from: due, until: due + ratelimit.PermitValidity})
 	}
 	if got.Full > 0 {
 		l.fullUntil = got.Asked + got.Full
--- a/balance/limited_test.go
+++ b/balance/limited_test.go
@@ -162,7 +162,7 @@
 	p.Wishes(0)
 	p.Reserved(ms, limitedServer.Incarnation(), Reservation{Reached: true, Waits: []time.Duration{100 * ms}})
 	p.Leave(w)
-	until := 100*ms + ratelimit.PlaceKept
+	until := 100*ms + ratelimit.PermitValidity
 	assert.Assert(t, p.hasPlace(until, p.Servers()[0]))
 	assert.Assert(t, !enterLimited(p, until+ms, true).decided())
 }
--- a/cmd/cicadactl/hosted.go
+++ b/cmd/cicadactl/hosted.go
@@ -159,7 +159,7 @@
 		if evacuation := within[r.Server]; evacuation != nil {
 			evacuation.Keys += n
 		}
-		for _, former := range r.Former {
+		for _, former := range r.FormerHolders {
 			if evacuation := within[former.Server]; evacuation != nil {
 				evacuation.Releasing += n
 			}
@@ -200,7 +200,7 @@
 		s.Faults = append(s.Faults, "assignment "+object.Name+": "+err.Error())
 		return
 	}
-	if err := keys.Record.Check(); err != nil {
+	if err := keys.Record.Validate(); err != nil {
 		s.Faults = append(s.Faults, "assignment "+object.Name+": "+err.Error())
 	}
 	for i := range keys.Record.Ranges {
@@ -229,7 +229,7 @@
 			fmt.Fprintf(out, "\tnot written again since the store came back from a copy: owners may be others\n")
 		}
 		fmt.Fprintf(out, "\t%d ranges, %d keys between owners, resigned %t, earlier controllers not proven stopped: %d\n",
-			len(keys.Record.Ranges), keys.Moving, controller.Resigned, len(keys.Record.Earlier))
+			len(keys.Record.Ranges), keys.Moving, controller.Resigned, len(keys.Record.Predecessors))
 		for _, server := range slices.Sorted(maps.Keys(keys.KeysOf)) {
 			fmt.Fprintf(out, "\t%s\t%d keys\n", server, keys.KeysOf[server])
 		}
--- a/cmd/cicadactl/hosted_test.go
+++ b/cmd/cicadactl/hosted_test.go
@@ -31,8 +31,8 @@
 	entry := `{"service":"owned","address":%q,"zone":"z","version":"v1","slots":4,"state":%q,"cold-remaining":"0ms","seq":1,"born":5}`
 	put("servers", "a", fmt.Sprintf(entry, "10.0.0.1:80", "draining"))
 	put("servers", "b", fmt.Sprintf(entry, "nowhere", "ready"))
-	record := keyspace.First(keyspace.Controller{Host: "one"}, 0, []keyspace.Server{{ID: "a", Slots: 1}})
-	record.Ranges[0].Former = []keyspace.Holder{{Server: "z", Token: 1}}
+	record := keyspace.NewRecord(keyspace.Controller{Host: "one"}, 0, []keyspace.Server{{ID: "a", Slots: 1}})
+	record.Ranges[0].FormerHolders = []keyspace.Holder{{Server: "z", Token: 1}}
 	spec, err := json.Marshal(record)
 	assert.NilError(t, err)
 	put(gateway.Assignments, "owned", string(spec))
@@ -63,9 +63,9 @@
 // Guards against an assignment that the store held before it forgot a later one being shown as
 // the one in force.
 func TestAssignmentOfAnEarlierEraIsShownAsSuch(t *testing.T) {
-	record := keyspace.First(keyspace.Controller{Host: "one"}, 1, []keyspace.Server{{ID: "a", Slots: 1}})
+	record := keyspace.NewRecord(keyspace.Controller{Host: "one"}, 1, []keyspace.Server{{ID: "a", Slots: 1}})
 	for era, want := range map[uint64]bool{1: false, 2: true} {
-		state := &hostedState{Assignments: map[string]hostedKeys{"owned": {Revision: revision.In(era, 55), Record: *record}}}
+		state := &hostedState{Assignments: map[string]hostedKeys{"owned": {Revision: revision.New(era, 55), Record: *record}}}
 		var out bytes.Buffer
 		state.table(&out)
 		assert.Equal(t, strings.Contains(out.String(), "not written again"), want, out.String())
--- a/delta/delta.go
+++ b/delta/delta.go
@@ -27,21 +27,21 @@
 }
 
 // MismatchError reports a delta that does not apply to the given version.
-type MismatchError struct{ What string }
+type MismatchError struct{ Detail string }
 
 // Error implements error.
-func (e *MismatchError) Error() string { return "delta: " + e.What }
+func (e *MismatchError) Error() string { return "delta: " + e.Detail }
 
-var table = crc64.MakeTable(crc64.ECMA)
+var crcTable = crc64.MakeTable(crc64.ECMA)
 
 // Make returns the delta from the old version to the fresh one.
 func Make(old, fresh []byte) *Delta {
-	pieces := split(old)
+	pieces := splitAtObjects(old)
 	at := make(map[string]int, len(pieces))
 	for i := len(pieces) - 1; i >= 0; i-- {
 		at[string(pieces[i])] = i
 	}
-	made := &Delta{Sum: crc64.Checksum(fresh, table)}
+	made := &Delta{Sum: crc64.Checksum(fresh, crcTable)}
 	var step Step
 	var text []byte
 	end := func() {
@@ -50,7 +50,7 @@
 			made.Steps = append(made.Steps, step)
 		}
 	}
-	for _, piece := range split(fresh) {
+	for _, piece := range splitAtObjects(fresh) {
 		next := step.From + step.Count
 		if len(text) == 0 && step.Count > 0 && next < len(pieces) && bytes.Equal(pieces[next], piece) {
 			step.Count++
@@ -70,25 +70,25 @@
 // Apply returns the new version. It fails with a *MismatchError if the delta was made from
 // another version than old.
 func (d *Delta) Apply(old []byte) ([]byte, error) {
-	pieces := split(old)
+	pieces := splitAtObjects(old)
 	var fresh []byte
 	for _, step := range d.Steps {
 		if step.From < 0 || step.Count < 0 || step.From+step.Count > len(pieces) {
-			return nil, &MismatchError{What: fmt.Sprintf("step copies pieces %d to %d of a version with %d pieces", step.From, step.From+step.Count, len(pieces))}
+			return nil, &MismatchError{Detail: fmt.Sprintf("step copies pieces %d to %d of a version with %d pieces", step.From, step.From+step.Count, len(pieces))}
 		}
 		for _, piece := range pieces[step.From : step.From+step.Count] {
 			fresh = append(fresh, piece...)
 		}
 		fresh = append(fresh, step.Text...)
 	}
-	if crc64.Checksum(fresh, table) != d.Sum {
-		return nil, &MismatchError{What: "the checksum of the resulting version does not match"}
+	if crc64.Checksum(fresh, crcTable) != d.Sum {
+		return nil, &MismatchError{Detail: "the checksum of the resulting version does not match"}
 	}
 	return fresh, nil
 }
 
 // splitAtObjects splits a document before each '{'. The concatenated pieces are the document.
-func split(document []byte) [][]byte {
+func splitAtObjects(document []byte) [][]byte {
 	var pieces [][]byte
 	first := 0
 	for i, c := range document {
--- a/fleet/era_test.go
+++ b/fleet/era_test.go
@@ -23,24 +23,24 @@
 		return draining
 	}
 	d := NewDirectory()
-	d.Replace(0, revision.In(1, 50), []Version{entry("a", false, revision.In(1, 40)), entry("b", true, revision.In(1, 49)), entry("c", false, revision.In(1, 50))})
-	d.Put(time.Second, entry("b", false, revision.In(1, 51)))
+	d.Replace(0, revision.New(1, 50), []Version{entry("a", false, revision.New(1, 40)), entry("b", true, revision.New(1, 49)), entry("c", false, revision.New(1, 50))})
+	d.Put(time.Second, entry("b", false, revision.New(1, 51)))
 	assert.DeepEqual(t, known(d), map[string]bool{"a": false, "b": false, "c": false})
-	d.Put(time.Second, entry("b", true, revision.In(1, 52)))
+	d.Put(time.Second, entry("b", true, revision.New(1, 52)))
 
 	back := 10 * time.Second
-	d.Replace(back, revision.In(2, 45), []Version{entry("a", false, revision.In(2, 40)), entry("b", false, revision.In(2, 41))})
+	d.Replace(back, revision.New(2, 45), []Version{entry("a", false, revision.New(2, 40)), entry("b", false, revision.New(2, 41))})
 	want := map[string]bool{"a": false, "b": true, "c": false}
 	assert.DeepEqual(t, known(d), want)
-	assert.Equal(t, d.Put(back, entry("a", true, revision.In(1, 60))), Outdated, "late news of the era before")
-	d.Put(back, entry("b", false, revision.In(2, 46)))
+	assert.Equal(t, d.Put(back, entry("a", true, revision.New(1, 60))), Outdated, "late news of the era before")
+	d.Put(back, entry("b", false, revision.New(2, 46)))
 	assert.DeepEqual(t, known(d), want)
 	assert.Assert(t, !d.Expire(back+time.Second))
-	d.Put(back+time.Second, entry("c", false, revision.In(2, 47)))
+	d.Put(back+time.Second, entry("c", false, revision.New(2, 47)))
 	d.Expire(back + returnGrace)
 	assert.DeepEqual(t, known(d), want)
 
-	d.Remove(back+20*time.Second, "a", revision.In(3, 30))
+	d.Remove(back+20*time.Second, "a", revision.New(3, 30))
 	assert.DeepEqual(t, known(d), want)
 	assert.Assert(t, d.Expire(back+20*time.Second+returnGrace))
 	assert.DeepEqual(t, known(d), map[string]bool{"b": true, "c": false})
@@ -49,17 +49,17 @@
 // Guards against a domain that is used again because the store has forgotten its evacuation.
 func TestEvacuationThatTheStoreForgets(t *testing.T) {
 	e := NewEvacuations()
-	e.Replace(0, revision.In(1, 50), map[string]uint64{"north": revision.In(1, 50)})
-	assert.Equal(t, len(e.Replace(time.Second, revision.In(2, 45), nil)), 0)
+	e.Replace(0, revision.New(1, 50), map[string]uint64{"north": revision.New(1, 50)})
+	assert.Equal(t, len(e.Replace(time.Second, revision.New(2, 45), nil)), 0)
 	assert.Assert(t, e.InForce("north"))
-	assert.Assert(t, !e.End(2*time.Second, "north", revision.In(2, 46)), "told by another host as removed")
-	e.Begin("north", revision.In(2, 47))
+	assert.Assert(t, !e.End(2*time.Second, "north", revision.New(2, 46)), "told by another host as removed")
+	e.Begin("north", revision.New(2, 47))
 	assert.Assert(t, !e.expire(time.Minute))
 	assert.Assert(t, e.InForce("north"), "asked for again")
-	assert.Assert(t, e.End(time.Minute, "north", revision.In(2, 48)), "taken back")
+	assert.Assert(t, e.End(time.Minute, "north", revision.New(2, 48)), "taken back")
 
-	e.Begin("south", revision.In(2, 49))
-	e.Replace(time.Minute, revision.In(3, 45), nil)
+	e.Begin("south", revision.New(2, 49))
+	e.Replace(time.Minute, revision.New(3, 45), nil)
 	assert.Assert(t, !e.expire(time.Minute+forgottenKept-1))
 	assert.Assert(t, e.expire(time.Minute+forgottenKept))
 	assert.Assert(t, !e.InForce("south"), "nobody has asked again")
--- a/gateway/calls.go
+++ b/gateway/calls.go
@@ -36,7 +36,7 @@
 // callEnded is the end of a call to a server.
 type callEnded struct {
 	controller   *controller
-	machine      *keyspace.Machine
+	machine      *keyspace.StateMachine
 	server       fleet.Server
 	call         keyspace.Call
 	result       keyspace.CallResult
@@ -52,7 +52,7 @@
 	if !known {
 		// Its address is not known any more: only time frees its keys.
 		now := g.boot.Now()
-		machine.Answered(call, keyspace.CallUnanswered, "", now, now)
+		machine.CallCompleted(call, keyspace.CallUnanswered, "", now, now)
 		return
 	}
 	backend := adapter.Backend{Server: server}
@@ -96,7 +96,7 @@
 	case e.err == nil:
 		e.result = keyspace.CallDone
 	case errors.As(e.err, &stale):
-		e.result = keyspace.CallStale
+		e.result = keyspace.CallStaleToken
 	case errors.As(e.err, &other):
 		e.result = keyspace.CallUnanswered
 	default:
@@ -107,9 +107,9 @@
 			"from", e.call.From, "to", e.call.To, "token", e.call.Token, "ms", (e.ended - e.began).Milliseconds(),
 			"handoff", e.handoff, "error", errorText(e.err))
 	}
-	e.machine.Answered(e.call, e.result, e.handoff, e.began, e.ended)
+	e.machine.CallCompleted(e.call, e.result, e.handoff, e.began, e.ended)
 	if other != nil {
-		e.machine.Ended(e.server.Incarnation())
+		e.machine.IncarnationEnded(e.server.Incarnation())
 	}
 }
 
@@ -123,7 +123,7 @@
 // writeEnded is the end of a write of a machine's pending record.
 type writeEnded struct {
 	controller *controller
-	machine    *keyspace.Machine
+	machine    *keyspace.StateMachine
 	record     *keyspace.Record
 	stored     objects.Object
 	began      time.Duration
@@ -198,7 +198,7 @@
 		g.log.Warn("assignment not written", "service", c.service.name, "revision", c.revision, "error", e.err.Error())
 		return
 	}
-	c.machine.Written(e.began)
+	c.machine.WriteAcknowledged(e.began)
 	c.revision, c.confirm, c.written = e.stored.Revision, e.began, now
 	g.log.Info("assignment written", "service", c.service.name, "revision", c.revision, "ranges", len(e.record.Ranges), "last-token", e.record.LastToken)
 	if c.service.view.offer(e.stored.Revision, e.record) {
@@ -210,7 +210,7 @@
 // of no change doesn't: it may have missed one.
 type confirmed struct {
 	controller *controller
-	machine    *keyspace.Machine
+	machine    *keyspace.StateMachine
 	object     objects.Object
 	began      time.Duration // on the boot clock
 	asked      time.Duration // the same moment on the clock of watches
--- a/gateway/control.go
+++ b/gateway/control.go
@@ -92,8 +92,8 @@
 // touches it.
 type controller struct {
 	service      *service
-	machine      *keyspace.Machine // nil unless this process is the controller
-	revision     uint64            // of the machine's record
+	machine      *keyspace.StateMachine // nil unless this process is the controller
+	revision     uint64                 // of the machine's record
 	known        map[string]fleet.Server
 	writing      bool
 	reading      bool
@@ -298,7 +298,7 @@
 		revision, c.absent = 0, false
 	}
 	predecessor := record.Controller
-	next := record.SucceedIn(era, g.self())
+	next := record.TakeOverInEra(era, g.self())
 	g.log.Info("claiming control", "service", c.service.name, "term", next.Term, "revision", revision,
 		"predecessor", predecessor.Host, "resigned", predecessor.Resigned, "forgotten", !record.WrittenIn(era), "unheard-ms", (now - c.heard).Milliseconds())
 	c.claiming = true
@@ -312,9 +312,9 @@
 	if now-c.firstAt < g.claimDelay(c, 0) || g.reach.isAway() || !g.mayClaim() {
 		return
 	}
-	record := keyspace.FirstUnassigned(g.self(), g.era.Load())
+	record := keyspace.NewUnassignedRecord(g.self(), g.era.Load())
 	if c.service.name == coordination {
-		record = keyspace.FirstKeyless(g.self(), g.era.Load())
+		record = keyspace.NewKeylessRecord(g.self(), g.era.Load())
 	}
 	g.log.Info("first claim of control", "service", c.service.name)
 	c.claiming = true
@@ -343,7 +343,7 @@
 		return
 	}
 	eligible := slices.DeleteFunc(slices.Clone(servers), func(server keyspace.Server) bool { return server.Leaving })
-	if c.machine.AssignFirst(now, eligible) {
+	if c.machine.AssignInitially(now, eligible) {
 		g.log.Info("first assignment", "service", c.service.name, "servers", len(eligible), "after-ms", (now - c.led).Milliseconds())
 	}
 }
@@ -377,7 +377,7 @@
 		c.reported = now
 		load := c.service.takeLoad()
 		c.machine.Loads().Add(now, load.asked, load.work)
-		c.shares = c.machine.Shares(servers)
+		c.shares = c.machine.AdmissionShares(servers)
 		c.service.setShares(c.shares)
 	}
 	g.noteAuthority(c, now)
@@ -386,7 +386,7 @@
 		g.noteHosts(len(c.members.hosts) + 1)
 	}
 	c.machine.Advertise(c.members.all, g.hosts.count())
-	c.machine.SetPace(time.Duration(len(c.members.hosts)) * recordCost)
+	c.machine.SetMinWriteInterval(time.Duration(len(c.members.hosts)) * recordCost)
 	g.noteCrowded(c, len(servers))
 	if g.listed.Load() { // else every owner would be taken for lost
 		for _, call := range c.machine.Step(now, servers) {
@@ -422,7 +422,7 @@
 
 // noteAuthority logs when the authority ran out and when it is back.
 func (g *Gateway) noteAuthority(c *controller, now time.Duration) {
-	unauthorized := !c.machine.Authority(now)
+	unauthorized := !c.machine.Authorized(now)
 	if unauthorized == c.unauthorized {
 		return
 	}
@@ -437,7 +437,7 @@
 // noteCrowded logs when keys can't be moved any more for balance, and when they can
 // again.
 func (g *Gateway) noteCrowded(c *controller, servers int) {
-	crowded := c.machine.Crowded(servers)
+	crowded := c.machine.NearRangeLimit(servers)
 	if crowded == c.crowded {
 		return
 	}
@@ -465,7 +465,7 @@
 		return
 	}
 	c.asked = now
-	for _, earlier := range c.machine.Unproven(now) {
+	for _, earlier := range c.machine.UnfencedPredecessors(now) {
 		g.startYield(ctx, c, earlier)
 	}
 }
--- a/gateway/control_test.go
+++ b/gateway/control_test.go
@@ -52,7 +52,7 @@
 	g := New(Identity{Host: "one", Incarnation: 1}, Platform{}, logs.Discard())
 	c := &controller{service: newService("s", Identity{Incarnation: 1}, true, g.now), known: map[string]fleet.Server{}, members: newMembers(), claiming: true}
 	g.control.services["s"] = c
-	record := keyspace.First(g.self(), 0, []keyspace.Server{{ID: "a", Slots: 1}})
+	record := keyspace.NewRecord(g.self(), 0, []keyspace.Server{{ID: "a", Slots: 1}})
 	record.Term = term
 	return g, c, &claimEnded{controller: c, record: record}
 }
--- a/gateway/era.go
+++ b/gateway/era.go
@@ -38,14 +38,14 @@
 	}
 	g.noteEra(Assignments, era)
 	g.log.Warn("store does not hold the assignment that it had acknowledged", "service", c.service.name, "revision", c.revision,
-		"found", found.Revision, "term", c.machine.Record().Term, "authority", c.machine.Authority(now))
+		"found", found.Revision, "term", c.machine.Record().Term, "authority", c.machine.Authorized(now))
 	c.revision, c.kept = found.Revision, keptQuarantine{}
-	if !c.machine.Authority(now) {
+	if !c.machine.Authorized(now) {
 		c.absent = found.Revision == 0
 		g.stepDown(c, "the store has forgotten it, and its authority has run out", "")
 		return true
 	}
-	c.machine.Forgotten(era)
+	c.machine.RewriteLostRecord(era)
 	g.nudge()
 	return true
 }
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -264,7 +264,7 @@
 	record := &keyspace.Record{}
 	err := json.Unmarshal(object.Spec, record)
 	if err == nil {
-		err = record.Check()
+		err = record.Validate()
 	}
 	if err != nil {
 		g.log.Error("assignment left aside", "service", object.Name, "revision", object.Revision, "error", err.Error())
--- a/gateway/keyview.go
+++ b/gateway/keyview.go
@@ -80,7 +80,7 @@
 	if v.record == nil {
 		return "", 0
 	}
-	r := v.record.At(key)
+	r := v.record.RangeOf(key)
 	if r == nil {
 		return "", 0
 	}
@@ -109,7 +109,7 @@
 	}
 	_, alive := v.present[r.Server] // perhaps started again: then it is given the keys at once
 	lost := !r.Moving() && !alive
-	for _, former := range r.Former {
+	for _, former := range r.FormerHolders {
 		_, registered := v.present[former.Server]
 		lost = lost || !registered
 	}
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -225,7 +225,7 @@
 // yieldEnded is a predecessor's answer.
 type yieldEnded struct {
 	controller *controller
-	machine    *keyspace.Machine
+	machine    *keyspace.StateMachine
 	asked      keyspace.Controller
 	answer     yieldAnswer
 	err        error
@@ -251,7 +251,7 @@
 		return
 	}
 	g.log.Info("predecessor has stopped", "service", c.service.name, "predecessor", e.asked.Host, "restarted", e.answer.Incarnation != e.asked.Incarnation)
-	c.machine.Stopped(now, e.asked)
+	c.machine.PredecessorStopped(now, e.asked)
 }
 
 // peerCall is a call of another host that the control loop answers.
--- a/gateway/places.go
+++ b/gateway/places.go
@@ -166,7 +166,7 @@
 		return nil
 	}
 	c := g.control.services[s.name]
-	if c == nil || c.machine == nil || !c.machine.Authority(now) || len(c.machine.Unproven(now)) > 0 {
+	if c == nil || c.machine == nil || !c.machine.Authorized(now) || len(c.machine.UnfencedPredecessors(now)) > 0 {
 		return nil
 	}
 	return c
--- a/gateway/places_test.go
+++ b/gateway/places_test.go
@@ -35,27 +35,27 @@
 func TestNewSchedulerWaitsForItsPredecessor(t *testing.T) {
 	one, two := keyspace.Controller{Host: "one", Incarnation: 1}, keyspace.Controller{Host: "two", Incarnation: 2}
 	now := time.Minute
-	p := newPlaces(keyspace.FirstKeyless(two, 0).Succeed(one), now)
+	p := newPlaces(keyspace.NewKeylessRecord(two, 0).TakeOver(one), now)
 	assert.Assert(t, !p.ask(now).Schedules, "its predecessor may still give places")
-	p.controller.machine.Stopped(now, two)
+	p.controller.machine.PredecessorStopped(now, two)
 	answer := p.ask(now)
 	assert.Assert(t, answer.Schedules)
 	assert.DeepEqual(t, answer.WaitsMicros, []int64{100_000, 200_000})
-	assert.Assert(t, p.ask(now+keyspace.AuthorityBound-time.Millisecond).Schedules)
-	assert.Assert(t, !p.ask(now+keyspace.AuthorityBound).Schedules, "the store has not confirmed it")
+	assert.Assert(t, p.ask(now+keyspace.AuthorityTimeout-time.Millisecond).Schedules)
+	assert.Assert(t, !p.ask(now+keyspace.AuthorityTimeout).Schedules, "the store has not confirmed it")
 }
 
 func TestSchedulerOutlivesAPredecessorThatStaysSilent(t *testing.T) {
 	one, two := keyspace.Controller{Host: "one", Incarnation: 1}, keyspace.Controller{Host: "two", Incarnation: 2}
-	p := newPlaces(keyspace.FirstKeyless(two, 0).Succeed(one), time.Minute)
-	later := time.Minute + keyspace.AuthorityBound + time.Second
+	p := newPlaces(keyspace.NewKeylessRecord(two, 0).TakeOver(one), time.Minute)
+	later := time.Minute + keyspace.AuthorityTimeout + time.Second
 	p.controller.machine.Confirm(later)
 	assert.Assert(t, p.ask(later).Schedules)
 }
 
 // The host that asks hears of a newer limit, of its end, and when the next place is due.
 func TestPlacesFollowTheLimit(t *testing.T) {
-	p := newPlaces(keyspace.FirstKeyless(keyspace.Controller{Host: "one", Incarnation: 1}, 0), time.Minute)
+	p := newPlaces(keyspace.NewKeylessRecord(keyspace.Controller{Host: "one", Incarnation: 1}, 0), time.Minute)
 	p.request.WithinMicros = 150_000
 	answer := p.ask(time.Minute)
 	assert.DeepEqual(t, answer.WaitsMicros, []int64{100_000})
@@ -75,7 +75,7 @@
 
 // Answers in any number must not make a host give out more than a message holds.
 func TestPlacesOfOneAnswerAreBounded(t *testing.T) {
-	p := newPlaces(keyspace.FirstKeyless(keyspace.Controller{Host: "one", Incarnation: 1}, 0), time.Minute)
+	p := newPlaces(keyspace.NewKeylessRecord(keyspace.Controller{Host: "one", Incarnation: 1}, 0), time.Minute)
 	p.request.Places, p.request.WithinMicros = 1_000_000, time.Hour.Microseconds()
 	assert.Equal(t, len(p.ask(time.Minute).WaitsMicros), mostPlaces)
 }
--- a/gateway/quarantinestore.go
+++ b/gateway/quarantinestore.go
@@ -146,7 +146,7 @@
 // quarantineRead is the end of a read of a controller's quarantine.
 type quarantineRead struct {
 	controller *controller
-	machine    *keyspace.Machine
+	machine    *keyspace.StateMachine
 	object     objects.Object
 	err        error
 }
@@ -207,7 +207,7 @@
 // quarantineWritten is the end of a write of a controller's quarantine.
 type quarantineWritten struct {
 	controller *controller
-	machine    *keyspace.Machine
+	machine    *keyspace.StateMachine
 	content    Quarantine
 	stored     objects.Object
 	err        error
--- a/gateway/relay_test.go
+++ b/gateway/relay_test.go
@@ -14,20 +14,20 @@
 // not heard of it, and can't tell that it is gone.
 func TestRelayTellsNoDifferencesAcrossEras(t *testing.T) {
 	listing := func(era, number uint64) objects.Listing {
-		return objects.Listing{Revision: revision.In(era, number), Objects: []objects.Object{{Name: "a", Revision: revision.In(era, 40)}}}
+		return objects.Listing{Revision: revision.New(era, number), Objects: []objects.Object{{Name: "a", Revision: revision.New(era, 40)}}}
 	}
 	var r relay
 	r.note("servers", listing(1, 50), true)
-	_, _, ok := r.since("servers", revision.In(1, 55))
+	_, _, ok := r.since("servers", revision.New(1, 55))
 	assert.Assert(t, ok, "ahead of the relay")
 	r.note("servers", listing(2, 45), true)
-	_, _, ok = r.since("servers", revision.In(1, 55))
+	_, _, ok = r.since("servers", revision.New(1, 55))
 	assert.Assert(t, !ok, "it is to list again")
-	again, _, ok := r.since("servers", revision.In(2, 45))
+	again, _, ok := r.since("servers", revision.New(2, 45))
 	assert.Assert(t, ok && len(again.Objects) == 0)
 	all, ok := r.list("servers")
 	assert.Assert(t, ok)
-	assert.Equal(t, all.Revision, revision.In(2, 45))
+	assert.Equal(t, all.Revision, revision.New(2, 45))
 }
 
 // list returns all that a relay knows of a kind.
--- a/keyspace/answers.go
+++ b/keyspace/answers.go
@@ -9,50 +9,50 @@
 
 const (
 	// releaseRetryDelay is the delay before an unanswered release is sent again.
-	callRetry = 250 * time.Millisecond
+	releaseRetryDelay = 250 * time.Millisecond
 	// probeInterval is how often an unresponsive server is probed. Probes overlap: one sent
 	// while the network is down never arrives, so with one probe of 0.6 s at a time a server's
 	// return would be noticed up to 0.85 s late. Shorter intervals cost more calls.
-	probeEvery = 250 * time.Millisecond
+	probeInterval = 250 * time.Millisecond
 )
 
 // CallCompleted takes the result of a call with its start and end times. An unanswered call
 // must have been aborted, so that it can't arrive after ended.
-func (m *Machine) Answered(call Call, result CallResult, handoff string, began, ended time.Duration) {
-	m.underWay--
+func (m *StateMachine) CallCompleted(call Call, result CallResult, handoff string, began, ended time.Duration) {
+	m.callsInFlight--
 	l, known := m.leases[leaseKey{from: call.From, to: call.To, holder: call.Holder}]
 	if !known {
 		return
 	}
-	l.calling = false
-	l.heard = result != CallUnanswered
+	l.callInFlight = false
+	l.answeredLast = result != CallUnanswered
 	switch call.Kind {
 	case GrantCall:
-		m.grantAnswered(l, call.Server, result, began, ended)
+		m.grantCompleted(l, call.Server, result, began, ended)
 	case ReleaseCall:
 		if result == CallUnanswered {
-			l.retry = ended + callRetry
+			l.nextRelease = ended + releaseRetryDelay
 			return
 		}
 		l.released = true
-		if !l.successor {
+		if !l.successorAsked {
 			l.handoff = handoff
 		}
 	case ProbeCall:
 		if result != CallUnanswered {
-			m.noteAnswer(call.Incarnation(), ended)
+			m.noteResponse(call.Incarnation(), ended)
 		} else {
-			l.silent = true
+			l.unresponsive = true
 		}
 	}
 }
 
 // noteResponse records that a server answers again, and makes its unresponsive ranges due
 // for renewal.
-func (m *Machine) noteAnswer(server fleet.Incarnation, now time.Duration) {
+func (m *StateMachine) noteResponse(server fleet.Incarnation, now time.Duration) {
 	for key, l := range m.leases {
-		if key.holder.Incarnation() == server && l.silent {
-			l.silent, l.next, l.backAt = false, now, now
+		if key.holder.Incarnation() == server && l.unresponsive {
+			l.unresponsive, l.nextGrant, l.recoveredAt = false, now, now
 		}
 	}
 }
@@ -63,24 +63,24 @@
 func firstRenewal(server string) time.Duration {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(server)) // never fails
-	return renewEvery/2 + renewEvery/2*time.Duration(hash.Sum32()%1000)/1000
+	return renewInterval/2 + renewInterval/2*time.Duration(hash.Sum32()%1000)/1000
 }
 
-func (m *Machine) grantAnswered(l *lease, server string, result CallResult, began, ended time.Duration) {
-	l.until = max(l.until, lapse(ended))
+func (m *StateMachine) grantCompleted(l *lease, server string, result CallResult, began, ended time.Duration) {
+	l.expiry = max(l.expiry, leaseExpiry(ended))
 	switch result {
 	case CallDone:
-		l.next = began + renewEvery
+		l.nextGrant = began + renewInterval
 		if !l.granted {
-			l.next = began + firstRenewal(server)
+			l.nextGrant = began + firstRenewal(server)
 		}
-		l.granted, l.silent = true, false
-	case CallStale:
-		l.stale = true
-		l.next = ended + renewEvery
+		l.granted, l.unresponsive = true, false
+	case CallStaleToken:
+		l.tokenStale = true
+		l.nextGrant = ended + renewInterval
 	case CallUnanswered:
-		l.late = max(l.late, lapse(ended))
-		l.silent = true
-		l.next = ended
+		l.unansweredExpiry = max(l.unansweredExpiry, leaseExpiry(ended))
+		l.unresponsive = true
+		l.nextGrant = ended
 	}
 }
--- a/keyspace/call.go
+++ b/keyspace/call.go
@@ -44,7 +44,7 @@
 	// CallDone means that the server answered and did what was requested.
 	CallDone CallResult = iota
 	// CallStaleToken means that the server has seen a higher token.
-	CallStale
+	CallStaleToken
 	// CallUnanswered means that the call may have taken effect or may still do so.
 	CallUnanswered
 )
--- a/keyspace/change.go
+++ b/keyspace/change.go
@@ -9,36 +9,36 @@
 
 // propose sets the pending record if something has to change. Finished moves come first,
 // then evacuations, then load balancing.
-func (m *Machine) propose(now time.Duration, servers []Server, live map[string]Server) {
+func (m *StateMachine) propose(now time.Duration, servers []Server, live map[string]Server) {
 	next := m.record.Clone()
-	changed := m.nameRelays(next)
+	changed := m.updateRelays(next)
 	changed = m.finishMoves(next) || changed
-	changed = m.renewStale(now, next) || changed
-	changed = m.grantAnew(now, next, live) || changed
-	servers = m.markSilent(servers)
-	settled := m.Settled(now)
+	changed = m.reissueStaleTokens(now, next) || changed
+	changed = m.reassignRestarted(now, next, live) || changed
+	servers = m.markUnresponsive(servers)
+	settled := m.PredecessorsFenced(now)
 	if settled {
-		changed = changed || len(next.Earlier) > 0
-		next.Earlier = nil
+		changed = changed || len(next.Predecessors) > 0
+		next.Predecessors = nil
 	}
-	moves := evacuations(next, servers, m.loads, func(r *Range) bool { return m.stays(now, r, live) })
-	if settled && len(moves) == 0 && now >= m.calm && now-m.planned >= planEvery {
+	moves := evacuations(next, servers, m.loads, func(r *Range) bool { return m.keepsOwner(now, r, live) })
+	if settled && len(moves) == 0 && now >= m.predecessorGrantsExpireAt && now-m.plannedAt >= planInterval {
 		moves = rebalance(next, servers, m.loads)
-		m.planned = now
+		m.plannedAt = now
 	}
-	changed = m.apply(now, next, moves, live) || changed
+	changed = m.applyMoves(now, next, moves, live) || changed
 	if settled {
-		changed = m.merge(next, changed) || changed
+		changed = m.mergeRanges(next, changed) || changed
 	}
 	if changed {
 		next.Writes++
-		m.pending, m.proposed = next, now
+		m.pending, m.proposedAt = next, now
 	}
 }
 
 // updateRelays copies the relays into a record, and reports whether they are a reason to
 // write it: only if the record names none that is still a relay, because writes are costly.
-func (m *Machine) nameRelays(next *Record) bool {
+func (m *StateMachine) updateRelays(next *Record) bool {
 	if len(m.relays) == 0 {
 		return false
 	}
@@ -49,29 +49,29 @@
 		}
 	}
 	next.Controller.Relays = slices.Clone(m.relays)
-	if m.hosts > 0 {
-		next.Controller.Hosts = m.hosts
+	if m.hostCount > 0 {
+		next.Controller.Hosts = m.hostCount
 	}
 	return alive == 0
 }
 
 // keepsOwner reports whether a range's owner keeps it for now.
-func (m *Machine) stays(now time.Duration, r *Range, live map[string]Server) bool {
+func (m *StateMachine) keepsOwner(now time.Duration, r *Range, live map[string]Server) bool {
 	server, registered := live[r.Server]
 	switch {
-	case registered && m.replaced(now, r.Holder, server):
+	case registered && m.restarted(now, r.Holder, server):
 		return true // the owner's later incarnation is given the keys
 	case m.hasEnded(r.Holder):
 		// Grants by an earlier controller have no effect on an ended process, so even a
 		// successor need not wait the 5.75 s until the earlier controller can't grant any
 		// more. A controller is often lost together with servers.
 		return false
-	case !m.Settled(now):
+	case !m.PredecessorsFenced(now):
 		return true
 	case registered:
 		return !server.Leaving
 	}
-	return m.waitFor(now, r)
+	return m.awaitsLeaseExpiry(now, r)
 }
 
 // awaitsLeaseExpiry reports whether the keys of a lost owner stay with it until its lease has
@@ -80,61 +80,61 @@
 // domain's keys would overload the other servers for seconds. An owner that answers again
 // gets time to register again: when the controller was lost at the same time, moving a
 // whole domain's keys at its return rejected a quarter of the service's requests for 6 s.
-func (m *Machine) waitFor(now time.Duration, r *Range) bool {
-	l := m.lease(r, r.Holder)
-	if l.backAt > 0 && now < l.backAt+returnWait {
+func (m *StateMachine) awaitsLeaseExpiry(now time.Duration, r *Range) bool {
+	l := m.leaseOf(r, r.Holder)
+	if l.recoveredAt > 0 && now < l.recoveredAt+reregistrationWait {
 		return true
 	}
-	return !l.heard && now < l.until
+	return !l.answeredLast && now < l.expiry
 }
 
 // reregistrationWait is how long a server that answers again has to register again. Live
 // servers renew their entries within about 2 s.
-const returnWait = 2 * time.Second
+const reregistrationWait = 2 * time.Second
 
 // markUnresponsive marks the servers that left a grant unanswered or have ended. Their
 // measured load drops soon, which would make them receivers of the busiest keys.
-func (m *Machine) markSilent(servers []Server) []Server {
+func (m *StateMachine) markUnresponsive(servers []Server) []Server {
 	silent := map[fleet.Incarnation]bool{}
 	for key, l := range m.leases {
-		if l.silent {
+		if l.unresponsive {
 			silent[key.holder.Incarnation()] = true
 		}
 	}
 	marked := slices.Clone(servers)
 	for i := range marked {
 		incarnation := marked[i].Incarnation()
-		marked[i].Silent = silent[incarnation] || m.ended[incarnation]
+		marked[i].Unresponsive = silent[incarnation] || m.ended[incarnation]
 	}
 	return marked
 }
 
 // finishMoves removes the former holders from ranges whose owner has confirmed its grant.
 // The owner inherits the leases of its earlier incarnations.
-func (m *Machine) finishMoves(next *Record) bool {
+func (m *StateMachine) finishMoves(next *Record) bool {
 	changed := false
 	for i := range next.Ranges {
 		r := &next.Ranges[i]
-		if !r.Moving() || !m.lease(r, r.Holder).granted || m.callingEarlier(r) {
+		if !r.Moving() || !m.leaseOf(r, r.Holder).granted || m.formerCallInFlight(r) {
 			continue
 		}
-		m.inherit(r)
-		r.Former, r.Answered = nil, false
+		m.inheritLeases(r)
+		r.FormerHolders, r.GrantsAnswered = nil, false
 		changed = true
 	}
 	return changed
 }
 
 // applyMoves changes the record by the moves. When a range is split, both parts get its leases.
-func (m *Machine) apply(now time.Duration, next *Record, moves []Move, live map[string]Server) bool {
+func (m *StateMachine) applyMoves(now time.Duration, next *Record, moves []Move, live map[string]Server) bool {
 	changed := false
 	for _, move := range moves {
-		if m.calling(next, move) {
+		if m.moveBlocked(next, move) {
 			continue
 		}
-		m.cut(next, move.From)
+		m.splitRange(next, move.From)
 		if move.To < LastKey {
-			m.cut(next, move.To+1)
+			m.splitRange(next, move.To+1)
 		}
 		for i := range next.Ranges {
 			r := &next.Ranges[i]
@@ -143,10 +143,10 @@
 			}
 			changed = true
 			next.LastToken++
-			free, answered := m.free(now, r), m.answered(now, r)
-			r.passTo(Holder{Server: move.Server, Start: live[move.Server].Start, Token: next.LastToken}, answered)
+			free, answered := m.unheld(now, r), m.grantsAnswered(now, r)
+			r.reassign(Holder{Server: move.Server, Start: live[move.Server].Start, Token: next.LastToken}, answered)
 			if free {
-				r.Former, r.Answered = nil, false
+				r.FormerHolders, r.GrantsAnswered = nil, false
 			}
 		}
 	}
@@ -157,9 +157,9 @@
 // gives them to the next owner. A successor that read the move half done, with a former
 // holder that does not answer, would wait for the longest lease again: 6 s when all hosts
 // were killed while the keys of a disconnected domain were moving.
-func (m *Machine) free(now time.Duration, r *Range) bool {
-	for _, holder := range append(slices.Clone(r.Former), r.Holder) {
-		if l := m.lease(r, holder); l.calling || !l.over(now) {
+func (m *StateMachine) unheld(now time.Duration, r *Range) bool {
+	for _, holder := range append(slices.Clone(r.FormerHolders), r.Holder) {
+		if l := m.leaseOf(r, holder); l.callInFlight || !l.lapsed(now) {
 			return false
 		}
 	}
@@ -168,13 +168,13 @@
 
 // moveBlocked reports whether a call about the keys to move is in flight. Its result refers
 // to the range as it was, so the range must not be split meanwhile.
-func (m *Machine) calling(next *Record, move Move) bool {
+func (m *StateMachine) moveBlocked(next *Record, move Move) bool {
 	for i := range next.Ranges {
 		r := &next.Ranges[i]
 		if r.To < move.From || r.From > move.To {
 			continue
 		}
-		if m.lease(r, r.Holder).calling || m.callingEarlier(r) {
+		if m.leaseOf(r, r.Holder).callInFlight || m.formerCallInFlight(r) {
 			return true
 		}
 	}
@@ -183,16 +183,16 @@
 
 // reissueStaleTokens gives a new token to owners that have seen a higher one than the
 // record's: they refuse every renewal.
-func (m *Machine) renewStale(now time.Duration, next *Record) bool {
+func (m *StateMachine) reissueStaleTokens(now time.Duration, next *Record) bool {
 	changed := false
 	for i := range next.Ranges {
 		r := &next.Ranges[i]
-		l := m.lease(r, r.Holder)
-		if !l.stale || l.calling {
+		l := m.leaseOf(r, r.Holder)
+		if !l.tokenStale || l.callInFlight {
 			continue
 		}
 		next.LastToken++
-		r.passTo(Holder{Server: r.Server, Start: r.Start, Token: next.LastToken}, m.answered(now, r))
+		r.reassign(Holder{Server: r.Server, Start: r.Start, Token: next.LastToken}, m.grantsAnswered(now, r))
 		changed = true
 	}
 	return changed
@@ -200,59 +200,59 @@
 
 // mergeThreshold is how many ranges must be redundant before merging them justifies a write
 // of its own. Each range costs a call per renewal.
-const mergeAt = 8
+const mergeThreshold = 8
 
 // mergeRanges joins adjacent ranges of one owner under a new token. The owner already holds
 // the keys, so nothing has to be released.
-func (m *Machine) merge(next *Record, writing bool) bool {
+func (m *StateMachine) mergeRanges(next *Record, writing bool) bool {
 	joinable := 0
 	for i := 1; i < len(next.Ranges); i++ {
-		if m.joinable(&next.Ranges[i-1], &next.Ranges[i]) {
+		if m.mergeable(&next.Ranges[i-1], &next.Ranges[i]) {
 			joinable++
 		}
 	}
-	if joinable == 0 || !writing && joinable < mergeAt {
+	if joinable == 0 || !writing && joinable < mergeThreshold {
 		return false
 	}
 	kept := next.Ranges[:1]
 	for _, r := range next.Ranges[1:] {
 		last := &kept[len(kept)-1]
-		if !m.joinable(last, &r) {
+		if !m.mergeable(last, &r) {
 			kept = append(kept, r)
 			continue
 		}
-		left, right := *m.lease(last, last.Holder), *m.lease(&r, r.Holder)
+		left, right := *m.leaseOf(last, last.Holder), *m.leaseOf(&r, r.Holder)
 		next.LastToken++
 		last.To = r.To
 		last.Token = next.LastToken
-		m.leases[keyOf(last, last.Holder)] = &lease{until: max(left.until, right.until), late: max(left.late, right.late), granted: true}
+		m.leases[keyOf(last, last.Holder)] = &lease{expiry: max(left.expiry, right.expiry), unansweredExpiry: max(left.unansweredExpiry, right.unansweredExpiry), granted: true}
 	}
 	next.Ranges = kept
 	return true
 }
 
 // mergeable reports whether two adjacent ranges can be merged now.
-func (m *Machine) joinable(a, b *Range) bool {
+func (m *StateMachine) mergeable(a, b *Range) bool {
 	if a.Incarnation() != b.Incarnation() || a.Moving() || b.Moving() || m.hasEnded(a.Holder) {
 		return false
 	}
-	left, right := m.lease(a, a.Holder), m.lease(b, b.Holder)
-	return left.granted && right.granted && !left.calling && !right.calling &&
-		!left.silent && !right.silent && !left.stale && !right.stale
+	left, right := m.leaseOf(a, a.Holder), m.leaseOf(b, b.Holder)
+	return left.granted && right.granted && !left.callInFlight && !right.callInFlight &&
+		!left.unresponsive && !right.unresponsive && !left.tokenStale && !right.tokenStale
 }
 
 // splitRange splits the range that contains a key, so that a range starts at the key.
-func (m *Machine) cut(next *Record, at uint16) {
-	r := next.At(at)
+func (m *StateMachine) splitRange(next *Record, at uint16) {
+	r := next.RangeOf(at)
 	if r == nil || r.From == at {
 		return
 	}
 	left, right := *r, *r
 	left.To, right.From = at-1, at
-	right.Former = slices.Clone(r.Former)
-	for _, holder := range append(slices.Clone(r.Former), r.Holder) {
-		whole := *m.lease(r, holder)
-		whole.calling = false
+	right.FormerHolders = slices.Clone(r.FormerHolders)
+	for _, holder := range append(slices.Clone(r.FormerHolders), r.Holder) {
+		whole := *m.leaseOf(r, holder)
+		whole.callInFlight = false
 		for _, part := range []Range{left, right} {
 			copied := whole
 			m.leases[keyOf(&part, holder)] = &copied
--- a/keyspace/era.go
+++ b/keyspace/era.go
@@ -38,31 +38,31 @@
 func (r *Record) WrittenIn(era uint64) bool { return r.Era == 0 || r.Era > era }
 
 // TakeOverInEra returns the record with a new controller that writes it in an era of the store.
-func (r *Record) SucceedIn(era uint64, controller Controller) *Record {
-	next := r.Succeed(controller)
+func (r *Record) TakeOverInEra(era uint64, controller Controller) *Record {
+	next := r.TakeOver(controller)
 	if !r.WrittenIn(era) {
-		next.forgetHolders()
+		next.addUnknownHolders()
 	}
 	next.Era, next.Writes = era+1, 0
 	return next
 }
 
 // addUnknownHolders accounts for holders and tokens that the record may not contain.
-func (r *Record) forgetHolders() {
+func (r *Record) addUnknownHolders() {
 	r.Term += termsPerEra
 	r.LastToken += tokensPerEra
 	for i := range r.Ranges {
 		at := &r.Ranges[i]
 		r.LastToken++
-		at.passTo(Holder{Server: at.Server, Start: at.Start, Token: r.LastToken}, false)
-		at.Former = append(at.Former, Holder{Server: unknownServer, Token: r.LastToken})
+		at.reassign(Holder{Server: at.Server, Start: at.Start, Token: r.LastToken}, false)
+		at.FormerHolders = append(at.FormerHolders, Holder{Server: unknownServer, Token: r.LastToken})
 	}
 }
 
 // RewriteLostRecord makes the record that the store has lost pending again, in the era since
 // the restore. No write may be in flight. The controller must have authority; a lost
 // successor's record has then not had any effect.
-func (m *Machine) Forgotten(era uint64) {
+func (m *StateMachine) RewriteLostRecord(era uint64) {
 	next := m.record
 	if m.pending != nil {
 		next = m.pending
--- a/keyspace/era_test.go
+++ b/keyspace/era_test.go
@@ -9,24 +9,24 @@
 
 // Guards against taking the record in a restored store for the newest although later writes
 // were lost: it names owners that have released their keys.
-func TestForgottenRecordsAreNewerThanWhatTheStoreHolds(t *testing.T) {
+func TestForgottenRecordsAreNewerThanTheRestoredOnes(t *testing.T) {
 	one, two := Controller{Host: "one", Incarnation: 1}, Controller{Host: "two", Incarnation: 2}
-	first := First(one, 0, []Server{{ID: "a", Slots: 1}})
+	first := NewRecord(one, 0, []Server{{ID: "a", Slots: 1}})
 	m := New(first, 0, 0)
 	for m.Pending() == nil {
 		for _, call := range m.Step(0, []Server{{ID: "b", Slots: 1}, {ID: "a", Slots: 1, Leaving: true}}) {
-			m.Answered(call, CallDone, "", 0, 0)
+			m.CallCompleted(call, CallDone, "", 0, 0)
 		}
 	}
-	m.Written(0)
+	m.WriteAcknowledged(0)
 	moved := m.Record()
 	assert.Assert(t, first.OlderThan(moved), "each write makes a record newer")
 	assert.Assert(t, !moved.OlderThan(first) && !moved.OlderThan(moved))
-	successor := moved.SucceedIn(0, two)
+	successor := moved.TakeOverInEra(0, two)
 	assert.Assert(t, moved.OlderThan(successor))
 
-	m.Forgotten(1)
-	m.Written(0)
+	m.RewriteLostRecord(1)
+	m.WriteAcknowledged(0)
 	again := m.Record()
 	assert.Assert(t, successor.OlderThan(again), "newer than the record of a successor that the store has lost")
 	assert.Assert(t, again.WrittenIn(1) && !again.WrittenIn(2) && !moved.WrittenIn(1))
@@ -36,13 +36,13 @@
 
 // Guards against a controller that grants keys at once after it has taken over a record that
 // is not the newest, so that it knows neither all holders nor all tokens.
-func TestKeysOfAForgottenRecordWaitUntilAllLeasesHaveLapsed(t *testing.T) {
+func TestKeysOfAForgottenRecordWaitUntilAllLeasesHaveExpired(t *testing.T) {
 	servers := []Server{{ID: "a", Slots: 1}, {ID: "b", Slots: 1}}
-	first := First(Controller{Host: "one", Incarnation: 1}, 0, servers)
-	known := first.SucceedIn(1, Controller{Host: "two", Incarnation: 2})
+	first := NewRecord(Controller{Host: "one", Incarnation: 1}, 0, servers)
+	known := first.TakeOverInEra(1, Controller{Host: "two", Incarnation: 2})
 	assert.Assert(t, known.LastToken > first.LastToken+tokensPerEra)
 	m := Adopt(known, 0, 0)
-	m.Stopped(0, first.Controller) // controllers that the store has lost may still be running
+	m.PredecessorStopped(0, first.Controller) // controllers that the store has lost may still be running
 	granted := time.Duration(-1)
 	for now := time.Duration(0); now < 30*time.Second && granted < 0; now += 100 * time.Millisecond {
 		m.Confirm(now)
@@ -51,15 +51,15 @@
 				granted = now
 				assert.Assert(t, call.Token > first.LastToken+tokensPerEra)
 			} else {
-				m.Answered(call, CallDone, "", now, now) // both known holders release at once
+				m.CallCompleted(call, CallDone, "", now, now) // both known holders release at once
 			}
 		}
 		if m.Pending() != nil {
-			m.Written(now)
+			m.WriteAcknowledged(now)
 		}
 	}
-	assert.Assert(t, granted >= AuthorityBound+LeaseTerm, "granted after %v", granted)
-	upgraded := First(Controller{Host: "one", Incarnation: 1}, 0, servers)
+	assert.Assert(t, granted >= AuthorityTimeout+LeaseTerm, "granted after %v", granted)
+	upgraded := NewRecord(Controller{Host: "one", Incarnation: 1}, 0, servers)
 	upgraded.Era = 0
-	assert.Equal(t, upgraded.SucceedIn(7, Controller{}).LastToken, upgraded.LastToken, "written by a host that reports no era")
+	assert.Equal(t, upgraded.TakeOverInEra(7, Controller{}).LastToken, upgraded.LastToken, "written by a host that reports no era")
 }
--- a/keyspace/faults_test.go
+++ b/keyspace/faults_test.go
@@ -10,9 +10,9 @@
 )
 
 // harness runs a state machine for two servers, with the time under the test's control.
-type bench struct {
+type harness struct {
 	t       *testing.T
-	m       *Machine
+	m       *StateMachine
 	now     time.Duration
 	servers []Server
 	// answer decides the result of a call; nil means CallDone at once.
@@ -20,24 +20,24 @@
 	grants map[string]time.Duration // by server: when a grant was last sent
 }
 
-func newBench(t *testing.T, m *Machine, now time.Duration) *bench {
-	return &bench{t: t, m: m, now: now, grants: map[string]time.Duration{},
+func newHarness(t *testing.T, m *StateMachine, now time.Duration) *harness {
+	return &harness{t: t, m: m, now: now, grants: map[string]time.Duration{},
 		servers: []Server{{ID: "a", Slots: 2, Speed: 1}, {ID: "b", Slots: 2, Speed: 1}}}
 }
 
 func twoServers() *Record {
-	return First(Controller{Host: "one", Incarnation: 1}, 0, []Server{{ID: "a", Slots: 2}, {ID: "b", Slots: 2}})
+	return NewRecord(Controller{Host: "one", Incarnation: 1}, 0, []Server{{ID: "a", Slots: 2}, {ID: "b", Slots: 2}})
 }
 
 // run steps the state machine until a time, with the store confirming the controller.
-func (b *bench) run(until time.Duration) {
+func (b *harness) run(until time.Duration) {
 	for ; b.now < until; b.now += tick {
 		b.m.Confirm(b.now)
 		b.step()
 	}
 }
 
-func (b *bench) step() {
+func (b *harness) step() {
 	for _, call := range b.m.Step(b.now, b.servers) {
 		if call.Kind == GrantCall {
 			b.grants[call.Server] = b.now
@@ -46,21 +46,21 @@
 		if b.answer != nil {
 			result = b.answer(call)
 		}
-		b.m.Answered(call, result, "", b.now, b.now)
+		b.m.CallCompleted(call, result, "", b.now, b.now)
 	}
 	if b.m.Pending() != nil {
-		b.m.Written(b.now)
+		b.m.WriteAcknowledged(b.now)
 	}
 }
 
 // owner returns the owner of key 0 and whether it has confirmed its grant.
-func (b *bench) owner() (string, bool) {
-	r := b.m.Record().At(0)
+func (b *harness) owner() (string, bool) {
+	r := b.m.Record().RangeOf(0)
 	return r.Server, !r.Moving() && b.m.Granted(r)
 }
 
 // loseA makes server a unresponsive and removes its entry.
-func (b *bench) loseA() {
+func (b *harness) loseA() {
 	b.answer = func(call Call) CallResult {
 		if call.Server == "a" {
 			return CallUnanswered
@@ -72,12 +72,12 @@
 
 // silenceA makes server a unresponsive. Its entry expires after three missed heartbeats. It
 // returns the servers as they were registered.
-func (b *bench) silenceA() []Server {
+func (b *harness) silenceA() []Server {
 	registered := b.servers
 	b.loseA()
 	lapsed := b.servers
 	b.servers = registered
-	b.run(b.now + entryLapse)
+	b.run(b.now + entryExpiry)
 	b.servers = lapsed
 	return registered
 }
@@ -85,8 +85,8 @@
 // Guards against two servers that run requests for the same keys for a tenth of a second. A
 // server becomes unresponsive but lives, and its clock runs 2% slow. Its keys move when the
 // lease has expired on the controller's clock, but not yet on the server's.
-func TestSilentServersLeaseRunsOutOnItsOwnClock(t *testing.T) {
-	b := newBench(t, New(twoServers(), 0, 0), 0)
+func TestUnresponsiveServersLeaseExpiresOnItsOwnClock(t *testing.T) {
+	b := newHarness(t, New(twoServers(), 0, 0), 0)
 	b.run(3 * time.Second)
 	last := b.grants["a"]
 	b.loseA()
@@ -103,7 +103,7 @@
 // unanswered; a is leaving and confirms its release, and b gets the keys. Then the delayed
 // grant takes effect at a. The release does not undo a grant that is still in flight.
 func TestUnansweredGrantOutlivesRelease(t *testing.T) {
-	b := newBench(t, New(twoServers(), 0, 0), 0)
+	b := newHarness(t, New(twoServers(), 0, 0), 0)
 	b.run(2 * time.Second)
 	b.answer = func(call Call) CallResult {
 		if call.Server == "a" && call.Kind == GrantCall {
@@ -126,14 +126,14 @@
 // Guards against two holders of the same keys after a controller is disconnected from the
 // store for long. Another one takes over and moves keys, while the first keeps renewing the
 // old owner's lease without confirmation by the store.
-func TestNoGrantWithoutTheStoresWord(t *testing.T) {
-	b := newBench(t, New(twoServers(), 0, 0), 0)
+func TestNoGrantWithoutConfirmationByTheStore(t *testing.T) {
+	b := newHarness(t, New(twoServers(), 0, 0), 0)
 	b.run(2 * time.Second)
-	for end := b.now + AuthorityBound + 4*time.Second; b.now < end; b.now += tick {
+	for end := b.now + AuthorityTimeout + 4*time.Second; b.now < end; b.now += tick {
 		b.step()
 	}
-	assert.Assert(t, b.grants["a"] < 2*time.Second+AuthorityBound)
-	assert.Assert(t, !b.m.Authority(b.now))
+	assert.Assert(t, b.grants["a"] < 2*time.Second+AuthorityTimeout)
+	assert.Assert(t, !b.m.Authorized(b.now))
 }
 
 // Guards against two holders of the same keys when a release is treated as final while an
@@ -141,15 +141,15 @@
 // renews the old owner's lease after its successor got the release and moved the keys.
 func TestReleaseCountsOnceEarlierControllersHaveStopped(t *testing.T) {
 	record := twoServers()
-	record.Ranges[0].Former = []Holder{{Server: "a", Token: record.Ranges[0].Token}}
+	record.Ranges[0].FormerHolders = []Holder{{Server: "a", Token: record.Ranges[0].Token}}
 	record.LastToken++
 	record.Ranges[0].Holder = Holder{Server: "b", Token: record.LastToken}
 	start := time.Minute
-	b := newBench(t, Adopt(record.Succeed(Controller{Host: "two", Incarnation: 2}), start, start), start)
-	b.run(start + AuthorityBound)
+	b := newHarness(t, Adopt(record.TakeOver(Controller{Host: "two", Incarnation: 2}), start, start), start)
+	b.run(start + AuthorityTimeout)
 	_, held := b.owner()
 	assert.Assert(t, !held)
-	b.run(start + AuthorityBound + LeaseTerm + 3*time.Second)
+	b.run(start + AuthorityTimeout + LeaseTerm + 3*time.Second)
 	owner, held := b.owner()
 	assert.Equal(t, owner, "b")
 	assert.Assert(t, held)
@@ -159,25 +159,25 @@
 // disconnected; two takes over and resigns at once; three takes over from two and moves keys
 // that one still renews.
 func TestAllEarlierControllersMustHaveStopped(t *testing.T) {
-	second := twoServers().Succeed(Controller{Host: "two", Incarnation: 2})
-	third := second.Succeed(Controller{Host: "three", Incarnation: 3})
+	second := twoServers().TakeOver(Controller{Host: "two", Incarnation: 2})
+	third := second.TakeOver(Controller{Host: "three", Incarnation: 3})
 	start := time.Minute
 	m := Adopt(third, start, start)
-	assert.Equal(t, len(m.Unproven(start)), 2)
-	m.Stopped(start, second.Controller)
-	assert.Assert(t, !m.Settled(start), "controller one may still grant")
-	m.Stopped(start, Controller{Host: "one", Incarnation: 1})
-	assert.Assert(t, m.Settled(start))
+	assert.Equal(t, len(m.UnfencedPredecessors(start)), 2)
+	m.PredecessorStopped(start, second.Controller)
+	assert.Assert(t, !m.PredecessorsFenced(start), "controller one may still grant")
+	m.PredecessorStopped(start, Controller{Host: "one", Incarnation: 1})
+	assert.Assert(t, m.PredecessorsFenced(start))
 
 	second.Controller.Resigned = true
-	afterResigning := second.Succeed(Controller{Host: "three", Incarnation: 3})
-	assert.Equal(t, len(afterResigning.Earlier), 1)
+	afterResigning := second.TakeOver(Controller{Host: "three", Incarnation: 3})
+	assert.Equal(t, len(afterResigning.Predecessors), 1)
 }
 
 // Guards against moving the keys of a live server, which is running requests, because one
 // grant to it was unanswered.
-func TestSilenceIsNoProofOfTheEnd(t *testing.T) {
-	b := newBench(t, New(twoServers(), 0, 0), 0)
+func TestUnansweredGrantDoesNotProveTheServersEnd(t *testing.T) {
+	b := newHarness(t, New(twoServers(), 0, 0), 0)
 	b.run(2 * time.Second)
 	registered := b.servers
 	b.loseA()
@@ -191,11 +191,11 @@
 }
 
 // The proof that a server's process has ended frees its keys at once.
-func TestEndedServersKeysPassOnAtOnce(t *testing.T) {
-	b := newBench(t, New(twoServers(), 0, 0), 0)
+func TestKeysOfAnEndedServerMoveAtOnce(t *testing.T) {
+	b := newHarness(t, New(twoServers(), 0, 0), 0)
 	b.run(2 * time.Second)
 	b.loseA()
-	b.m.Ended(fleet.Incarnation{ID: "a"})
+	b.m.IncarnationEnded(fleet.Incarnation{ID: "a"})
 	b.run(b.now + 10*tick)
 	owner, held := b.owner()
 	assert.Equal(t, owner, "b")
@@ -211,9 +211,9 @@
 		for i := range n {
 			servers = append(servers, Server{ID: string(rune('A' + i)), Slots: 4})
 		}
-		record := First(Controller{}, 0, servers)
-		assert.NilError(t, record.Check())
-		assert.Assert(t, len(record.Ranges) < max(mostSlices, n)+n)
+		record := NewRecord(Controller{}, 0, servers)
+		assert.NilError(t, record.Validate())
+		assert.Assert(t, len(record.Ranges) < max(maxInitialRanges, n)+n)
 		owners := map[string]int{}
 		for _, r := range record.Ranges {
 			owners[r.Server]++
@@ -226,11 +226,11 @@
 // unanswered, later ones are answered, and two ranges of a are merged. Then a is leaving and
 // confirms its release, and the delayed grant takes effect while the next owner has the
 // keys, if the merge has dropped the unanswered grant.
-func TestJoinedRangesKeepTheirUnansweredGrants(t *testing.T) {
+func TestMergedRangesKeepTheirUnansweredGrants(t *testing.T) {
 	record := &Record{Term: 1, Controller: Controller{Host: "one", Incarnation: 1}, LastToken: 4, Ranges: []Range{
 		{From: 0, To: 9999, Holder: Holder{Server: "a", Token: 1}}, {From: 10000, To: 19999, Holder: Holder{Server: "a", Token: 2}},
 		{From: 20000, To: 39999, Holder: Holder{Server: "b", Token: 3}}, {From: 40000, To: LastKey, Holder: Holder{Server: "c", Token: 4}}}}
-	b := newBench(t, New(record, 0, 0), 0)
+	b := newHarness(t, New(record, 0, 0), 0)
 	b.servers = append(b.servers, Server{ID: "c", Slots: 2, Speed: 1})
 	b.run(2 * time.Second)
 	b.answer = func(call Call) CallResult {
@@ -239,13 +239,13 @@
 		}
 		return CallDone
 	}
-	b.run(2*time.Second + renewEvery)
+	b.run(2*time.Second + renewInterval)
 	lost := b.grants["a"]
 	b.answer = nil
 	b.run(b.now + 10*tick)
 	b.servers[1].Leaving = true // so that the record is written
 	b.run(b.now + 4*tick)
-	assert.Assert(t, b.m.Record().At(0).To >= 19999, "the ranges of a are merged")
+	assert.Assert(t, b.m.Record().RangeOf(0).To >= 19999, "the ranges of a are merged")
 	b.servers[0].Leaving = true
 	b.run(lost + LeaseTerm - 2*tick)
 	owner, held := b.owner()
@@ -259,7 +259,7 @@
 // lease. Its servers had lost their keys to others although no one could get the keys
 // before the leases expired.
 func TestKeysStayWithAnOwnerThatIsBackInTime(t *testing.T) {
-	b := newBench(t, New(twoServers(), 0, 0), 0)
+	b := newHarness(t, New(twoServers(), 0, 0), 0)
 	b.run(2 * time.Second)
 	registered, token := b.servers, b.m.Record().LastToken
 	b.loseA()
@@ -277,8 +277,8 @@
 
 // A server without an entry that answers is only disconnected from the registry. It releases
 // its keys, and they are served by another server at once.
-func TestKeysOfAReachableServerPassOnAtOnce(t *testing.T) {
-	b := newBench(t, New(twoServers(), 0, 0), 0)
+func TestKeysOfAReachableServerMoveAtOnce(t *testing.T) {
+	b := newHarness(t, New(twoServers(), 0, 0), 0)
 	b.run(8 * time.Second)
 	b.servers = b.servers[1:]
 	b.run(b.now + 10*tick)
@@ -289,14 +289,14 @@
 
 // A controller that has just taken over probes an owner without an entry instead of waiting
 // for its lease to expire.
-func TestSuccessorAsksLostOwners(t *testing.T) {
-	m := Adopt(twoServers().Succeed(Controller{Host: "two", Incarnation: 2}), 0, 0)
-	m.Stopped(0, Controller{Host: "one", Incarnation: 1})
-	b := newBench(t, m, 0)
+func TestSuccessorProbesLostOwners(t *testing.T) {
+	m := Adopt(twoServers().TakeOver(Controller{Host: "two", Incarnation: 2}), 0, 0)
+	m.PredecessorStopped(0, Controller{Host: "one", Incarnation: 1})
+	b := newHarness(t, m, 0)
 	b.servers = b.servers[1:]
 	b.run(10 * tick)
-	assert.Assert(t, b.m.Record().At(0).Moving(), "the move has begun")
-	b.run(lapse(underWay) + 10*tick)
+	assert.Assert(t, b.m.Record().RangeOf(0).Moving(), "the move has begun")
+	b.run(leaseExpiry(maxCallTime) + 10*tick)
 	owner, held := b.owner()
 	assert.Equal(t, owner, "b")
 	assert.Assert(t, held)
@@ -306,7 +306,7 @@
 func begun(answered bool) *Record {
 	record := twoServers()
 	record.LastToken++
-	record.Ranges[0].passTo(Holder{Server: "b", Token: record.LastToken}, answered)
+	record.Ranges[0].reassign(Holder{Server: "b", Token: record.LastToken}, answered)
 	return record
 }
 
@@ -316,7 +316,7 @@
 // its last record the predecessor grants the keys only to their new owner.
 func TestSuccessorFinishesWhatItsPredecessorBegan(t *testing.T) {
 	start := time.Minute
-	b := newBench(t, Adopt(begun(true).Succeed(Controller{Host: "two", Incarnation: 2}), start, start), start)
+	b := newHarness(t, Adopt(begun(true).TakeOver(Controller{Host: "two", Incarnation: 2}), start, start), start)
 	b.run(start + 5*tick)
 	owner, held := b.owner()
 	assert.Equal(t, owner, "b")
@@ -328,14 +328,14 @@
 // owner's release is not final then.
 func TestSuccessorWaitsForGrantsThatMayTakeEffect(t *testing.T) {
 	cutOff := begun(true)
-	cutOff.Earlier = []Controller{{Host: "zero", Incarnation: 9}}
+	cutOff.Predecessors = []Controller{{Host: "zero", Incarnation: 9}}
 	twice := begun(false)
 	twice.LastToken++
-	twice.Ranges[0].passTo(Holder{Server: "b", Token: twice.LastToken}, true)
+	twice.Ranges[0].reassign(Holder{Server: "b", Token: twice.LastToken}, true)
 	for _, record := range []*Record{begun(false), cutOff, twice} {
 		start := time.Minute
-		b := newBench(t, Adopt(record.Succeed(Controller{Host: "two", Incarnation: 2}), start, start), start)
-		b.run(start + AuthorityBound + LeaseTerm)
+		b := newHarness(t, Adopt(record.TakeOver(Controller{Host: "two", Incarnation: 2}), start, start), start)
+		b.run(start + AuthorityTimeout + LeaseTerm)
 		_, held := b.owner()
 		assert.Assert(t, !held)
 	}
@@ -344,25 +344,25 @@
 // The record of a move says whether the controller got answers to all of its grants.
 func TestRecordTellsWhetherGrantsWereAnswered(t *testing.T) {
 	for _, answered := range []bool{true, false} {
-		b := newBench(t, New(twoServers(), 0, 0), 0)
+		b := newHarness(t, New(twoServers(), 0, 0), 0)
 		b.run(2 * time.Second)
 		if !answered {
 			b.answer = func(call Call) CallResult { return CallUnanswered }
-			b.run(b.now + renewEvery)
+			b.run(b.now + renewInterval)
 			b.answer = nil
 		}
 		b.servers[0].Leaving = true
 		for range 10 {
-			if pending := b.m.Pending(); pending != nil && pending.At(0).Moving() {
+			if pending := b.m.Pending(); pending != nil && pending.RangeOf(0).Moving() {
 				break
 			}
 			b.m.Confirm(b.now)
 			for _, call := range b.m.Step(b.now, b.servers) {
-				b.m.Answered(call, CallDone, "", b.now, b.now)
+				b.m.CallCompleted(call, CallDone, "", b.now, b.now)
 			}
 			b.now += tick
 		}
-		assert.Equal(t, b.m.Pending().At(0).Answered, answered)
+		assert.Equal(t, b.m.Pending().RangeOf(0).GrantsAnswered, answered)
 	}
 }
 
@@ -370,21 +370,21 @@
 // lease has expired and its keys are given to others; all hosts are killed before those are
 // granted the keys. If the record still names the unresponsive server as a holder, the
 // successor waits for the longest lease again.
-func TestKeysWhoseLeaseHasRunOutAreGivenByOneRecord(t *testing.T) {
-	b := newBench(t, New(twoServers(), 0, 0), 0)
+func TestKeysWithExpiredLeaseMoveByOneRecord(t *testing.T) {
+	b := newHarness(t, New(twoServers(), 0, 0), 0)
 	b.run(2 * time.Second)
 	b.silenceA()
 	for end := b.now + 2*LeaseTerm; b.m.Pending() == nil && b.now < end; b.now += tick {
 		b.m.Confirm(b.now)
 		for _, call := range b.m.Step(b.now, b.servers) {
-			b.m.Answered(call, b.answer(call), "", b.now, b.now)
+			b.m.CallCompleted(call, b.answer(call), "", b.now, b.now)
 		}
 	}
 	assert.Assert(t, b.m.Pending() != nil)
 	record := b.m.Pending().Clone()
-	assert.Assert(t, !record.At(0).Moving())
-	successor := Adopt(record.Succeed(Controller{Host: "two", Incarnation: 2}), b.now, b.now)
-	after := newBench(t, successor, b.now)
+	assert.Assert(t, !record.RangeOf(0).Moving())
+	successor := Adopt(record.TakeOver(Controller{Host: "two", Incarnation: 2}), b.now, b.now)
+	after := newHarness(t, successor, b.now)
 	after.servers = b.servers
 	after.run(b.now + 3*tick)
 	owner, held := after.owner()
--- a/keyspace/first.go
+++ b/keyspace/first.go
@@ -8,32 +8,32 @@
 // No wait is needed: an earlier controller's proposal fails because this controller's record
 // has replaced the one that it read, and no one grants what no acknowledged record contains.
 // Only a store that was restored from a backup may have lost an assignment.
-func (m *Machine) AssignFirst(now time.Duration, servers []Server) bool {
-	if !m.record.Unassigned || m.pending != nil || len(servers) == 0 || !m.Authority(now) {
+func (m *StateMachine) AssignInitially(now time.Duration, servers []Server) bool {
+	if !m.record.Unassigned || m.pending != nil || len(servers) == 0 || !m.Authorized(now) {
 		return false
 	}
 	next := m.record.Clone()
-	m.nameRelays(next) // hosts that restart find relays in the record
+	m.updateRelays(next) // hosts that restart find relays in the record
 	next.Unassigned = false
 	restored := next.LastToken > 0
-	next.assign(servers)
+	next.assignRoundRobin(servers)
 	if restored {
-		m.bindForgotten(now, next)
+		m.awaitUnknownLeases(now, next)
 	}
 	next.Writes++
-	m.pending, m.proposed = next, now
+	m.pending, m.proposedAt = next, now
 	return true
 }
 
 // awaitUnknownLeases makes each range wait until every lease that a lost assignment may have
 // granted has expired.
-func (m *Machine) bindForgotten(now time.Duration, next *Record) {
-	lapsed := lapse(now + AuthorityBound + clockMargin + underWay)
+func (m *StateMachine) awaitUnknownLeases(now time.Duration, next *Record) {
+	lapsed := leaseExpiry(now + AuthorityTimeout + clockMargin + maxCallTime)
 	for i := range next.Ranges {
 		r := &next.Ranges[i]
 		unknown := Holder{Server: unknownServer, Token: r.Token}
-		r.Former = []Holder{unknown}
-		l := m.lease(r, unknown)
-		l.until, l.late = lapsed, lapsed
+		r.FormerHolders = []Holder{unknown}
+		l := m.leaseOf(r, unknown)
+		l.expiry, l.unansweredExpiry = lapsed, lapsed
 	}
 }
--- a/keyspace/fuzz_test.go
+++ b/keyspace/fuzz_test.go
@@ -15,7 +15,7 @@
 // servers leave, end or are disconnected.
 func TestNoKeyIsHeldTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		t.Repeat(w.actions())
 	})
 }
@@ -23,7 +23,7 @@
 // The same from the first claim of a service on, before any key is assigned.
 func TestNoKeyIsHeldTwiceAfterAFirstClaim(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newUnassignedWorld(t)
+		w := newUnassignedSimulation(t)
 		t.Repeat(w.actions())
 	})
 }
@@ -31,12 +31,12 @@
 // Every key gets an owner even if the controller is replaced before it has assigned any.
 func TestSuccessorMakesTheFirstAssignment(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newUnassignedWorld(t)
-		w.hosts[0].cut = true
+		w := newUnassignedSimulation(t)
+		w.hosts[0].disconnected = true
 		w.claim(w.hosts[1], w.stored)
 		w.hosts[1].machine.Advertise([]string{"relay"}, 3)
 		for range 40 {
-			w.calmTick()
+			w.faultFreeTick()
 		}
 		w.complete(t, "after a succession")
 		assert.Assert(t, !w.stored.Unassigned && len(w.stored.Ranges) > 0)
@@ -44,37 +44,37 @@
 	})
 }
 
-func (w *world) actions() map[string]func(*rapid.T) {
-	pickHost := func(t *rapid.T) *trueHost { return rapid.SampledFrom(w.hosts).Draw(t, "host") }
+func (w *simulation) actions() map[string]func(*rapid.T) {
+	pickHost := func(t *rapid.T) *simHost { return rapid.SampledFrom(w.hosts).Draw(t, "host") }
 	known := func(t *rapid.T) *Record {
 		if w.stored.OlderThan(w.latest) && rapid.Bool().Draw(t, "it knows the record that the store has lost") {
 			return w.latest
 		}
 		return w.stored
 	}
-	pickServer := func(t *rapid.T) *trueServer { return rapid.SampledFrom(w.servers).Draw(t, "server") }
+	pickServer := func(t *rapid.T) *simServer { return rapid.SampledFrom(w.servers).Draw(t, "server") }
 	return map[string]func(*rapid.T){
 		"time passes": func(t *rapid.T) {
 			w.advance(time.Duration(rapid.IntRange(1, 30).Draw(t, "ticks")) * tick)
 		},
 		"all goes well for a while": func(t *rapid.T) {
 			for range rapid.IntRange(1, 160).Draw(t, "ticks") {
-				w.calmTick()
+				w.faultFreeTick()
 			}
 		},
 		"a controller steps": func(t *rapid.T) { w.step(pickHost(t)) },
 		"a call arrives": func(t *rapid.T) {
-			if c := w.drawCall(t, func(c *trueCall) bool { return !c.here && !c.told }); c != nil {
+			if c := w.drawCall(t, func(c *simCall) bool { return !c.hasArrived && !c.resultPassed }); c != nil {
 				w.arrive(c)
 			}
 		},
 		"a call takes effect": func(t *rapid.T) {
-			if c := w.drawCall(t, func(c *trueCall) bool { return c.here && !c.done }); c != nil {
+			if c := w.drawCall(t, func(c *simCall) bool { return c.hasArrived && !c.done }); c != nil {
 				w.effect(c)
 			}
 		},
 		"a call is answered": func(t *rapid.T) {
-			if c := w.drawCall(t, func(c *trueCall) bool { return c.done && !c.told }); c != nil {
+			if c := w.drawCall(t, func(c *simCall) bool { return c.done && !c.resultPassed }); c != nil {
 				w.answer(c)
 			}
 		},
@@ -96,8 +96,8 @@
 			}
 			w.confirm(h)
 		},
-		"the store is backed up":                           func(*rapid.T) { w.copied, w.copyOf = w.stored.Clone(), w.version },
-		"the store backup is restored":                     func(*rapid.T) { w.comeBack() },
+		"the store is backed up":                           func(*rapid.T) { w.backup, w.backupVersion = w.stored.Clone(), w.version },
+		"the store backup is restored":                     func(*rapid.T) { w.restoreBackup() },
 		"a host takes over, its predecessor being cut off": func(t *rapid.T) { w.claim(pickHost(t), known(t)) },
 		"a controller resigns, and a host takes over": func(t *rapid.T) {
 			w.resign()
@@ -108,7 +108,7 @@
 			if h.machine == nil {
 				return
 			}
-			unproven := h.machine.Unproven(w.now)
+			unproven := h.machine.UnfencedPredecessors(w.now)
 			if len(unproven) == 0 {
 				return
 			}
@@ -117,18 +117,18 @@
 					other.machine, other.write = nil, nil
 				}
 			}
-			h.machine.Stopped(w.now, unproven[0])
+			h.machine.PredecessorStopped(w.now, unproven[0])
 		},
 		"the controller is cut off from the store, and another takes over": func(t *rapid.T) {
 			for _, h := range w.hosts {
-				h.cut = h.cut || h.machine != nil
+				h.disconnected = h.disconnected || h.machine != nil
 			}
 			w.claim(pickHost(t), known(t))
 			w.servers[rapid.IntRange(0, 2).Draw(t, "lost")].registered = false
 		},
 		"hosts reach the store again": func(*rapid.T) {
 			for _, h := range w.hosts {
-				h.cut = false
+				h.disconnected = false
 			}
 		},
 		"a host freezes or unfreezes":      func(t *rapid.T) { h := pickHost(t); h.frozen = !h.frozen },
@@ -136,10 +136,10 @@
 		"a server begins or stops leaving": func(t *rapid.T) { s := pickServer(t); s.leaving = !s.leaving },
 		"a server ends and others get proof": func(t *rapid.T) {
 			s := pickServer(t)
-			s.up, s.registered, s.holds, s.taken = false, rapid.Bool().Draw(t, "its entry has not expired"), nil, true
+			s.up, s.registered, s.leases, s.addressReused = false, rapid.Bool().Draw(t, "its entry has not expired"), nil, true
 			for _, h := range w.hosts {
 				if h.machine != nil {
-					h.machine.Ended(fleet.Incarnation{ID: s.id, Start: s.start})
+					h.machine.IncarnationEnded(fleet.Incarnation{ID: s.id, Start: s.start})
 				}
 			}
 		},
@@ -148,12 +148,12 @@
 			// Usually later than before, but the clock may have been set back.
 			s.restart(s.start + int64(rapid.SampledFrom([]int{1, 800, 5000, -3000}).Draw(t, "later by ms")))
 			if rapid.Bool().Draw(t, "its entry is updated") {
-				s.tells()
+				s.updateEntry()
 			}
 		},
 		"an entry catches up with its server": func(t *rapid.T) {
 			s := pickServer(t)
-			s.tells()
+			s.updateEntry()
 			s.registered = true
 		},
 		"a key gets busy": func(t *rapid.T) {
@@ -167,7 +167,7 @@
 			w.check()
 			for _, h := range w.hosts {
 				if h.machine != nil {
-					if err := h.machine.Record().Check(); err != nil {
+					if err := h.machine.Record().Validate(); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -176,8 +176,8 @@
 	}
 }
 
-func (w *world) drawCall(t *rapid.T, fits func(*trueCall) bool) *trueCall {
-	var fitting []*trueCall
+func (w *simulation) drawCall(t *rapid.T, fits func(*simCall) bool) *simCall {
+	var fitting []*simCall
 	for _, c := range w.calls {
 		if fits(c) {
 			fitting = append(fitting, c)
@@ -190,36 +190,36 @@
 }
 
 // answer passes the result of a call that took effect to its controller.
-func (w *world) answer(c *trueCall) {
-	c.told = true
+func (w *simulation) answer(c *simCall) {
+	c.resultPassed = true
 	switch {
 	case !w.server(c.call.Server).up, w.server(c.call.Server).lives != c.life:
-		w.tell(c, CallUnanswered, "")
+		w.passResult(c, CallUnanswered, "")
 	case c.refused:
-		w.tell(c, CallStale, "")
+		w.passResult(c, CallStaleToken, "")
 	default:
-		w.tell(c, CallDone, "")
+		w.passResult(c, CallDone, "")
 	}
 }
 
 // faultFreeTick lets everything in flight succeed.
-func (w *world) calmTick() {
+func (w *simulation) faultFreeTick() {
 	for _, h := range w.hosts {
-		if h.machine != nil && !h.frozen && !h.cut {
+		if h.machine != nil && !h.frozen && !h.disconnected {
 			if w.confirm(h); h.machine == nil {
 				continue
 			}
 		}
 		w.step(h)
-		if h.write != nil && !h.cut {
+		if h.write != nil && !h.disconnected {
 			w.settleWrite(h.write, w.land(h.write))
 		}
 	}
 	for _, c := range w.calls {
-		if c.here || c.told {
+		if c.hasArrived || c.resultPassed {
 			continue
 		}
-		if w.arrive(c); c.here {
+		if w.arrive(c); c.hasArrived {
 			w.effect(c)
 			w.answer(c)
 		}
@@ -229,17 +229,17 @@
 
 // Without faults, every key is held by its owner, also after one server has left and another
 // has joined.
-func TestCalmAssignmentIsComplete(t *testing.T) {
+func TestAssignmentWithoutFaultsIsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		for range 40 {
-			w.calmTick()
+			w.faultFreeTick()
 		}
 		w.complete(t, "at first")
 		w.servers[rapid.IntRange(0, 2).Draw(t, "leaves")].leaving = true
 		w.servers[3].registered = true
 		for range 200 {
-			w.calmTick()
+			w.faultFreeTick()
 		}
 		w.complete(t, "after a change of servers")
 		for _, r := range w.stored.Ranges {
@@ -251,14 +251,14 @@
 }
 
 // complete fails unless every range is held by its owner.
-func (w *world) complete(t *rapid.T, when string) {
+func (w *simulation) complete(t *rapid.T, when string) {
 	for _, r := range w.stored.Ranges {
 		if r.Moving() {
 			t.Fatalf("%s: %d-%d is still moving", when, r.From, r.To)
 		}
 		for _, key := range []uint16{r.From, r.To} {
 			held := false
-			for _, hold := range w.server(r.Server).holds {
+			for _, hold := range w.server(r.Server).leases {
 				held = held || hold.from <= key && key <= hold.to
 			}
 			if !held {
--- a/keyspace/large_test.go
+++ b/keyspace/large_test.go
@@ -28,7 +28,7 @@
 		t.Run(name, func(t *testing.T) {
 			verdict := replayKeys(t, l)
 			t.Log(verdict)
-			assert.Assert(t, verdict.fits > 0.8)
+			assert.Assert(t, verdict.served > 0.8)
 		})
 	}
 }
@@ -41,7 +41,7 @@
 		for i := range servers {
 			listed = append(listed, Server{ID: fmt.Sprintf("s%04d", i), Slots: 4, Speed: 1})
 		}
-		b := newBench(t, New(First(Controller{Host: "one", Incarnation: 1}, 0, listed), 0, 0), 0)
+		b := newHarness(t, New(NewRecord(Controller{Host: "one", Incarnation: 1}, 0, listed), 0, 0), 0)
 		b.servers = listed
 		random := rand.New(rand.NewPCG(1, 2))
 		for b.now < 12*time.Second {
@@ -55,7 +55,7 @@
 		}
 		ranges := len(b.m.Record().Ranges)
 		t.Logf("%d servers: %d ranges", servers, ranges)
-		assert.Assert(t, ranges <= rangesAllowed(servers))
+		assert.Assert(t, ranges <= rangeLimit(servers))
 	}
 }
 
@@ -105,7 +105,7 @@
 	for i := range 434 {
 		servers = append(servers, Server{ID: fmt.Sprintf("s%03d", i), Slots: 4, Speed: 1})
 	}
-	m := New(First(Controller{Host: "one", Incarnation: 1}, 0, servers), 0, 0)
+	m := New(NewRecord(Controller{Host: "one", Incarnation: 1}, 0, servers), 0, 0)
 	now := time.Duration(0)
 	step := func() {
 		m.Confirm(now)
@@ -114,10 +114,10 @@
 			if call.Server < "s060" {
 				result = CallUnanswered
 			}
-			m.Answered(call, result, "", now, now)
+			m.CallCompleted(call, result, "", now, now)
 		}
 		if m.Pending() != nil {
-			m.Written(now)
+			m.WriteAcknowledged(now)
 		}
 		now += 50 * time.Millisecond
 	}
@@ -140,7 +140,7 @@
 	for i := range 434 {
 		servers = append(servers, Server{ID: fmt.Sprintf("s%03d", i), Slots: 4, Speed: []float64{0.6, 1, 1.4}[i%3]})
 	}
-	record := First(Controller{Host: "one", Incarnation: 1}, 0, servers)
+	record := NewRecord(Controller{Host: "one", Incarnation: 1}, 0, servers)
 	loads := NewKeyLoads()
 	random := rand.New(rand.NewPCG(5, 6))
 	for i := range 20 {
@@ -164,14 +164,14 @@
 // Guards against slow answers of small hosts while keys move. 100 keys change owners, and
 // each move ends at its own time, when the old owner's requests end. Without a minimum
 // interval each end writes a record, which every host decodes.
-func TestMovesThatEndSoonAfterEachOtherShareARecord(t *testing.T) {
+func TestMovesThatEndTogetherShareARecord(t *testing.T) {
 	const pace = 120 * time.Millisecond
 	var servers []Server
 	for i := range 100 {
 		servers = append(servers, Server{ID: fmt.Sprintf("s%03d", i), Slots: 4, Speed: 1, Leaving: i < 50})
 	}
-	m := New(First(Controller{Host: "one", Incarnation: 1}, 0, servers), 0, 0)
-	m.SetPace(pace)
+	m := New(NewRecord(Controller{Host: "one", Incarnation: 1}, 0, servers), 0, 0)
+	m.SetMinWriteInterval(pace)
 	var written []time.Duration
 	moving := func() (n int) {
 		for i := range m.Record().Ranges {
@@ -193,11 +193,11 @@
 			releases[at] = append(releases[at], call)
 		}
 		for _, call := range releases[now] {
-			m.Answered(call, CallDone, "", now, now)
+			m.CallCompleted(call, CallDone, "", now, now)
 		}
 		if m.Pending() != nil {
 			written = append(written, now)
-			m.Written(now)
+			m.WriteAcknowledged(now)
 		}
 	}
 	assert.Equal(t, moving(), 0)
--- a/keyspace/lease.go
+++ b/keyspace/lease.go
@@ -10,23 +10,23 @@
 // lease is the in-memory state of one holder of one range.
 type lease struct {
 	// expiry is when the holder's lease has certainly expired.
-	until time.Duration
+	expiry time.Duration
 	// unansweredExpiry is when the leases of all unanswered grants have certainly expired.
 	// Such a grant may take effect even after an answered release.
-	late     time.Duration
-	released bool
-	handoff  string
-	calling  bool
-	next     time.Duration // no grant before
-	retry    time.Duration // no release call before
-	silent   bool          // the last grant or probe was unanswered: probe before the next grant
-	backAt   time.Duration // when the server answered again after being unresponsive
-	heard    bool          // the last call was answered
-	granted  bool
-	stale    bool // refused: the server has seen a higher token
+	unansweredExpiry time.Duration
+	released         bool
+	handoff          string
+	callInFlight     bool
+	nextGrant        time.Duration // no grant before
+	nextRelease      time.Duration // no release call before
+	unresponsive     bool          // the last grant or probe was unanswered: probe before the next grant
+	recoveredAt      time.Duration // when the server answered again after being unresponsive
+	answeredLast     bool          // the last call was answered
+	granted          bool
+	tokenStale       bool // refused: the server has seen a higher token
 	// successorAsked is set if a later incarnation was asked to release the keys. It never
 	// worked on them and has nothing to hand over.
-	successor bool
+	successorAsked bool
 }
 
 // leaseKey identifies a lease. The holder's token is unique per range and assignment.
@@ -36,30 +36,30 @@
 }
 
 // dropUnusedLeases drops leases that are no longer in the record.
-func (m *Machine) forget() {
+func (m *StateMachine) dropUnusedLeases() {
 	current := map[leaseKey]bool{}
 	for i := range m.record.Ranges {
 		r := &m.record.Ranges[i]
 		current[keyOf(r, r.Holder)] = true
-		for _, former := range r.Former {
+		for _, former := range r.FormerHolders {
 			current[keyOf(r, former)] = true
 		}
 	}
 	named := map[fleet.Incarnation]bool{}
 	for key, l := range m.leases {
-		if !current[key] && !l.calling {
+		if !current[key] && !l.callInFlight {
 			delete(m.leases, key)
 			continue
 		}
 		named[key.holder.Incarnation()] = true
 	}
 	maps.DeleteFunc(m.ended, func(server fleet.Incarnation, _ bool) bool { return !named[server] })
-	maps.DeleteFunc(m.probeAt, func(server fleet.Incarnation, _ time.Duration) bool { return !named[server] })
+	maps.DeleteFunc(m.nextProbe, func(server fleet.Incarnation, _ time.Duration) bool { return !named[server] })
 }
 
 func keyOf(r *Range, holder Holder) leaseKey { return leaseKey{from: r.From, to: r.To, holder: holder} }
 
-func (m *Machine) lease(r *Range, holder Holder) *lease {
+func (m *StateMachine) leaseOf(r *Range, holder Holder) *lease {
 	key := keyOf(r, holder)
 	l, known := m.leases[key]
 	if !known {
@@ -71,6 +71,6 @@
 
 // lapsed reports whether a holder certainly holds its keys no more: its lease has expired, or
 // it has released them and no unanswered grant can take effect.
-func (l *lease) over(now time.Duration) bool {
-	return now >= l.until || l.released && now >= l.late
+func (l *lease) lapsed(now time.Duration) bool {
+	return now >= l.expiry || l.released && now >= l.unansweredExpiry
 }
--- a/keyspace/loads.go
+++ b/keyspace/loads.go
@@ -11,9 +11,9 @@
 const (
 	// loadTimeConstant is the time constant of the measured load. A group of keys that
 	// becomes busy is noticed within two reports of the hosts.
-	loadMemory = 1500 * time.Millisecond
+	loadTimeConstant = 1500 * time.Millisecond
 	// minRate is the number of busy slots below which a key's load is dropped.
-	leastRate = 0.002
+	minRate = 0.002
 )
 
 // KeyLoads is the smoothed demand for each key, in slots: how many slots the owner would
@@ -27,16 +27,16 @@
 // second (go test -bench Reports).
 type KeyLoads struct {
 	// rates are the loads in slots relative to base; later additions have a larger weight.
-	rates map[uint16]float64
-	base  time.Duration
-	at    time.Duration
+	rates      map[uint16]float64
+	base       time.Duration
+	lastReport time.Duration
 	// serviceTime is how long one request occupies a slot.
-	work time.Duration
+	serviceTime time.Duration
 }
 
 // rebaseInterval is how long the base is kept: a few time constants, so that most keys
 // below minRate are dropped soon.
-const rebaseAfter = 2 * loadMemory
+const rebaseInterval = 2 * loadTimeConstant
 
 // NewKeyLoads returns an empty KeyLoads.
 func NewKeyLoads() *KeyLoads { return &KeyLoads{rates: map[uint16]float64{}} }
@@ -47,25 +47,25 @@
 // Add adds the slot time that requests for keys demanded at one host, up to now.
 // serviceTime is how long one request occupies a slot.
 func (k *KeyLoads) Add(now time.Duration, demand map[uint16]time.Duration, serviceTime time.Duration) {
-	k.at, k.work = now, serviceTime
-	if now-k.base >= rebaseAfter {
+	k.lastReport, k.serviceTime = now, serviceTime
+	if now-k.base >= rebaseInterval {
 		k.rebase(now)
 	}
-	scale := 1 / decayed(now-k.base)
+	scale := 1 / decayFactor(now-k.base)
 	for key, slotTime := range demand {
-		k.rates[key] += scale * float64(slotTime) / float64(loadMemory)
+		k.rates[key] += scale * float64(slotTime) / float64(loadTimeConstant)
 	}
 }
 
 // decayFactor is the fraction of a load that is left after some time.
-func decayed(d time.Duration) float64 { return math.Exp(-float64(d) / float64(loadMemory)) }
+func decayFactor(d time.Duration) float64 { return math.Exp(-float64(d) / float64(loadTimeConstant)) }
 
 // rebase converts all loads to be relative to now, and drops the smallest ones.
 func (k *KeyLoads) rebase(now time.Duration) {
-	factor := decayed(now - k.base)
+	factor := decayFactor(now - k.base)
 	k.base = now
 	for key, rate := range k.rates {
-		if rate *= factor; rate < leastRate {
+		if rate *= factor; rate < minRate {
 			delete(k.rates, key)
 			continue
 		}
@@ -74,10 +74,10 @@
 }
 
 // forEach calls visit for the load of every key, in key order.
-func (k *KeyLoads) each(visit func(keyRate)) {
-	factor := decayed(k.at - k.base)
+func (k *KeyLoads) forEach(visit func(keyRate)) {
+	factor := decayFactor(k.lastReport - k.base)
 	for _, key := range slices.Sorted(maps.Keys(k.rates)) {
-		if rate := factor * k.rates[key]; rate >= leastRate {
+		if rate := factor * k.rates[key]; rate >= minRate {
 			visit(keyRate{key: key, rate: rate})
 		}
 	}
@@ -85,8 +85,8 @@
 
 // stdDev is the standard deviation of a measured load, which comes from the random arrival
 // of the most recent requests.
-func (k *KeyLoads) chance(load float64) float64 {
-	return math.Sqrt(load * float64(k.work) / float64(loadMemory))
+func (k *KeyLoads) stdDev(load float64) float64 {
+	return math.Sqrt(load * float64(k.serviceTime) / float64(loadTimeConstant))
 }
 
 // keyRate is the load of one key.
@@ -96,39 +96,39 @@
 }
 
 // loadModel is the load of the servers while a plan is made.
-type ledger struct {
-	loads    *KeyLoads
-	capacity map[string]float64
-	load     map[string]float64
-	keys     map[string][]keyRate
-	asked    []keyRate      // all requested keys, in order
-	spans    map[string]int // number of keys by owner
+type loadModel struct {
+	loads     *KeyLoads
+	capacity  map[string]float64
+	load      map[string]float64
+	keys      map[string][]keyRate
+	demand    []keyRate      // all requested keys, in order
+	keyCounts map[string]int // number of keys by owner
 	// saturated contains the servers to which this plan moves a key that saturates them.
 	saturated map[string]bool
-	names     []string
+	serverIDs []string
 	// receivers are the servers to which keys may be moved.
 	receivers []string
 	// rangesLeft is by how much Record.Ranges may still grow.
-	ranges int
+	rangesLeft int
 }
 
-func newLedger(record *Record, servers []Server, loads *KeyLoads) *ledger {
-	l := &ledger{loads: loads, ranges: rangesAllowed(len(servers)) - len(record.Ranges), capacity: map[string]float64{}, load: map[string]float64{}, keys: map[string][]keyRate{}, spans: map[string]int{}, saturated: map[string]bool{}}
+func newLoadModel(record *Record, servers []Server, loads *KeyLoads) *loadModel {
+	l := &loadModel{loads: loads, rangesLeft: rangeLimit(len(servers)) - len(record.Ranges), capacity: map[string]float64{}, load: map[string]float64{}, keys: map[string][]keyRate{}, keyCounts: map[string]int{}, saturated: map[string]bool{}}
 	for _, server := range servers {
 		if server.Leaving {
 			continue
 		}
 		l.capacity[server.ID] = server.capacity()
-		l.names = append(l.names, server.ID)
-		if !server.Silent {
+		l.serverIDs = append(l.serverIDs, server.ID)
+		if !server.Unresponsive {
 			l.receivers = append(l.receivers, server.ID)
 		}
 	}
-	slices.Sort(l.names)
+	slices.Sort(l.serverIDs)
 	slices.Sort(l.receivers)
-	loads.each(func(asked keyRate) {
-		l.asked = append(l.asked, asked)
-		r := record.At(asked.key)
+	loads.forEach(func(asked keyRate) {
+		l.demand = append(l.demand, asked)
+		r := record.RangeOf(asked.key)
 		if r == nil {
 			return
 		}
@@ -138,49 +138,49 @@
 		}
 	})
 	for _, r := range record.Ranges {
-		l.spans[r.Server] += int(r.To) - int(r.From) + 1
+		l.keyCounts[r.Server] += int(r.To) - int(r.From) + 1
 	}
 	return l
 }
 
 // busyIn returns the requested keys of a range, in order.
-func (l *ledger) busyIn(r *Range) []keyRate {
-	from, _ := slices.BinarySearchFunc(l.asked, r.From, func(k keyRate, key uint16) int { return cmp.Compare(k.key, key) })
+func (l *loadModel) busyIn(r *Range) []keyRate {
+	from, _ := slices.BinarySearchFunc(l.demand, r.From, func(k keyRate, key uint16) int { return cmp.Compare(k.key, key) })
 	to := from
-	for to < len(l.asked) && l.asked[to].key <= r.To {
+	for to < len(l.demand) && l.demand[to].key <= r.To {
 		to++
 	}
-	return l.asked[from:to]
+	return l.demand[from:to]
 }
 
 // utilization is the load of a server divided by its capacity.
-func (l *ledger) full(name string) float64 { return l.load[name] / l.capacity[name] }
+func (l *loadModel) utilization(name string) float64 { return l.load[name] / l.capacity[name] }
 
 // leastUtilized returns the receiver with the lowest utilization, then the fewest keys.
-func (l *ledger) lightest() string {
+func (l *loadModel) leastUtilized() string {
 	return slices.MinFunc(l.receivers, func(a, b string) int {
-		return cmp.Or(cmp.Compare(l.full(a), l.full(b)), cmp.Compare(l.spans[a], l.spans[b]))
+		return cmp.Or(cmp.Compare(l.utilization(a), l.utilization(b)), cmp.Compare(l.keyCounts[a], l.keyCounts[b]))
 	})
 }
 
 // overloaded returns the servers that have more than their share, the most utilized first.
 // share is the mean utilization of all servers.
-func (l *ledger) overloaded(share float64) []string {
+func (l *loadModel) overloaded(share float64) []string {
 	var over []string
-	for _, name := range l.names {
+	for _, name := range l.serverIDs {
 		load, fair := l.load[name], share*l.capacity[name]
-		if load > busyShare*l.capacity[name] && load > fair*tolerance+l.loads.chance(load) {
+		if load > minUtilization*l.capacity[name] && load > fair*overloadTolerance+l.loads.stdDev(load) {
 			over = append(over, name)
 		}
 	}
-	slices.SortStableFunc(over, func(a, b string) int { return cmp.Compare(l.full(b), l.full(a)) })
+	slices.SortStableFunc(over, func(a, b string) int { return cmp.Compare(l.utilization(b), l.utilization(a)) })
 	return over
 }
 
 // meanUtilization is the load of all servers divided by their capacity.
-func (l *ledger) mean() float64 {
+func (l *loadModel) meanUtilization() float64 {
 	load, capacity := 0.0, 0.0
-	for _, name := range l.names {
+	for _, name := range l.serverIDs {
 		load += l.load[name]
 		capacity += l.capacity[name]
 	}
--- a/keyspace/loads_test.go
+++ b/keyspace/loads_test.go
@@ -11,15 +11,15 @@
 // Loads decay with their time constant whenever reports come, and are dropped in the end.
 func TestKeyLoadsDecay(t *testing.T) {
 	loads := NewKeyLoads()
-	loads.Add(0, map[uint16]time.Duration{1: loadMemory}, time.Millisecond)
+	loads.Add(0, map[uint16]time.Duration{1: loadTimeConstant}, time.Millisecond)
 	want := 1.0
 	const step = 400 * time.Millisecond
 	for now := step; now <= 12*time.Second; now += step {
-		loads.Add(now, map[uint16]time.Duration{2: loadMemory / 10}, time.Millisecond)
-		want *= math.Exp(-float64(step) / float64(loadMemory))
+		loads.Add(now, map[uint16]time.Duration{2: loadTimeConstant / 10}, time.Millisecond)
+		want *= math.Exp(-float64(step) / float64(loadTimeConstant))
 		got := map[uint16]float64{}
-		loads.each(func(k keyRate) { got[k.key] = k.rate })
-		if want >= leastRate {
+		loads.forEach(func(k keyRate) { got[k.key] = k.rate })
+		if want >= minRate {
 			assert.Assert(t, math.Abs(got[1]-want) < 1e-9, "%v after %v, want %v", got[1], now, want)
 		} else {
 			assert.Equal(t, got[1], 0.0)
@@ -34,7 +34,7 @@
 // only when none of those in the record is a relay any more.
 func TestRecordNamesRelays(t *testing.T) {
 	servers := []Server{{ID: "a", Slots: 2, Speed: 1}}
-	b := newBench(t, New(First(Controller{Host: "one"}, 0, servers), 0, 0), 0)
+	b := newHarness(t, New(NewRecord(Controller{Host: "one"}, 0, servers), 0, 0), 0)
 	b.servers = servers
 	written := func() []string { return b.m.Record().Controller.Relays }
 	b.run(time.Second)
@@ -48,7 +48,7 @@
 	b.m.Advertise([]string{"z", "w"}, 3)
 	b.run(4 * time.Second)
 	assert.DeepEqual(t, written(), []string{"z", "w"})
-	next := b.m.Record().Succeed(Controller{Host: "two"})
+	next := b.m.Record().TakeOver(Controller{Host: "two"})
 	assert.DeepEqual(t, next.Controller.Relays, []string{"z", "w"})
-	assert.Equal(t, len(next.Earlier[0].Relays), 0)
+	assert.Equal(t, len(next.Predecessors[0].Relays), 0)
 }
--- a/keyspace/plan.go
+++ b/keyspace/plan.go
@@ -17,11 +17,11 @@
 	// planInterval is the minimum time between two plans for balance; every host reports once
 	// within it. Loads are measured per key, so a plan can account for the moves of the
 	// previous one without waiting for them.
-	planEvery = 500 * time.Millisecond
+	planInterval = 500 * time.Millisecond
 	// overloadTolerance is the load relative to the fair share up to which a server is left alone.
-	tolerance = 1.25
+	overloadTolerance = 1.25
 	// minUtilization is the utilization below which a server's load is not worth a move.
-	busyShare = 0.45
+	minUtilization = 0.45
 	// movesPerPlan and serversPerMove bound the moves of one plan to four, or one per four
 	// servers. A move holds requests back until those running at the old owner end. A group
 	// of keys with a third of a service's load needs a third of its servers.
@@ -31,26 +31,26 @@
 	// controller a call per renewal: 330 calls a second for a small service, 1.7 a second per
 	// server for a large one. A group of hot keys with a third of the load needs a range for
 	// each of its keys, up to one per server.
-	leastMostRanges = 400
+	minRangeLimit   = 400
 	rangesPerServer = 2
 	// maxOverfill is how far a receiver may be filled beyond its share, because keys can't be
 	// divided as finely as the load.
-	overFill = 1.3
+	maxOverfill = 1.3
 	// maxRelativeUtilization bounds the utilization of a receiver after the move of a single
 	// busy key, relative to the owner's utilization before it. Above the bound the move would
 	// only swap the roles of the two servers.
-	worthwhile = 0.8
+	maxRelativeUtilization = 0.8
 	// minMoveShare is the least part of the wanted load that is worth a move.
-	leastSpan = 0.1
+	minMoveShare = 0.1
 )
 
 // rangesAddedByMove is how many ranges a move of keys from the middle of a range adds.
-const cutsOfMove = 2
+const rangesAddedByMove = 2
 
 // rangeLimit is the maximum number of ranges of a service. A limit that did not grow with
 // the servers would stop all balancing of a service with that many servers: with 400 ranges
 // for 434 servers, 0.68 of the demand could be served while 200 keys were hot, against 0.91.
-func rangesAllowed(servers int) int { return max(leastMostRanges, rangesPerServer*servers) }
+func rangeLimit(servers int) int { return max(minRangeLimit, rangesPerServer*servers) }
 
 // evacuations moves the ranges that do not stay with their owners, which are gone or
 // leaving. Busy ranges are split so that no single server takes over a lost server's load.
@@ -64,46 +64,46 @@
 	if len(leaving) == 0 {
 		return nil // the usual case; building the load model visits every key
 	}
-	l := newLedger(record, servers, loads)
+	l := newLoadModel(record, servers, loads)
 	if len(l.receivers) == 0 {
 		return nil
 	}
 	var moves []Move
 	for _, r := range leaving {
-		moves = append(moves, l.spread(r)...)
+		moves = append(moves, l.spreadRange(r)...)
 	}
 	return moves
 }
 
 const (
 	// partsPerLostRange is the number of parts into which a busy range of a lost server is split.
-	partsOfLost = 3
+	partsPerLostRange = 3
 	// maxWholeRangeShare is the load, relative to a server's mean load, up to which a range
 	// is not split.
-	wholeShare = 0.25
+	maxWholeRangeShare = 0.25
 )
 
 // spreadRange divides a range among the least utilized servers.
-func (l *ledger) spread(r *Range) []Move {
+func (l *loadModel) spreadRange(r *Range) []Move {
 	busy := l.busyIn(r)
 	total := 0.0
 	for _, k := range busy {
 		total += k.rate
 	}
-	if total <= wholeShare*l.mean()*l.capacity[l.lightest()] {
+	if total <= maxWholeRangeShare*l.meanUtilization()*l.capacity[l.leastUtilized()] {
 		busy = nil
 	}
 	var moves []Move
 	from, sum := r.From, 0.0
 	give := func(to uint16) {
-		name := l.lightest()
+		name := l.leastUtilized()
 		l.load[name] += sum
-		l.spans[name] += int(to) - int(from) + 1
+		l.keyCounts[name] += int(to) - int(from) + 1
 		moves = append(moves, Move{From: from, To: to, Server: name})
 	}
 	for _, k := range busy {
 		sum += k.rate
-		if sum >= total/partsOfLost && k.key < r.To {
+		if sum >= total/partsPerLostRange && k.key < r.To {
 			give(k.key)
 			from, sum = k.key+1, 0
 		}
@@ -120,14 +120,14 @@
 // two servers at a time would leave a group of busy keys on pairs of overloaded servers
 // until enough plans had halved it.
 func rebalance(record *Record, servers []Server, loads *KeyLoads) []Move {
-	l := newLedger(record, servers, loads)
-	if len(l.names) < 2 || len(l.receivers) == 0 {
+	l := newLoadModel(record, servers, loads)
+	if len(l.serverIDs) < 2 || len(l.receivers) == 0 {
 		return nil
 	}
-	share := l.mean()
+	share := l.meanUtilization()
 	var moves []Move
-	for range max(movesPerPlan, len(l.names)/serversPerMove) {
-		move, ok := l.next(record, share)
+	for range max(movesPerPlan, len(l.serverIDs)/serversPerMove) {
+		move, ok := l.nextMove(record, share)
 		if !ok {
 			break
 		}
@@ -138,39 +138,39 @@
 
 // nextMove returns the most useful move: to the least utilized server, from the most
 // utilized one that has suitable keys.
-func (l *ledger) next(record *Record, share float64) (Move, bool) {
-	to := l.lightest()
-	if l.spans[to] == 0 {
-		return l.join(record, to)
+func (l *loadModel) nextMove(record *Record, share float64) (Move, bool) {
+	to := l.leastUtilized()
+	if l.keyCounts[to] == 0 {
+		return l.fillEmptyServer(record, to)
 	}
 	for _, from := range l.overloaded(share) {
-		if span, fastest, ok := l.saturating(record, from); ok {
-			return l.move(span, from, fastest), true
+		if span, fastest, ok := l.saturatingMove(record, from); ok {
+			return l.applyMove(span, from, fastest), true
 		}
 		want := min(l.load[from]-share*l.capacity[from], share*l.capacity[to]-l.load[to])
-		if span, ok := l.span(record, from, want); ok {
-			return l.move(span, from, to), true
+		if span, ok := l.bestRun(record, from, want); ok {
+			return l.applyMove(span, from, to), true
 		}
 		if span, ok := l.busiestKey(record, from, to); ok {
-			return l.move(span, from, to), true
+			return l.applyMove(span, from, to), true
 		}
 	}
 	return Move{}, false
 }
 
 // fillEmptyServer gives a server without keys its share, from the most utilized server.
-func (l *ledger) join(record *Record, to string) (Move, bool) {
-	from := slices.MaxFunc(l.names, func(a, b string) int { return cmp.Compare(l.full(a), l.full(b)) })
-	want := (l.full(from) - l.full(to)) / (1/l.capacity[from] + 1/l.capacity[to])
-	if span, ok := l.span(record, from, want); ok && from != to {
-		return l.move(span, from, to), true
+func (l *loadModel) fillEmptyServer(record *Record, to string) (Move, bool) {
+	from := slices.MaxFunc(l.serverIDs, func(a, b string) int { return cmp.Compare(l.utilization(a), l.utilization(b)) })
+	want := (l.utilization(from) - l.utilization(to)) / (1/l.capacity[from] + 1/l.capacity[to])
+	if span, ok := l.bestRun(record, from, want); ok && from != to {
+		return l.applyMove(span, from, to), true
 	}
-	return l.half(record, to)
+	return l.splitWidest(record, to)
 }
 
 // splitWidest splits the widest range in the middle and gives a server one part, for when no
 // run of busy keys fits.
-func (l *ledger) half(record *Record, to string) (Move, bool) {
+func (l *loadModel) splitWidest(record *Record, to string) (Move, bool) {
 	var widest *Range
 	for i := range record.Ranges {
 		r := &record.Ranges[i]
@@ -178,67 +178,67 @@
 			widest = r
 		}
 	}
-	if widest == nil || widest.To == widest.From || l.ranges < 1 {
+	if widest == nil || widest.To == widest.From || l.rangesLeft < 1 {
 		return Move{}, false
 	}
 	middle := widest.From + (widest.To-widest.From)/2 + 1
-	l.spans[to] += int(widest.To-middle) + 1
-	l.ranges--
+	l.keyCounts[to] += int(widest.To-middle) + 1
+	l.rangesLeft--
 	return Move{From: middle, To: widest.To, Server: to}, true
 }
 
 // keyRun is a run of busy keys within one range.
-type keySpan struct {
-	from, to uint16
-	load     float64
-	first, n int // position and number of its keys in the server's list of keys
-	cuts     int // ranges that the move adds to the record
+type keyRun struct {
+	from, to     uint16
+	load         float64
+	first, count int // position and number of its keys in the server's list of keys
+	addedRanges  int // ranges that the move adds to the record
 }
 
 // bestRun returns the run of a server's keys within one range whose load is closest to
 // want, without exceeding it by much. Idle keys at the ends of the range are included, so
 // that ranges don't fragment.
-func (l *ledger) span(record *Record, name string, want float64) (keySpan, bool) {
+func (l *loadModel) bestRun(record *Record, name string, want float64) (keyRun, bool) {
 	keys := l.keys[name]
-	var best keySpan
+	var best keyRun
 	for first := range keys {
-		r := record.At(keys[first].key)
+		r := record.RangeOf(keys[first].key)
 		sum := 0.0
 		for last := first; last < len(keys) && keys[last].key <= r.To; last++ {
 			sum += keys[last].rate
-			if sum > want*overFill {
+			if sum > want*maxOverfill {
 				break
 			}
 			if sum <= best.load {
 				continue
 			}
-			if candidate := l.widen(r, name, first, last); candidate.cuts <= l.ranges {
+			if candidate := l.includeIdleKeys(r, name, first, last); candidate.addedRanges <= l.rangesLeft {
 				candidate.load = sum
 				best = candidate
 			}
 		}
 	}
-	return best, best.n > 0 && best.load >= want*leastSpan
+	return best, best.count > 0 && best.load >= want*minMoveShare
 }
 
 // busiestKey returns the busiest key whose move lowers the higher utilization of the two
 // servers. Where single keys are busier than the room of a server, no run of keys fits, and
 // the owner of several such keys would keep them all. A key with nearly all of its
 // owner's load stays: the next owner would be as full, and the key would keep moving.
-func (l *ledger) busiestKey(record *Record, from, to string) (keySpan, bool) {
-	var best keySpan
+func (l *loadModel) busiestKey(record *Record, from, to string) (keyRun, bool) {
+	var best keyRun
 	for i, busy := range l.keys[from] {
 		after := (l.load[to] + busy.rate) / l.capacity[to]
 		stays := (l.load[from] - busy.rate) / l.capacity[from]
-		if busy.rate <= best.load || after > worthwhile*l.full(from) || stays < busyShare {
+		if busy.rate <= best.load || after > maxRelativeUtilization*l.utilization(from) || stays < minUtilization {
 			continue
 		}
-		if candidate := l.widen(record.At(busy.key), from, i, i); candidate.cuts <= l.ranges {
+		if candidate := l.includeIdleKeys(record.RangeOf(busy.key), from, i, i); candidate.addedRanges <= l.rangesLeft {
 			candidate.load = busy.rate
 			best = candidate
 		}
 	}
-	return best, best.n > 0
+	return best, best.count > 0
 }
 
 // saturatedShare is the part of its owner's capacity from which a single key counts as
@@ -249,23 +249,23 @@
 // fastest server if that serves enough more of the load to be worth the move. No server has
 // room for such a key, so the least utilized one is not chosen. Later plans move the new
 // owner's other keys away. A server that already has such a key is not given another.
-func (l *ledger) saturating(record *Record, from string) (span keySpan, fastest string, ok bool) {
-	i := l.saturatedBy(from)
+func (l *loadModel) saturatingMove(record *Record, from string) (span keyRun, fastest string, ok bool) {
+	i := l.saturatingKey(from)
 	if i < 0 {
-		return keySpan{}, "", false
+		return keyRun{}, "", false
 	}
 	for _, name := range l.receivers {
-		if !l.saturated[name] && l.saturatedBy(name) < 0 && (fastest == "" || l.capacity[name] > l.capacity[fastest]) {
+		if !l.saturated[name] && l.saturatingKey(name) < 0 && (fastest == "" || l.capacity[name] > l.capacity[fastest]) {
 			fastest = name
 		}
 	}
-	if fastest == "" || l.capacity[from] > worthwhile*l.capacity[fastest] {
-		return keySpan{}, "", false
+	if fastest == "" || l.capacity[from] > maxRelativeUtilization*l.capacity[fastest] {
+		return keyRun{}, "", false
 	}
-	span = l.widen(record.At(l.keys[from][i].key), from, i, i)
+	span = l.includeIdleKeys(record.RangeOf(l.keys[from][i].key), from, i, i)
 	span.load = l.keys[from][i].rate
-	if span.cuts > l.ranges {
-		return keySpan{}, "", false
+	if span.addedRanges > l.rangesLeft {
+		return keyRun{}, "", false
 	}
 	l.saturated[fastest] = true
 	return span, fastest, true
@@ -273,7 +273,7 @@
 
 // saturatingKey returns the index of a server's busiest key if it saturates the server by
 // itself, or -1.
-func (l *ledger) saturatedBy(name string) int {
+func (l *loadModel) saturatingKey(name string) int {
 	busiest, most := -1, saturatedShare*l.capacity[name]
 	for i, busy := range l.keys[name] {
 		if busy.rate >= most {
@@ -285,9 +285,9 @@
 
 // includeIdleKeys returns a run of a server's keys extended over the idle keys beside it
 // if it reaches the first or last busy key of the range.
-func (l *ledger) widen(r *Range, name string, first, last int) keySpan {
+func (l *loadModel) includeIdleKeys(r *Range, name string, first, last int) keyRun {
 	keys := l.keys[name]
-	span := keySpan{from: keys[first].key, to: keys[last].key, first: first, n: last - first + 1}
+	span := keyRun{from: keys[first].key, to: keys[last].key, first: first, count: last - first + 1}
 	if first == 0 || keys[first-1].key < r.From {
 		span.from = r.From
 	}
@@ -295,20 +295,20 @@
 		span.to = r.To
 	}
 	if span.from != r.From {
-		span.cuts++
+		span.addedRanges++
 	}
 	if span.to != r.To {
-		span.cuts++
+		span.addedRanges++
 	}
 	return span
 }
 
 // applyMove accounts for the transfer of a run of keys between two servers.
-func (l *ledger) move(span keySpan, from, to string) Move {
+func (l *loadModel) applyMove(span keyRun, from, to string) Move {
 	l.load[from] -= span.load
 	l.load[to] += span.load
-	l.spans[to] += int(span.to) - int(span.from) + 1
-	l.keys[from] = slices.Delete(slices.Clone(l.keys[from]), span.first, span.first+span.n)
-	l.ranges -= span.cuts
+	l.keyCounts[to] += int(span.to) - int(span.from) + 1
+	l.keys[from] = slices.Delete(slices.Clone(l.keys[from]), span.first, span.first+span.count)
+	l.rangesLeft -= span.addedRanges
 	return Move{From: span.from, To: span.to, Server: to}
 }
--- a/keyspace/plan_test.go
+++ b/keyspace/plan_test.go
@@ -18,13 +18,13 @@
 // has a background load of 55% of its slots, and from second 2 on one key with a demand of
 // 6 slots. It returns the number of requests for that key that its owners could have run,
 // each of 60 ms at speed 1, and the harness.
-func replayHotKey(t *testing.T, until time.Duration) (served float64, b *bench) {
+func replayHotKey(t *testing.T, until time.Duration) (served float64, b *harness) {
 	const work, background, hotFrom = 60 * time.Millisecond, 0.55, 2 * time.Second
 	var servers []Server
 	for i, speed := range serverSpeeds {
 		servers = append(servers, Server{ID: fmt.Sprintf("s%d", i), Slots: 2, Speed: speed})
 	}
-	b = newBench(t, New(First(Controller{Host: "one", Incarnation: 1}, 0, servers), 0, 0), 0)
+	b = newHarness(t, New(NewRecord(Controller{Host: "one", Incarnation: 1}, 0, servers), 0, 0), 0)
 	b.servers = servers
 	const reports = 10 // ticks between two reports of the hosts
 	for n := 0; b.now < until; n++ {
@@ -39,7 +39,7 @@
 			b.m.Loads().Add(b.now, asked, work)
 		}
 		b.run(b.now + tick)
-		if r := b.m.Record().At(hotKey); b.now >= hotFrom && !r.Moving() {
+		if r := b.m.Record().RangeOf(hotKey); b.now >= hotFrom && !r.Moving() {
 			var at int
 			_, err := fmt.Sscanf(r.Server, "s%d", &at)
 			assert.NilError(t, err)
@@ -52,22 +52,22 @@
 // Guards against serving a fifth of the requests for a key where another server would serve
 // twice as many. The key's demand is three times the capacity of its owner, a server of low
 // or mean speed. No server has room for such a key, so it must not be moved by room alone.
-func TestReplayKeyThatFillsItsOwner(t *testing.T) {
+func TestReplayKeyThatSaturatesItsOwner(t *testing.T) {
 	served, b := replayHotKey(t, 7*time.Second)
-	r := b.m.Record().At(hotKey)
+	r := b.m.Record().RangeOf(hotKey)
 	t.Logf("%.0f requests in 5 s, at last by %s", served, r.Server)
 	assert.Assert(t, r.Server == "s2" || r.Server == "s5", "the key is with %s", r.Server)
 	assert.Assert(t, served > 190, "%.0f requests", served) // the fastest server could run 233 in 5 s
 	token := r.Token
 	_, b = replayHotKey(t, 12*time.Second)
-	assert.Equal(t, b.m.Record().At(hotKey).Server, r.Server, "the key stays there")
-	assert.Equal(t, b.m.Record().At(hotKey).Token, token)
+	assert.Equal(t, b.m.Record().RangeOf(hotKey).Server, r.Server, "the key stays there")
+	assert.Equal(t, b.m.Record().RangeOf(hotKey).Token, token)
 }
 
 // Two keys that saturate their owners are not moved to the same server.
-func TestKeysThatFillTheirOwnersStayApart(t *testing.T) {
+func TestKeysThatSaturateTheirOwnersStayApart(t *testing.T) {
 	servers := []Server{{ID: "a", Slots: 2, Speed: 0.6}, {ID: "b", Slots: 2, Speed: 0.6}, {ID: "c", Slots: 2, Speed: 1.4}}
-	record := First(Controller{}, 0, servers)
+	record := NewRecord(Controller{}, 0, servers)
 	loads := NewKeyLoads()
 	first, second := record.Ranges[0].From, record.Ranges[1].From
 	loads.Add(0, map[uint16]time.Duration{first: 9 * time.Second, second: 8 * time.Second}, 60*time.Millisecond)
--- a/keyspace/record.go
+++ b/keyspace/record.go
@@ -42,22 +42,22 @@
 	// for up to 4 s. It is also how long the keys of an unresponsive server have no owner.
 	LeaseTerm = 5 * time.Second
 	// renewInterval leaves room for several failed renewals before a lease expires.
-	renewEvery = 1200 * time.Millisecond
+	renewInterval = 1200 * time.Millisecond
 	// maxClockSlownessPercent is the most by which a server's clock may run slow.
-	slowClock = 2
+	maxClockSlownessPercent = 2
 	// clockMargin covers clock resolution and message transit time.
 	clockMargin = 250 * time.Millisecond
 	// maxCallTime is how long a call may be in transit before its sender aborts it.
-	underWay = 700 * time.Millisecond
+	maxCallTime = 700 * time.Millisecond
 	// AuthorityTimeout is how long a controller keeps renewing without contact to the store.
 	// Together with LeaseTerm it bridges store outages of up to 9 s.
-	AuthorityBound = 5500 * time.Millisecond
+	AuthorityTimeout = 5500 * time.Millisecond
 )
 
 // leaseExpiry returns when a lease granted by a call that ended at the given time has
 // certainly expired on the server's own clock.
-func lapse(ended time.Duration) time.Duration {
-	return ended + LeaseTerm*(100+slowClock)/100 + clockMargin
+func leaseExpiry(ended time.Duration) time.Duration {
+	return ended + LeaseTerm*(100+maxClockSlownessPercent)/100 + clockMargin
 }
 
 // Holder is an incarnation of a server with the token under which it holds or held keys.
@@ -79,23 +79,23 @@
 	To   uint16 `json:"to"`
 	Holder
 	// FormerHolders lists earlier holders that may still hold the keys.
-	Former []Holder `json:"former,omitempty"`
+	FormerHolders []Holder `json:"former,omitempty"`
 	// GrantsAnswered is set if every grant to the former holders had been answered when the
 	// keys were taken from them and no one can make another. Their confirmed release then
 	// suffices, so a successor can finish the predecessor's move at once.
-	Answered bool `json:"answered,omitempty"`
+	GrantsAnswered bool `json:"answered,omitempty"`
 }
 
 // reassign makes next the holder of the keys. answered reports whether all grants to the
 // current holder have been answered.
-func (r *Range) passTo(next Holder, answered bool) {
-	r.Answered = answered && (r.Answered || !r.Moving())
-	r.Former = append(r.Former, r.Holder)
+func (r *Range) reassign(next Holder, answered bool) {
+	r.GrantsAnswered = answered && (r.GrantsAnswered || !r.Moving())
+	r.FormerHolders = append(r.FormerHolders, r.Holder)
 	r.Holder = next
 }
 
 // Moving reports whether the keys have been reassigned and a former holder may still hold them.
-func (r *Range) Moving() bool { return len(r.Former) > 0 }
+func (r *Range) Moving() bool { return len(r.FormerHolders) > 0 }
 
 // Controller identifies the process that has authority.
 type Controller struct {
@@ -119,7 +119,7 @@
 	Controller Controller `json:"controller"`
 	// Predecessors lists replaced controllers that are not proven stopped. One that is cut
 	// off from the store may still be granting.
-	Earlier []Controller `json:"earlier,omitempty"`
+	Predecessors []Controller `json:"earlier,omitempty"`
 	// Writes counts the writes of the record within one term.
 	Writes uint64 `json:"writes,omitempty"`
 	// Era is one more than the store's era in which the record was written; 0 if the writer
@@ -140,30 +140,30 @@
 // Clone returns a deep copy.
 func (r *Record) Clone() *Record {
 	copied := *r
-	copied.Earlier = slices.Clone(r.Earlier)
+	copied.Predecessors = slices.Clone(r.Predecessors)
 	copied.Controller.Relays = slices.Clone(r.Controller.Relays)
 	copied.Ranges = slices.Clone(r.Ranges)
 	for i := range copied.Ranges {
-		copied.Ranges[i].Former = slices.Clone(copied.Ranges[i].Former)
+		copied.Ranges[i].FormerHolders = slices.Clone(copied.Ranges[i].FormerHolders)
 	}
 	return &copied
 }
 
 // TakeOver returns the record with a new controller.
-func (r *Record) Succeed(controller Controller) *Record {
+func (r *Record) TakeOver(controller Controller) *Record {
 	next := r.Clone()
 	next.Term++
-	if len(r.Earlier) > 0 {
+	if len(r.Predecessors) > 0 {
 		// Earlier predecessors only know an older record and may still grant keys to former
 		// holders.
 		for i := range next.Ranges {
-			next.Ranges[i].Answered = false
+			next.Ranges[i].GrantsAnswered = false
 		}
 	}
 	if !r.Controller.Resigned {
 		replaced := r.Controller
 		replaced.Relays = nil
-		next.Earlier = append(next.Earlier, replaced)
+		next.Predecessors = append(next.Predecessors, replaced)
 	}
 	relays, hosts := r.Controller.Relays, r.Controller.Hosts
 	next.Controller = controller
@@ -172,7 +172,7 @@
 }
 
 // RangeOf returns the range that contains a key, or nil. Ranges are sorted.
-func (r *Record) At(key uint16) *Range {
+func (r *Record) RangeOf(key uint16) *Range {
 	i, found := slices.BinarySearchFunc(r.Ranges, key, func(have Range, want uint16) int {
 		switch {
 		case have.To < want:
@@ -192,29 +192,29 @@
 	// initialRangesPerSlot is the number of ranges per slot in a first assignment. Busy keys
 	// are close together at unknown places: a server that owned a tenth of all keys in one
 	// range could own half of the load.
-	slicesPerSlot = 2
+	initialRangesPerSlot = 2
 	// maxInitialRanges bounds the ranges of a first assignment beyond one per server. Each
 	// range costs a call per renewal, and with hundreds of servers none owns a tenth of the
 	// keys anyway.
-	mostSlices = 128
+	maxInitialRanges = 128
 )
 
 // NewRecord returns a record with a first assignment.
-func First(controller Controller, era uint64, servers []Server) *Record {
+func NewRecord(controller Controller, era uint64, servers []Server) *Record {
 	record := &Record{Term: 1, Controller: controller, Era: era + 1}
-	record.assign(servers)
+	record.assignRoundRobin(servers)
 	return record
 }
 
 // NewUnassignedRecord returns the record of a controller that has not made the first
 // assignment yet. Other hosts learn of the servers through it in the meantime.
-func FirstUnassigned(controller Controller, era uint64) *Record {
+func NewUnassignedRecord(controller Controller, era uint64) *Record {
 	return &Record{Term: 1, Controller: controller, Era: era + 1, Unassigned: true}
 }
 
 // assignRoundRobin distributes all keys over the servers, in proportion to their slots.
-func (r *Record) assign(servers []Server) {
-	owners := deal(servers)
+func (r *Record) assignRoundRobin(servers []Server) {
+	owners := roundRobinOwners(servers)
 	for i, server := range owners {
 		r.LastToken++
 		r.Ranges = append(r.Ranges, Range{
@@ -224,17 +224,17 @@
 }
 
 // NewKeylessRecord returns the first record of a controller that assigns no keys.
-func FirstKeyless(controller Controller, era uint64) *Record {
+func NewKeylessRecord(controller Controller, era uint64) *Record {
 	return &Record{Term: 1, Controller: controller, Era: era + 1, Keyless: true}
 }
 
 // roundRobinOwners returns the owners of the initial ranges in key order.
-func deal(servers []Server) []Server {
+func roundRobinOwners(servers []Server) []Server {
 	var owners []Server
 	for round := 0; ; round++ {
 		before := len(owners)
 		for _, server := range servers {
-			enough := round >= server.Slots*slicesPerSlot || round > 0 && len(owners) >= mostSlices
+			enough := round >= server.Slots*initialRangesPerSlot || round > 0 && len(owners) >= maxInitialRanges
 			if !enough {
 				owners = append(owners, server)
 			}
@@ -246,33 +246,33 @@
 }
 
 // InvariantError reports a malformed record.
-type InvariantError struct{ What string }
+type InvariantError struct{ Detail string }
 
 // Error implements error.
-func (e *InvariantError) Error() string { return "malformed key assignment: " + e.What }
+func (e *InvariantError) Error() string { return "malformed key assignment: " + e.Detail }
 
 // Validate returns an *InvariantError unless the ranges cover every key exactly once, or the
 // record assigns no keys and has no ranges.
-func (r *Record) Check() error {
+func (r *Record) Validate() error {
 	if r.Keyless || r.Unassigned {
-		return r.checkEmpty()
+		return r.validateEmpty()
 	}
 	want := 0
 	for _, have := range r.Ranges {
 		if int(have.From) != want || have.To < have.From {
-			return &InvariantError{What: fmt.Sprintf("range %d-%d is empty or does not start at key %d", have.From, have.To, want)}
+			return &InvariantError{Detail: fmt.Sprintf("range %d-%d is empty or does not start at key %d", have.From, have.To, want)}
 		}
 		want = int(have.To) + 1
 	}
 	if want != LastKey+1 {
-		return &InvariantError{What: fmt.Sprintf("no range contains keys from %d on", want)}
+		return &InvariantError{Detail: fmt.Sprintf("no range contains keys from %d on", want)}
 	}
 	return nil
 }
 
-func (r *Record) checkEmpty() error {
+func (r *Record) validateEmpty() error {
 	if len(r.Ranges) > 0 {
-		return &InvariantError{What: fmt.Sprintf("%d ranges in a record that assigns no keys", len(r.Ranges))}
+		return &InvariantError{Detail: fmt.Sprintf("%d ranges in a record that assigns no keys", len(r.Ranges))}
 	}
 	return nil
 }
--- a/keyspace/recordjson.go
+++ b/keyspace/recordjson.go
@@ -11,7 +11,7 @@
 // at every change of the assignment, ten times as fast as with one object per range.
 
 // minColumnRanges is the number of ranges from which a record is stored in columns.
-const columnsFrom = 1024
+const minColumnRanges = 1024
 
 // serverSeparator separates the servers of a column. A record with a server whose ID contains
 // it is not stored in columns.
@@ -32,9 +32,9 @@
 
 // movingRange holds the fields of a moving range that have no column.
 type movingRange struct {
-	Index    int      `json:"index"`
-	Former   []Holder `json:"former"`
-	Answered bool     `json:"answered,omitempty"`
+	Index          int      `json:"index"`
+	FormerHolders  []Holder `json:"former"`
+	GrantsAnswered bool     `json:"answered,omitempty"`
 }
 
 // recordFields is a Record without its methods.
@@ -58,8 +58,8 @@
 		columns.To = binary.BigEndian.AppendUint16(columns.To, each.To)
 		columns.Starts = binary.BigEndian.AppendUint64(columns.Starts, uint64(each.Start))
 		columns.Tokens = binary.BigEndian.AppendUint64(columns.Tokens, each.Token)
-		if each.Moving() || each.Answered {
-			columns.Moving = append(columns.Moving, movingRange{Index: i, Former: each.Former, Answered: each.Answered})
+		if each.Moving() || each.GrantsAnswered {
+			columns.Moving = append(columns.Moving, movingRange{Index: i, FormerHolders: each.FormerHolders, GrantsAnswered: each.GrantsAnswered})
 		}
 	}
 	columns.Servers = strings.Join(servers, serverSeparator)
@@ -68,7 +68,7 @@
 }
 
 func (r *Record) fitsColumns() bool {
-	if len(r.Ranges) < columnsFrom || r.Check() != nil {
+	if len(r.Ranges) < minColumnRanges || r.Validate() != nil {
 		return false
 	}
 	return !slices.ContainsFunc(r.Ranges, func(each Range) bool { return strings.Contains(each.Server, serverSeparator) })
@@ -82,14 +82,14 @@
 	if err := json.Unmarshal(data, &wire); err != nil || wire.Columns == nil {
 		return err
 	}
-	return wire.Columns.into(r)
+	return wire.Columns.decodeInto(r)
 }
 
-func (c *rangeColumns) into(r *Record) error {
+func (c *rangeColumns) decodeInto(r *Record) error {
 	servers := strings.Split(c.Servers, serverSeparator)
 	n := len(servers)
 	if len(c.To) != 2*n || len(c.Starts) != 8*n || len(c.Tokens) != 8*n {
-		return &InvariantError{What: "the columns have different lengths"}
+		return &InvariantError{Detail: "the columns have different lengths"}
 	}
 	r.Ranges = make([]Range, n)
 	from := 0
@@ -101,9 +101,9 @@
 	}
 	for _, moving := range c.Moving {
 		if moving.Index < 0 || moving.Index >= n {
-			return &InvariantError{What: "the moving column has an index that is out of range"}
+			return &InvariantError{Detail: "the moving column has an index that is out of range"}
 		}
-		r.Ranges[moving.Index].Former, r.Ranges[moving.Index].Answered = moving.Former, moving.Answered
+		r.Ranges[moving.Index].FormerHolders, r.Ranges[moving.Index].GrantsAnswered = moving.FormerHolders, moving.GrantsAnswered
 	}
 	return nil
 }
--- a/keyspace/recordjson_test.go
+++ b/keyspace/recordjson_test.go
@@ -13,7 +13,7 @@
 // A record is unchanged by encoding and decoding, whatever the number of its ranges.
 func TestRecordsAreReadAsTheyWereWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.SampledFrom([]int{1, 10, columnsFrom - 1, columnsFrom, columnsFrom + 500}).Draw(t, "servers")
+		n := rapid.SampledFrom([]int{1, 10, minColumnRanges - 1, minColumnRanges, minColumnRanges + 500}).Draw(t, "servers")
 		starts := rapid.Bool().Draw(t, "servers report their starts")
 		var servers []Server
 		for i := range n {
@@ -23,19 +23,19 @@
 			}
 			servers = append(servers, server)
 		}
-		want := First(Controller{Host: "one", Relays: []string{"a"}, Hosts: 9}, 1, servers)
-		want.Earlier = []Controller{{Host: "zero"}}
+		want := NewRecord(Controller{Host: "one", Relays: []string{"a"}, Hosts: 9}, 1, servers)
+		want.Predecessors = []Controller{{Host: "zero"}}
 		for range rapid.IntRange(0, 5).Draw(t, "moves") {
 			r := &want.Ranges[rapid.IntRange(0, len(want.Ranges)-1).Draw(t, "range")]
 			want.LastToken++
-			r.passTo(Holder{Server: "next", Token: want.LastToken}, rapid.Bool().Draw(t, "answered"))
+			r.reassign(Holder{Server: "next", Token: want.LastToken}, rapid.Bool().Draw(t, "answered"))
 		}
 		encoded, err := json.Marshal(want)
 		assert.NilError(t, err)
 		var got Record
 		assert.NilError(t, json.Unmarshal(encoded, &got))
 		assert.DeepEqual(t, &got, want)
-		assert.NilError(t, got.Check())
+		assert.NilError(t, got.Validate())
 	})
 }
 
@@ -53,12 +53,12 @@
 
 // BenchmarkRecordRead measures what a host spends on decoding an assignment.
 func BenchmarkRecordRead(b *testing.B) {
-	for _, n := range []int{columnsFrom - 1, 4018} {
+	for _, n := range []int{minColumnRanges - 1, 4018} {
 		var servers []Server
 		for i := range n {
 			servers = append(servers, Server{ID: fmt.Sprintf("i-%010d", i), Start: int64(1_700_000_000_000 + i), Slots: 4})
 		}
-		record := First(Controller{Host: "one"}, 0, servers)
+		record := NewRecord(Controller{Host: "one"}, 0, servers)
 		encoded, err := json.Marshal(record)
 		if err != nil {
 			b.Fatal(err)
--- a/keyspace/replay_test.go
+++ b/keyspace/replay_test.go
@@ -27,13 +27,13 @@
 	seed      uint64
 	// The first limited servers accept limit requests per second from limitFrom on. told
 	// reports whether the plan knows the limit.
-	limited   int
-	limit     float64
-	limitFrom time.Duration
-	told      bool
+	limited    int
+	limit      float64
+	limitFrom  time.Duration
+	limitKnown bool
 	// patience is how long a request waits for a permit of a limited server.
-	patience time.Duration
-	fill     float64
+	patience  time.Duration
+	limitFill float64
 }
 
 // limitedAt reports whether a server's requests per second are limited at a time.
@@ -44,24 +44,24 @@
 func serverName(i int) string { return fmt.Sprintf("s%03d", i) }
 
 // replayResult is the outcome of a replay while the keys were hot.
-type keyVerdict struct {
-	fits  float64 // share of the demand that the keys' owners could accept
-	moved float64 // keys that changed owners, as a share of all keys
+type replayResult struct {
+	served float64 // share of the demand that the keys' owners could accept
+	moved  float64 // keys that changed owners, as a share of all keys
 }
 
-func (v keyVerdict) String() string { return fmt.Sprintf("fits %.3f, moved %.3f", v.fits, v.moved) }
+func (v replayResult) String() string { return fmt.Sprintf("fits %.3f, moved %.3f", v.served, v.moved) }
 
 // replayKeys simulates the load with a state machine whose calls are answered at once.
-func replayKeys(t *testing.T, l keyLoad) keyVerdict {
+func replayKeys(t *testing.T, l keyLoad) replayResult {
 	var servers []Server
 	for i := range l.servers {
 		servers = append(servers, Server{ID: serverName(i), Slots: l.slots, Speed: 1})
 	}
-	b := newBench(t, New(First(Controller{Host: "one", Incarnation: 1}, 0, servers), 0, 0), 0)
+	b := newHarness(t, New(NewRecord(Controller{Host: "one", Incarnation: 1}, 0, servers), 0, 0), 0)
 	b.servers = servers
 	random := rand.New(rand.NewPCG(l.seed, 1))
 	hotAt := uint16(random.IntN(LastKey + 1 - l.hotKeys))
-	verdict, demand, fitting := keyVerdict{}, 0.0, 0.0
+	verdict, demand, fitting := replayResult{}, 0.0, 0.0
 	owners := ownersOf(b.m.Record())
 	const reports = 10 // ticks between two reports of the hosts
 	busy, waiting := map[uint16]time.Duration{}, backlogs{}
@@ -77,10 +77,10 @@
 			busy = map[uint16]time.Duration{}
 		}
 		for i := range b.servers {
-			if server := &b.servers[i]; l.told {
+			if server := &b.servers[i]; l.limitKnown {
 				server.Speed = 1
 				if l.limitedAt(b.now, server.ID) {
-					server.Speed = l.fill * l.limit * l.work.Seconds() / float64(l.slots)
+					server.Speed = l.limitFill * l.limit * l.work.Seconds() / float64(l.slots)
 				}
 			}
 		}
@@ -93,7 +93,7 @@
 		verdict.moved += float64(differ(owners, now)) / (LastKey + 1)
 		owners = now
 	}
-	verdict.fits = fitting / demand
+	verdict.served = fitting / demand
 	return verdict
 }
 
@@ -115,7 +115,7 @@
 type backlogs map[string]float64
 
 // maxWait is how long a request may wait for a slot, in service times, before it is rejected.
-const mostWait = 2
+const maxWait = 2
 
 // take returns the demand of a tick and the part of it that the owners of the keys accept.
 // Requests for moving keys are rejected.
@@ -126,8 +126,8 @@
 	for _, key := range slices.Sorted(maps.Keys(arrived)) {
 		asked := arrived[key].Seconds()
 		demand += asked
-		r := record.At(key)
-		if r.Moving() || b[r.Server]+asked > float64(l.slots)*(1+mostWait)*l.work.Seconds() {
+		r := record.RangeOf(key)
+		if r.Moving() || b[r.Server]+asked > float64(l.slots)*(1+maxWait)*l.work.Seconds() {
 			continue
 		}
 		if l.limitedAt(now, r.Server) {
@@ -179,7 +179,7 @@
 func TestReplayHotKeysOfManyServers(t *testing.T) {
 	verdict := replayKeys(t, manyServers())
 	t.Log(verdict)
-	assert.Assert(t, verdict.fits > 0.85)
+	assert.Assert(t, verdict.served > 0.85)
 }
 
 // The same with few servers of four slots, at 60% load.
@@ -188,7 +188,7 @@
 	l.servers, l.slots, l.perSecond, l.work = 14, 4, 370, 90*time.Millisecond
 	verdict := replayKeys(t, l)
 	t.Log(verdict)
-	assert.Assert(t, verdict.fits > 0.9)
+	assert.Assert(t, verdict.served > 0.9)
 }
 
 // Guards against moving keys all the time under an even load. Random arrival gives some
@@ -205,7 +205,7 @@
 // quarter of their demand.
 func limitedServers(seed uint64, hotShare float64, told bool) keyLoad {
 	return keyLoad{servers: 10, slots: 2, perSecond: 118, work: 90 * time.Millisecond, hotShare: hotShare, hotKeys: 60, hotFrom: 8 * time.Second, length: 30 * time.Second, seed: seed,
-		limited: 2, limit: 2.8, limitFrom: 8 * time.Second, told: told, patience: 210 * time.Millisecond, fill: 0.5}
+		limited: 2, limit: 2.8, limitFrom: 8 * time.Second, limitKnown: told, patience: 210 * time.Millisecond, limitFill: 0.5}
 }
 
 // Guards against servers that keep keys with several times the demand of the limits that the
@@ -215,8 +215,8 @@
 		for seed := range uint64(2) {
 			kept, moved := replayKeys(t, limitedServers(seed, hotShare, false)), replayKeys(t, limitedServers(seed, hotShare, true))
 			t.Logf("%.2f hot, seed %d: keys stay: %v; keys move: %v", hotShare, seed, kept, moved)
-			assert.Assert(t, moved.fits > kept.fits+0.08)
-			assert.Assert(t, moved.fits > 0.95)
+			assert.Assert(t, moved.served > kept.served+0.08)
+			assert.Assert(t, moved.served > 0.95)
 		}
 	}
 }
--- a/keyspace/restart.go
+++ b/keyspace/restart.go
@@ -22,11 +22,11 @@
 // before the record counts as outdated. A controller that takes over may itself see entries
 // that are up to 2 s behind its predecessor's record. A server whose clock was set back
 // between two starts keeps the earlier start.
-const earlierBelieved = 3 * time.Second
+const earlierStartDelay = 3 * time.Second
 
 // noteEarlierStarts records since when the entries of owners have had earlier starts than
 // the record.
-func (m *Machine) noteEarlierStarts(now time.Duration, live map[string]Server) {
+func (m *StateMachine) noteEarlierStarts(now time.Duration, live map[string]Server) {
 	behind := map[string]bool{}
 	for i := range m.record.Ranges {
 		r := &m.record.Ranges[i]
@@ -34,40 +34,40 @@
 			behind[r.Server] = true
 		}
 	}
-	for id := range m.earlier {
+	for id := range m.earlierStartSince {
 		if !behind[id] {
-			delete(m.earlier, id)
+			delete(m.earlierStartSince, id)
 		}
 	}
 	for id := range behind {
-		if _, noted := m.earlier[id]; !noted {
-			m.earlier[id] = now
+		if _, noted := m.earlierStartSince[id]; !noted {
+			m.earlierStartSince[id] = now
 		}
 	}
 }
 
 // restarted reports whether a holder's server now runs as another incarnation.
-func (m *Machine) replaced(now time.Duration, holder Holder, server Server) bool {
+func (m *StateMachine) restarted(now time.Duration, holder Holder, server Server) bool {
 	if server.Start > holder.Start {
 		return true
 	}
-	since, behind := m.earlier[holder.Server]
-	return behind && server.Start < holder.Start && now-since >= earlierBelieved
+	since, behind := m.earlierStartSince[holder.Server]
+	return behind && server.Start < holder.Start && now-since >= earlierStartDelay
 }
 
 // reassignRestarted gives the keys of restarted owners to their new incarnations with new
 // tokens. This need not wait for earlier controllers: the keys stay with the server, and
 // grants by those controllers have lower tokens.
-func (m *Machine) grantAnew(now time.Duration, next *Record, live map[string]Server) bool {
+func (m *StateMachine) reassignRestarted(now time.Duration, next *Record, live map[string]Server) bool {
 	changed := false
 	for i := range next.Ranges {
 		r := &next.Ranges[i]
 		server, alive := live[r.Server]
-		if !alive || !m.replaced(now, r.Holder, server) {
+		if !alive || !m.restarted(now, r.Holder, server) {
 			continue
 		}
 		next.LastToken++
-		r.passTo(Holder{Server: server.ID, Start: server.Start, Token: next.LastToken}, m.answered(now, r))
+		r.reassign(Holder{Server: server.ID, Start: server.Start, Token: next.LastToken}, m.grantsAnswered(now, r))
 		changed = true
 	}
 	return changed
@@ -75,21 +75,21 @@
 
 // formerCallInFlight reports whether a call to an earlier incarnation of the owner is in
 // flight. It may still reach the owner.
-func (m *Machine) callingEarlier(r *Range) bool {
-	return slices.ContainsFunc(r.Former, func(former Holder) bool {
-		return former.Server == r.Server && m.lease(r, former).calling
+func (m *StateMachine) formerCallInFlight(r *Range) bool {
+	return slices.ContainsFunc(r.FormerHolders, func(former Holder) bool {
+		return former.Server == r.Server && m.leaseOf(r, former).callInFlight
 	})
 }
 
 // inheritLeases extends an owner's lease by those of its earlier incarnations, whose calls
 // may have reached it.
-func (m *Machine) inherit(r *Range) {
-	own := m.lease(r, r.Holder)
-	for _, former := range r.Former {
+func (m *StateMachine) inheritLeases(r *Range) {
+	own := m.leaseOf(r, r.Holder)
+	for _, former := range r.FormerHolders {
 		if former.Server != r.Server {
 			continue
 		}
-		l := m.lease(r, former)
-		own.until, own.late = max(own.until, l.until), max(own.late, l.late)
+		l := m.leaseOf(r, former)
+		own.expiry, own.unansweredExpiry = max(own.expiry, l.expiry), max(own.unansweredExpiry, l.unansweredExpiry)
 	}
 }
--- a/keyspace/restart_test.go
+++ b/keyspace/restart_test.go
@@ -12,10 +12,10 @@
 const laterStart = firstStart + 5000
 
 // restarting returns a harness that has run for a while. Its server a reports its start time.
-func restarting(t *testing.T) *bench {
-	b := newBench(t, nil, 0)
+func restarting(t *testing.T) *harness {
+	b := newHarness(t, nil, 0)
 	b.servers[0].Start = firstStart
-	b.m = New(First(Controller{Host: "one", Incarnation: 1}, 0, b.servers), 0, 0)
+	b.m = New(NewRecord(Controller{Host: "one", Incarnation: 1}, 0, b.servers), 0, 0)
 	b.run(2 * time.Second)
 	return b
 }
@@ -28,7 +28,7 @@
 	before := b.m.Record().LastToken
 	b.servers[0].Start = laterStart
 	b.run(b.now + 3*tick)
-	r := b.m.Record().At(0)
+	r := b.m.Record().RangeOf(0)
 	owner, held := b.owner()
 	assert.Equal(t, owner, "a")
 	assert.Equal(t, r.Start, int64(laterStart))
@@ -42,11 +42,11 @@
 func TestLaterIncarnationIsNotRenewedUnderTheEarlierToken(t *testing.T) {
 	b := restarting(t)
 	b.servers[0].Start = laterStart
-	b.run(b.now + renewEvery)
-	earlier := b.m.Record().At(0).Token
+	b.run(b.now + renewInterval)
+	earlier := b.m.Record().RangeOf(0).Token
 	b.servers[0].Start = laterStart + 1
 	b.m.Confirm(b.now)
-	for _, call := range b.m.Step(b.now+renewEvery, b.servers) {
+	for _, call := range b.m.Step(b.now+renewInterval, b.servers) {
 		assert.Assert(t, call.Server != "a" || call.Token != earlier, "%v with token %d", call.Kind, call.Token)
 	}
 }
@@ -54,7 +54,7 @@
 // Guards against two servers that hold the same keys. A server restarts under its ID, and a
 // renewal that the controller sent before it knew reaches the new process. The end of the
 // earlier process must not free the keys for another server.
-func TestKeysOfARestartedServerPassOnWithItsWordOnly(t *testing.T) {
+func TestKeysOfARestartedServerMoveOnlyAfterItsRelease(t *testing.T) {
 	b := restarting(t)
 	b.servers[0].Start, b.servers[0].Leaving = laterStart, true
 	b.answer = func(call Call) CallResult {
@@ -86,7 +86,7 @@
 // Guards against serving the keys of a restarted server slowly because their next owner was
 // told that it has their state. The later incarnation never worked on the keys, so the
 // empty hand-over of its release must not be passed on.
-func TestLaterIncarnationHandsNothingOver(t *testing.T) {
+func TestLaterIncarnationHasNoHandOver(t *testing.T) {
 	b := restarting(t)
 	b.servers[0].Start, b.servers[0].Leaving = laterStart, true
 	handed := ""
@@ -96,10 +96,10 @@
 			if call.Kind == GrantCall && call.Server == "b" && call.From == 0 {
 				handed += call.Handoff
 			}
-			b.m.Answered(call, CallDone, "empty", b.now, b.now)
+			b.m.CallCompleted(call, CallDone, "empty", b.now, b.now)
 		}
 		if b.m.Pending() != nil {
-			b.m.Written(b.now)
+			b.m.WriteAcknowledged(b.now)
 		}
 		b.now += tick
 	}
@@ -120,7 +120,7 @@
 		}
 		return CallDone
 	}
-	b.run(b.now + renewEvery)
+	b.run(b.now + renewInterval)
 	lost := b.grants["a"]
 	b.answer = nil
 	b.servers[0].Start = laterStart
@@ -142,12 +142,12 @@
 // let them move without its release.
 func TestProofOfTheEndIsOfOneIncarnation(t *testing.T) {
 	b := restarting(t)
-	b.m.Ended(fleet.Incarnation{ID: "a", Start: firstStart})
+	b.m.IncarnationEnded(fleet.Incarnation{ID: "a", Start: firstStart})
 	b.servers[0].Start = laterStart
 	b.run(b.now + time.Second)
 	_, held := b.owner()
 	assert.Assert(t, held)
-	b.m.Ended(fleet.Incarnation{ID: "a", Start: firstStart}) // a repeated proof
+	b.m.IncarnationEnded(fleet.Incarnation{ID: "a", Start: firstStart}) // a repeated proof
 	b.loseA()
 	b.run(b.grants["a"] + LeaseTerm)
 	owner, held := b.owner()
@@ -157,11 +157,11 @@
 // The same for a server that does not report its start time: it may hold keys again once it
 // is granted some.
 func TestProofOfTheEndIsOverWithTheNextGrant(t *testing.T) {
-	b := newBench(t, New(twoServers(), 0, 0), 0)
+	b := newHarness(t, New(twoServers(), 0, 0), 0)
 	b.run(2 * time.Second)
-	b.m.Ended(fleet.Incarnation{ID: "a"})
-	b.now += renewEvery // a grant is due before anything else
-	b.run(b.now + 2*renewEvery)
+	b.m.IncarnationEnded(fleet.Incarnation{ID: "a"})
+	b.now += renewInterval // a grant is due before anything else
+	b.run(b.now + 2*renewInterval)
 	b.loseA()
 	b.run(b.grants["a"] + LeaseTerm)
 	owner, held := b.owner()
@@ -171,14 +171,14 @@
 // Guards against two servers that hold the same keys. A grant is in flight when another
 // server answers at the address; then the server restarts and the grant reaches it. The proof
 // must not cover calls that have not ended.
-func TestProofOfTheEndDoesNotCoverCallsUnderWay(t *testing.T) {
+func TestProofOfTheEndDoesNotCoverCallsInFlight(t *testing.T) {
 	b := restarting(t)
-	b.now += renewEvery
+	b.now += renewInterval
 	b.m.Confirm(b.now)
 	calls := b.m.Step(b.now, b.servers)
-	b.m.Ended(fleet.Incarnation{ID: "a", Start: firstStart})
+	b.m.IncarnationEnded(fleet.Incarnation{ID: "a", Start: firstStart})
 	for _, call := range calls {
-		b.m.Answered(call, CallDone, "", b.now, b.now)
+		b.m.CallCompleted(call, CallDone, "", b.now, b.now)
 	}
 	sent := b.now
 	b.loseA()
@@ -192,13 +192,13 @@
 // forever.
 func TestServerWhoseClockWasSetBackIsGrantedItsKeys(t *testing.T) {
 	b := restarting(t)
-	before := b.m.Record().At(0).Token
+	before := b.m.Record().RangeOf(0).Token
 	b.servers[0].Start = firstStart - 5000
-	b.run(b.now + earlierBelieved - tick)
-	assert.Equal(t, b.m.Record().At(0).Token, before, "a controller's entries may be behind the record that it took over")
+	b.run(b.now + earlierStartDelay - tick)
+	assert.Equal(t, b.m.Record().RangeOf(0).Token, before, "a controller's entries may be behind the record that it took over")
 	b.run(b.now + 6*tick)
-	assert.Assert(t, b.m.Record().At(0).Token > before)
-	assert.Equal(t, b.m.Record().At(0).Start, int64(firstStart-5000))
+	assert.Assert(t, b.m.Record().RangeOf(0).Token > before)
+	assert.Equal(t, b.m.Record().RangeOf(0).Start, int64(firstStart-5000))
 	_, held := b.owner()
 	assert.Assert(t, held)
 }
@@ -209,27 +209,27 @@
 // have no effect.
 func TestSuccessorMovesKeysOfServersThatEnded(t *testing.T) {
 	start := time.Minute
-	b := newBench(t, Adopt(twoServers().Succeed(Controller{Host: "two", Incarnation: 2}), start, start), start)
+	b := newHarness(t, Adopt(twoServers().TakeOver(Controller{Host: "two", Incarnation: 2}), start, start), start)
 	registered := b.servers
 	b.loseA()
 	b.servers = registered // its entry has not expired yet
 	b.run(start + time.Second)
 	owner, _ := b.owner()
 	assert.Equal(t, owner, "a")
-	b.m.Ended(fleet.Incarnation{ID: "a"})
-	b.run(b.now + 2*underWay)
+	b.m.IncarnationEnded(fleet.Incarnation{ID: "a"})
+	b.run(b.now + 2*maxCallTime)
 	owner, held := b.owner()
 	assert.Equal(t, owner, "b")
 	assert.Assert(t, held)
-	assert.Assert(t, !b.m.Settled(b.now))
-	assert.Equal(t, len(b.m.Record().Earlier), 1, "the earlier controller is still listed")
+	assert.Assert(t, !b.m.PredecessorsFenced(b.now))
+	assert.Equal(t, len(b.m.Record().Predecessors), 1, "the earlier controller is still listed")
 }
 
 // Guards against keys that have no owner until the lease of a crashed server expires, although
 // another server answers at its address. The server left a grant unanswered, and its entry
 // expired before the address was reused, so probing must continue without an entry.
-func TestSilentOwnerIsAskedUntilItsLeaseRunsOut(t *testing.T) {
-	b := newBench(t, New(twoServers(), 0, 0), 0)
+func TestUnresponsiveOwnerIsProbedUntilItsLeaseExpires(t *testing.T) {
+	b := newHarness(t, New(twoServers(), 0, 0), 0)
 	b.run(2 * time.Second)
 	b.silenceA()
 	probes := map[time.Duration]int{}
@@ -240,7 +240,7 @@
 		}
 		return unanswered(call)
 	}
-	b.run(b.now + LeaseTerm - entryLapse - renewEvery)
+	b.run(b.now + LeaseTerm - entryExpiry - renewInterval)
 	assert.Assert(t, len(probes) > 3, "probed %d times", len(probes))
 	for at, n := range probes {
 		assert.Equal(t, n, 1, "probes of the server at %v", at)
@@ -251,19 +251,19 @@
 // disconnection. All grants to a server with several ranges are unanswered; its answer to one
 // probe must count for all of them.
 func TestAnswerToAProbeIsForAllRanges(t *testing.T) {
-	b := newBench(t, New(twoServers(), 0, 0), 0)
+	b := newHarness(t, New(twoServers(), 0, 0), 0)
 	b.run(2 * time.Second)
 	registered := b.servers
 	b.loseA()
 	b.servers = registered
-	b.run(b.now + renewEvery + tick)
+	b.run(b.now + renewInterval + tick)
 	b.answer = nil
 	back := b.now
-	b.run(back + callRetry + 3*tick)
+	b.run(back + releaseRetryDelay + 3*tick)
 	for i := range b.m.Record().Ranges {
 		r := &b.m.Record().Ranges[i]
 		if r.Server == "a" {
-			assert.Assert(t, !b.m.lease(r, r.Holder).silent && b.m.lease(r, r.Holder).next > back, "%d-%d", r.From, r.To)
+			assert.Assert(t, !b.m.leaseOf(r, r.Holder).unresponsive && b.m.leaseOf(r, r.Holder).nextGrant > back, "%d-%d", r.From, r.To)
 		}
 	}
 }
@@ -272,19 +272,19 @@
 // them: no one could have them earlier.
 func TestSuccessorMovesNothingElseAtFirst(t *testing.T) {
 	start := time.Minute
-	b := newBench(t, Adopt(twoServers().Succeed(Controller{Host: "two", Incarnation: 2}), start, start), start)
+	b := newHarness(t, Adopt(twoServers().TakeOver(Controller{Host: "two", Incarnation: 2}), start, start), start)
 	b.loseA()
-	b.run(start + AuthorityBound - tick)
+	b.run(start + AuthorityTimeout - tick)
 	owner, _ := b.owner()
 	assert.Equal(t, owner, "a")
-	assert.Assert(t, !b.m.Record().At(0).Moving())
+	assert.Assert(t, !b.m.Record().RangeOf(0).Moving())
 }
 
 // Guards against a quarter of all requests finding no owner for seconds after a failure domain
 // was disconnected for about as long as a lease. Its servers answer again before their entries
 // are back; a server that answers without an entry must get time to register again.
 func TestKeysStayWithServersThatAreAboutToRegisterAgain(t *testing.T) {
-	b := newBench(t, New(twoServers(), 0, 0), 0)
+	b := newHarness(t, New(twoServers(), 0, 0), 0)
 	b.run(2 * time.Second)
 	token := b.m.Record().LastToken
 	registered := b.silenceA()
@@ -302,7 +302,7 @@
 	b.silenceA()
 	b.run(b.now + time.Second)
 	b.answer = nil
-	b.run(b.now + returnWait + time.Second)
+	b.run(b.now + reregistrationWait + time.Second)
 	owner, held = b.owner()
 	assert.Equal(t, owner, "b")
 	assert.Assert(t, held)
--- a/keyspace/vacancy_test.go
+++ b/keyspace/vacancy_test.go
@@ -12,10 +12,10 @@
 
 // entryExpiry is the time without heartbeats after which a server's entry is gone: three
 // heartbeats of 0.87 s.
-const entryLapse = 2600 * time.Millisecond
+const entryExpiry = 2600 * time.Millisecond
 
 // timeWithoutOwner returns for how long from now on key 0 has no owner that runs requests.
-func vacancy(b *bench, runsAt func(owner string, held bool) bool) time.Duration {
+func timeWithoutOwner(b *harness, runsAt func(owner string, held bool) bool) time.Duration {
 	var without time.Duration
 	for end := b.now + 20*time.Second; b.now < end; {
 		b.run(b.now + tick)
@@ -30,39 +30,39 @@
 var losses = []struct {
 	cause string
 	worst time.Duration
-	play  func(b *bench) time.Duration
+	play  func(b *harness) time.Duration
 }{
-	{"planned move", 200 * time.Millisecond, func(b *bench) time.Duration {
+	{"planned move", 200 * time.Millisecond, func(b *harness) time.Duration {
 		b.servers[0].Leaving = true
-		return vacancy(b, func(_ string, held bool) bool { return held })
+		return timeWithoutOwner(b, func(_ string, held bool) bool { return held })
 	}},
-	{"server lost, another answers at its address", entryLapse + 300*time.Millisecond, func(b *bench) time.Duration {
-		return lost(b, func() { b.m.Ended(fleet.Incarnation{ID: "a"}) })
+	{"server lost, another answers at its address", entryExpiry + 300*time.Millisecond, func(b *harness) time.Duration {
+		return lost(b, func() { b.m.IncarnationEnded(fleet.Incarnation{ID: "a"}) })
 	}},
-	{"server lost, another answers before its entry expires", 2*time.Second + 300*time.Millisecond, func(b *bench) time.Duration {
+	{"server lost, another answers before its entry expires", 2*time.Second + 300*time.Millisecond, func(b *harness) time.Duration {
 		proofAt := b.now + 2*time.Second
 		return lost(b, func() {}, func() {
 			if b.now >= proofAt {
-				b.m.Ended(fleet.Incarnation{ID: "a"})
+				b.m.IncarnationEnded(fleet.Incarnation{ID: "a"})
 			}
 		})
 	}},
-	{"server unresponsive", renewEvery + lapse(0) + 2*tick, func(b *bench) time.Duration {
+	{"server unresponsive", renewInterval + leaseExpiry(0) + 2*tick, func(b *harness) time.Duration {
 		return lost(b, func() {})
 	}},
-	{"server cut off from the registry only", 200 * time.Millisecond, func(b *bench) time.Duration {
+	{"server cut off from the registry only", 200 * time.Millisecond, func(b *harness) time.Duration {
 		b.servers = b.servers[1:]
-		return vacancy(b, func(_ string, held bool) bool { return held })
+		return timeWithoutOwner(b, func(_ string, held bool) bool { return held })
 	}},
-	{"failure domain cut off for 3.5 s", 3700 * time.Millisecond, func(b *bench) time.Duration {
+	{"failure domain cut off for 3.5 s", 3700 * time.Millisecond, func(b *harness) time.Duration {
 		registered := b.servers
 		back := b.now + 3500*time.Millisecond
 		b.loseA()
 		b.servers = registered
-		gone := b.now + entryLapse
-		return vacancy(b, func(owner string, held bool) bool {
+		gone := b.now + entryExpiry
+		return timeWithoutOwner(b, func(owner string, held bool) bool {
 			switch {
-			case b.now >= back+entryLapse/3:
+			case b.now >= back+entryExpiry/3:
 				b.servers, b.answer = registered, nil
 			case b.now >= gone:
 				b.servers = registered[1:]
@@ -73,13 +73,13 @@
 }
 
 // lost makes a unresponsive. When its entry expires, the entry goes and proof is called.
-func lost(b *bench, proof func(), always ...func()) time.Duration {
+func lost(b *harness, proof func(), always ...func()) time.Duration {
 	registered := b.servers
 	b.loseA()
-	gone := b.now + entryLapse
+	gone := b.now + entryExpiry
 	unregistered := b.servers
 	b.servers = registered
-	return vacancy(b, func(owner string, held bool) bool {
+	return timeWithoutOwner(b, func(owner string, held bool) bool {
 		for _, do := range always {
 			do()
 		}
@@ -96,8 +96,8 @@
 func TestTimeWithoutAnOwner(t *testing.T) {
 	for _, loss := range losses {
 		var times []time.Duration
-		for phase := time.Duration(0); phase < renewEvery; phase += tick {
-			b := newBench(t, New(twoServers(), 0, 0), 0)
+		for phase := time.Duration(0); phase < renewInterval; phase += tick {
+			b := newHarness(t, New(twoServers(), 0, 0), 0)
 			b.run(10*time.Second + phase)
 			times = append(times, loss.play(b))
 		}
--- a/ratelimit/schedule_test.go
+++ b/ratelimit/schedule_test.go
@@ -22,8 +22,8 @@
 	return ruleOverage*perSecond*ruleWindow.Seconds() + ruleSlack
 }
 
-// most returns the largest number of the sorted times that lie in one window.
-func most(times []time.Duration, window time.Duration) int {
+// maxInWindow returns the largest number of the sorted times that lie in one window.
+func maxInWindow(times []time.Duration, window time.Duration) int {
 	fullest := 0
 	for from, to := 0, 0; to < len(times); to++ {
 		for times[to]-times[from] >= window {
@@ -48,11 +48,11 @@
 			wait, ok := schedule.Reserve(now, perSecond, within)
 			assert.Equal(t, ok, wait <= within)
 			if ok {
-				used = append(used, now+wait+time.Duration(rapid.Int64Range(0, int64(PlaceKept)).Draw(t, "used after")))
+				used = append(used, now+wait+time.Duration(rapid.Int64Range(0, int64(PermitValidity)).Draw(t, "used after")))
 			}
 		}
 		slices.Sort(used)
-		fullest := most(used, ruleWindow)
+		fullest := maxInWindow(used, ruleWindow)
 		assert.Assert(t, float64(fullest) <= Bound(perSecond, ruleWindow), "%d in a window at %v a second", fullest, perSecond)
 		assert.Assert(t, Bound(perSecond, ruleWindow) <= allowed(perSecond))
 	})
@@ -60,7 +60,7 @@
 
 // A process that starts to schedule issues no permit at once. Its predecessor may just have
 // issued one, and control may change hands several times in seconds.
-func TestNewScheduleHasNothingSaved(t *testing.T) {
+func TestNewScheduleHasNoAccumulatedPermits(t *testing.T) {
 	const perSecond = 20.0
 	var schedule Schedule
 	wait, ok := schedule.Reserve(time.Hour, perSecond, 0)
@@ -85,14 +85,14 @@
 // Hosts that can't reach the schedule stay within their share on average, whatever their
 // number. Together with a schedule that issues all permits to others they stay within what
 // servers require.
-func TestTurnsOfAllHosts(t *testing.T) {
+func TestFallbackOfAllHosts(t *testing.T) {
 	for _, hosts := range []int{1, 3, 8, 90, 295, 4000} {
 		for _, perSecond := range []float64{0.3, 2.3, 20} {
 			random := rand.New(rand.NewPCG(uint64(hosts), uint64(perSecond*10)))
-			every := TurnInterval(perSecond, hosts)
-			turns := make([]Turn, hosts)
+			every := FallbackInterval(perSecond, hosts)
+			turns := make([]FallbackLimiter, hosts)
 			for i := range turns {
-				turns[i] = NewTurn(0, every, random.Float64())
+				turns[i] = NewFallbackLimiter(0, every, random.Float64())
 			}
 			const span, step = 120 * time.Second, 20 * time.Millisecond
 			var used []time.Duration
@@ -105,17 +105,17 @@
 					}
 				}
 			}
-			both := float64(most(used, ruleWindow)) + Bound(perSecond, ruleWindow)
+			both := float64(maxInWindow(used, ruleWindow)) + Bound(perSecond, ruleWindow)
 			assert.Assert(t, both <= allowed(perSecond), "%d hosts, %v a second: %v in a window, %v allowed", hosts, perSecond, both, allowed(perSecond))
-			assert.Assert(t, float64(len(used)) <= aloneShare*perSecond*span.Seconds()+float64(min(hosts, 8)), "%d hosts, %v a second: %d used", hosts, perSecond, len(used))
+			assert.Assert(t, float64(len(used)) <= fallbackShare*perSecond*span.Seconds()+float64(min(hosts, 8)), "%d hosts, %v a second: %d used", hosts, perSecond, len(used))
 		}
 	}
 }
 
 // A host that was idle may send one request at most, however long it was idle.
-func TestTurnsAreNotSaved(t *testing.T) {
-	every := TurnInterval(2, 8)
-	turn := NewTurn(0, every, 0.5)
+func TestFallbackPermitsDoNotAccumulate(t *testing.T) {
+	every := FallbackInterval(2, 8)
+	turn := NewFallbackLimiter(0, every, 0.5)
 	now := time.Hour
 	for range 3 * int(every/time.Millisecond) {
 		if turn.Wait(now, every) == 0 {
--- a/revision/revision.go
+++ b/revision/revision.go
@@ -5,13 +5,13 @@
 package revision
 
 // revisionsPerEra bounds the store's revision numbers within an era.
-const perEra = 1_000_000_000_000
+const revisionsPerEra = 1_000_000_000_000
 
 // New returns the Revision for the store's revision number in an era.
-func In(era, number uint64) uint64 { return era*perEra + number }
+func New(era, number uint64) uint64 { return era*revisionsPerEra + number }
 
 // Era returns the era of a Revision.
-func Era(revision uint64) uint64 { return revision / perEra }
+func Era(revision uint64) uint64 { return revision / revisionsPerEra }
 
 // Number returns the store's own revision number of a Revision.
-func Number(revision uint64) uint64 { return revision % perEra }
+func Number(revision uint64) uint64 { return revision % revisionsPerEra }
--- a/tools/mutants/era.go
+++ b/tools/mutants/era.go
@@ -8,7 +8,7 @@
 	host := breaking("gateway", "CameBack|ForgetsIt|ForgetsThem|KeyView")
 	return []mutant{
 		keys("era.go", "trust a record of an earlier era", "return r.Era == 0 || r.Era > era", "return true"),
-		keys("era.go", "know all holders after the store forgot some", "		at.Former = append(at.Former, Holder{Server: unknownServer, Token: r.LastToken})\n", ""),
+		keys("era.go", "know all holders after the store forgot some", "		at.FormerHolders = append(at.FormerHolders, Holder{Server: unknownServer, Token: r.LastToken})\n", ""),
 		keys("era.go", "give out tokens again", "	r.LastToken += tokensPerEra\n", ""),
 		keys("era.go", "begin terms again in another era", "	next.Term += termsPerEra\n", ""),
 		keys("era.go", "take all records of a term for the same", "return r.Writes < other.Writes", "return false"),
@@ -23,7 +23,7 @@
 		entries("evacuation.go", "take back an evacuation that the store forgot", "	if e.forget(now, domain, asOf) {\n", "	if false {\n"),
 		entries("evacuation.go", "keep a forgotten evacuation for good", "known.forgotten && now-known.forgottenAt >= forgottenKept", "false"),
 		host("keyview.go", "take an earlier record for the newest", "if v.forgotten && record.OlderThan(v.record) {", "if false {"),
-		host("era.go", "leave the record to the store that forgot it", "	c.machine.Forgotten(era)\n", ""),
+		host("era.go", "leave the record to the store that forgot it", "	c.machine.RewriteLostRecord(era)\n", ""),
 		breaking("gateway", "RelayTellsNo")("relay.go", "pass differences on across eras", "if revision.Era(after) < revision.Era(known.revision) {", "if false {"),
 		host("follow.go", "list from a host that has not noticed", "revision.Era(listing.Revision) < g.era.Load()", "false"),
 	}
--- a/tools/mutants/scale.go
+++ b/tools/mutants/scale.go
@@ -27,11 +27,11 @@
 		host("control.go", "assign keys to the servers that come first", "	if now-c.countedAt < firstWait && now-c.led < longest {", "	if now-c.countedAt < 0 && now-c.led < longest {"),
 		host("readahead.go", "hold whatever callers do not read", "		case a.held+readAheadChunk <= mostReadAhead && a.quota.take(readAheadChunk):", "		case true:"),
 		host("readahead.go", "keep what a caller that left held", "	a.give(a.held)\n", ""),
-		keys("first.go", "assign keys without authority", " || !m.Authority(now) {", " {"),
+		keys("first.go", "assign keys without authority", " || !m.Authorized(now) {", " {"),
 		keys("first.go", "assign keys that others may hold", "	if restored {", "	if restored && false {"),
-		keys("machine.go", "call all servers at once", "		if m.underWay+len(calls) >= mostCalls {", "		if false {"),
-		keys("machine.go", "call the first servers again and again", "			m.turn = (m.turn + i) % len(ranges)\n", ""),
-		keys("answers.go", "renew all ranges together", "			l.next = began + firstRenewal(server)\n", ""),
-		keys("recordjson.go", "forget who still holds keys", "		r.Ranges[moving.Index].Former, r.Ranges[moving.Index].Answered = moving.Former, moving.Answered\n", "		_ = moving.Former\n"),
+		keys("machine.go", "call all servers at once", "		if m.callsInFlight+len(calls) >= maxCallsInFlight {", "		if false {"),
+		keys("machine.go", "call the first servers again and again", "			m.firstRange = (m.firstRange + i) % len(ranges)\n", ""),
+		keys("answers.go", "renew all ranges together", "			l.nextGrant = began + firstRenewal(server)\n", ""),
+		keys("recordjson.go", "forget who still holds keys", "		r.Ranges[moving.Index].FormerHolders, r.Ranges[moving.Index].GrantsAnswered = moving.FormerHolders, moving.GrantsAnswered\n", "		_ = moving.FormerHolders\n"),
 	}
 }
