--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -11,10 +11,10 @@
 	"cicadarouter/platform/platformtest"
 )
 
-// drain bounds how long a leaving server may still get requests. Once a host has
+// maxDelayAfterLeaving bounds how long a leaving server may still get requests. Once a host has
 // forwarded a response that announces it, requests that callers send later than this must not
 // reach the server.
-const drain = 2 * time.Second
+const maxDelayAfterLeaving = 2 * time.Second
 
 // Guards against hosts that keep sending to a server which announces in its responses that it is
 // leaving while its registry entry can't be written.
@@ -38,10 +38,10 @@
 			for _, id := range play.leaving {
 				s.servers[id].SetLeaving()
 			}
-			sent, served := s.play(limitedLoad{path: play.path, callers: 6, length: drain + 2*time.Second})
+			sent, served := s.play(limitedLoad{path: play.path, callers: 6, length: maxDelayAfterLeaving + 2*time.Second})
 			t.Logf("%d of %d served", served, sent)
 			for _, id := range play.leaving {
-				late := s.servers[id].LateToLeaving(drain)
+				late := s.servers[id].LateToLeaving(maxDelayAfterLeaving)
 				t.Logf("%s announced to %d hosts that it is leaving", id, s.servers[id].ToldLeaving())
 				assert.Equal(t, len(late), 0, "%s got %d, the last %+v", id, len(late), last(late))
 			}
@@ -66,7 +66,7 @@
 	s.play(limitedLoad{path: "/keyed/", callers: 4, length: 2 * time.Second})
 	sent, served := s.play(limitedLoad{path: "/keyed/", callers: 4, length: time.Second})
 	assert.Equal(t, served, sent)
-	assert.Equal(t, len(s.servers["k1"].LateToLeaving(drain)), 0)
+	assert.Equal(t, len(s.servers["k1"].LateToLeaving(maxDelayAfterLeaving)), 0)
 }
 
 // leave makes an owner of keys announce that it is leaving, and lets one host receive that.
--- a/gateway/retries.go
+++ b/gateway/retries.go
@@ -15,8 +15,9 @@
 
 // retryReserve is a host's share of the retries that are allowed beyond the ratio.
 type retryReserve struct {
-	// most is how many retries may accumulate, first how many are available after a start.
-	// All hosts may start within one of the operator's measurement windows and use both.
+	// most is how many retries may accumulate; the other field is how many are available
+	// after a start. All hosts may start within one of the operator's measurement windows and
+	// use both.
 	most, first float64
 }
 
