--- a/gateway/cold_test.go
+++ b/gateway/cold_test.go
@@ -11,8 +11,8 @@
 	"cicadarouter/platform/platformtest"
 )
 
-// Guards against hosts that send a server which has started again under its ID what a warm
-// one bears, as long as the registry can't be read.
+// Guards against hosts that send a restarted server the load of a warm one while the registry
+// can't be read.
 func TestRestartedServerIsColdBeforeTheRegistrySaysSo(t *testing.T) {
 	const perSecond, most = 40, 40*3/2 + 8
 	s := newSite(t)
@@ -28,7 +28,7 @@
 	s.eventually("the hosts are counted", func() bool { return s.countsHosts(3) })
 	began := time.Now()
 	var restarted time.Time
-	s.play(limitedLoad{path: "/free/", callers: 60, length: 4 * time.Second, during: func(ctx context.Context) {
+	s.sendLoad(limitedLoad{path: "/free/", callers: 60, length: 4 * time.Second, during: func(ctx context.Context) {
 		time.Sleep(time.Second)
 		s.store.SetFaults(platformtest.Faults{Refuse: true})
 		process.End()
@@ -42,7 +42,7 @@
 	assert.Assert(t, cold <= most, "%d requests in one second, %d may", cold, most)
 }
 
-// countsHosts reports whether all hosts know how many there are.
+// countsHosts reports whether all hosts know the number of hosts.
 func (s *site) countsHosts(hosts int) bool {
 	for _, h := range s.hosts {
 		if metric(h, "cicada_hosts") != fmt.Sprint(hosts) {
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -11,112 +11,113 @@
 	"cicadarouter/notice"
 )
 
-// mostNoticesTold bounds the notices of one sort in one message between hosts: some 6 KB.
-const mostNoticesTold = 64
-
-// hearing is an answer in which a server may tell something of itself. Every answer of a
-// server, whatever the call, is heard here; a new sort of notice is one more note function.
-type hearing struct {
-	server fleet.Incarnation
-	// call is the kind of call that the server answers; request the id of a caller's request.
-	call    string
-	request string
-	// sent is when the call left.
-	sent time.Duration
-	// ran is set for an answer to a request that the server ran, healthy for that of a
-	// healthy server to a health check: what such an answer leaves out does not hold.
+// maxNoticesPerMessage bounds the notices of one kind in one message between hosts, some 6 KB.
+const maxNoticesPerMessage = 64
+
+// receivedNotices holds the notices in one response of a server. The responses of servers to
+// all kinds of calls are handled here; a new kind of notice needs one more handler.
+type receivedNotices struct {
+	from fleet.Incarnation
+	// call is the kind of call that the server responded to; request is the ID of a caller's
+	// request, if it was one.
+	call      string
+	requestID string
+	// sentAt is when the call left this host.
+	sentAt time.Duration
+	// ran is set for the response to a request that the server ran, healthy for a healthy
+	// server's response to a health check. A notice that such a response omits is no longer
+	// in effect.
 	ran, healthy bool
 	adapter.Notice
 }
 
-// callRequest is the call of a hearing that answers a caller's request, callHealth that of
-// one that answers a health check.
+// Kinds of calls that are not calls about keys.
 const (
 	callRequest = "request"
 	callHealth  = "health"
 )
 
-// hear takes what a server tells of itself.
-func (g *Gateway) hear(h hearing) {
-	g.noteUnreadable(h)
+// handleNotices handles the notices in a server's response.
+func (g *Gateway) handleNotices(h receivedNotices) {
+	g.countUnreadable(h)
 	if len(h.Unreadable) > 0 {
-		h.ran, h.healthy = false, false // what is left out may be what can't be read
+		h.ran, h.healthy = false, false // an omitted notice may be the unreadable one
 	}
-	g.noteLimit(h)
-	g.noteLeaving(h)
-	g.noteRest(h)
+	g.handleLimit(h)
+	g.handleLeaving(h)
+	g.handleBackoff(h)
 }
 
-// checkHealth makes a health check and hears what the server tells of itself.
+// checkHealth makes a health check and handles the notices in the response.
 func (g *Gateway) checkHealth(ctx context.Context, server adapter.Backend) (adapter.Health, error) {
 	sent := g.now()
 	health, err := g.keys.Probe(ctx, server)
-	g.hear(hearing{server: server.Incarnation(), call: callHealth, sent: sent, healthy: health.Healthy, Notice: health.Notice})
+	g.handleNotices(receivedNotices{from: server.Incarnation(), call: callHealth, sentAt: sent, healthy: health.Healthy, Notice: health.Notice})
 	return health, err
 }
 
-// noteUnreadable counts what a server tells and nobody can read. Nothing else shows it.
-func (g *Gateway) noteUnreadable(h hearing) {
+// countUnreadable counts and logs notices that can't be parsed. They have no other effect.
+func (g *Gateway) countUnreadable(h receivedNotices) {
 	for _, err := range h.Unreadable {
 		g.counts.unreadableNotice(err.Field).Inc()
-		if g.loadLines.take() {
-			g.log.Warn("server tells what can't be read; what was known stays", "server", h.server.String(), "call", h.call, "request", h.request, "error", err.Error())
+		if g.loadLines.allow() {
+			g.log.Warn("server sent a notice that can't be parsed; the previous value stays", "server", h.from.String(), "call", h.call, "request", h.requestID, "error", err.Error())
 		}
 	}
 }
 
-// notices is what this host knows of one sort of notice, from servers and from other hosts.
-// It is safe for concurrent use.
-type notices[V comparable] struct {
-	// any is set once a server has told something: nearly never, and answers come by the
-	// thousand.
-	any atomic.Bool
+// noticeLedger holds what this host knows about one kind of notice, from servers and from other
+// hosts. It is safe for concurrent use.
+type noticeLedger[V comparable] struct {
+	// nonEmpty is set while there are notices. Notices are rare and responses come by the thousand,
+	// so this saves locking.
+	nonEmpty atomic.Bool
 
 	mu     sync.Mutex
 	ledger notice.Ledger[V]
 }
 
-// take takes news of a server, and returns what was known before and whether it changed.
-func (n *notices[V]) take(server fleet.Incarnation, news notice.News[V]) (before V, changed bool) {
+// update adds a server's notice, and returns the value before and whether the value changed.
+func (n *noticeLedger[V]) update(server fleet.Incarnation, update notice.News[V]) (previous V, changed bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	before = n.ledger.Value(server)
-	changed = n.ledger.Take(server, news)
-	n.any.Store(!n.ledger.Empty())
-	return before, changed
+	previous = n.ledger.Value(server)
+	changed = n.ledger.Take(server, update)
+	n.nonEmpty.Store(!n.ledger.Empty())
+	return previous, changed
 }
 
-// of returns what is known of a server, and whether it has ever told anything.
-func (n *notices[V]) of(server fleet.Incarnation) (notice.News[V], bool) {
+// latest returns the last notice by a server, and whether there is one.
+func (n *noticeLedger[V]) latest(server fleet.Incarnation) (notice.News[V], bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.ledger.Known(server)
 }
 
-// inForce returns what holds, by server.
-func (n *notices[V]) inForce() map[fleet.Incarnation]V {
+// values returns the values in effect, by server.
+func (n *noticeLedger[V]) values() map[fleet.Incarnation]V {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.ledger.Values()
 }
 
-// count returns of how many servers something holds.
-func (n *notices[V]) count() float64 { return float64(len(n.inForce())) }
+// count returns the number of servers with a value in effect.
+func (n *noticeLedger[V]) count() float64 { return float64(len(n.values())) }
 
-// value returns what a server tells; zero if nothing.
-func (n *notices[V]) value(server fleet.Incarnation) V {
-	if !n.any.Load() {
-		var nothing V
-		return nothing
+// value returns the value in effect for a server, or zero.
+func (n *noticeLedger[V]) value(server fleet.Incarnation) V {
+	if !n.nonEmpty.Load() {
+		var zero V
+		return zero
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.ledger.Value(server)
 }
 
-// changes counts the changes.
-func (n *notices[V]) changes() uint64 {
-	if !n.any.Load() {
+// changeCount returns how often a value has changed so far.
+func (n *noticeLedger[V]) changeCount() uint64 {
+	if !n.nonEmpty.Load() {
 		return 0
 	}
 	n.mu.Lock()
@@ -124,19 +125,20 @@
 	return n.ledger.Changes()
 }
 
-// tell returns what has changed since a change, and up to which one that is.
-func (n *notices[V]) tell(now time.Duration, since uint64) ([]notice.Told[V], uint64) {
-	if !n.any.Load() {
+// changesSince returns the oldest values that changed after the change numbered since, as many as fit
+// into a message, and the number of the last change that they cover.
+func (n *noticeLedger[V]) changesSince(now time.Duration, since uint64) ([]notice.Told[V], uint64) {
+	if !n.nonEmpty.Load() {
 		return nil, 0
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.ledger.Tell(now, since, mostNoticesTold)
+	return n.ledger.Tell(now, since, maxNoticesPerMessage)
 }
 
-// retain forgets servers that have been gone for long.
-func (n *notices[V]) retain(now time.Duration, present func(fleet.Incarnation) bool) {
-	if !n.any.Load() {
+// removeStale drops the notices of servers that have been absent for long.
+func (n *noticeLedger[V]) removeStale(now time.Duration, present func(fleet.Incarnation) bool) {
+	if !n.nonEmpty.Load() {
 		return
 	}
 	n.mu.Lock()
--- a/gateway/places.go
+++ b/gateway/places.go
@@ -12,42 +12,49 @@
 	"cicadarouter/ratelimit"
 )
 
+// A server may announce a rate limit that holds for all hosts together. One process, the
+// scheduler, keeps the schedule of every such server; the other hosts ask it for reservations.
+// A reservation allows one request to be sent to the server from a given time on, for a short while.
+
 const (
-	// placesTimeout bounds the question for places: requests wait for the answer.
-	placesTimeout = 200 * time.Millisecond
-	// mostPlaces bounds the places given with one answer.
-	mostPlaces = 64
+	// reservationTimeout bounds a call for reservations, because requests wait for it.
+	reservationTimeout = 200 * time.Millisecond
+	// maxReservationsPerResponse bounds the reservations granted in one response.
+	maxReservationsPerResponse = 64
 )
 
-// Errors of questions for places.
+// Errors of calls for reservations.
 var (
-	errNoScheduler = errors.New("no host is known to schedule places")
-	errControlBusy = errors.New("too many answers wait for the control loop")
+	errNoScheduler      = errors.New("no host is known that schedules reservations")
+	errControlQueueFull = errors.New("too many events are queued for the control loop")
 )
 
-// placesRequest asks the host that schedules places for some at a server.
-type placesRequest struct {
-	// Server is what the asking host knows of the server's limit.
-	Server limitTold `json:"server"`
-	Places int       `json:"places"`
+// reservationRequest asks the scheduler for reservations at a server.
+type reservationRequest struct {
+	// Limit is the server's rate limit as the asking host knows it.
+	Limit limitNotice `json:"server"`
+	// Count is how many reservations are wanted.
+	Count int `json:"places"`
 	// WithinMicros is how soon they must be due, in microseconds.
 	WithinMicros int64 `json:"withinMicros"`
 }
 
-// placesAnswer gives places out.
-type placesAnswer struct {
-	// Schedules is set if the process schedules places.
-	Schedules bool `json:"schedules"`
-	// Server is what the process knows of the server's limit.
-	Server limitTold `json:"server"`
-	// WaitsMicros are how long it is until each place is due, in microseconds.
+// reservationReply is the scheduler's response.
+type reservationReply struct {
+	// IsScheduler is set if the process is the scheduler.
+	IsScheduler bool `json:"schedules"`
+	// Limit is the server's rate limit as the scheduler knows it.
+	Limit limitNotice `json:"server"`
+	// WaitsMicros is the time until each reservation is due, in microseconds.
 	WaitsMicros []int64 `json:"waitsMicros,omitempty"`
-	// FullMicros is how long it is until the first one that was not given; 0 if all were.
-	FullMicros int64 `json:"fullMicros,omitempty"`
+	// RefusedWaitMicros is the time until the first reservation that was not granted, in
+	// microseconds; 0 if the schedule had room for all.
+	RefusedWaitMicros int64 `json:"fullMicros,omitempty"`
 }
 
-// scheduler returns the process that schedules the places of all limited servers: the
-// controller of firstController. That one is named in the store, so there is one at a time. ok is false while none is known.
+// scheduler returns the process that schedules the reservations of all rate-limited servers: the
+// controller that also coordinates the hosts. The store names that controller, so there is only
+// one at a time. ok is false while none is known.
 func (g *Gateway) scheduler() (scheduler keyspace.Controller, ok bool) {
 	s := g.firstController()
 	if s == nil {
@@ -60,98 +67,98 @@
 	return record.Controller, true
 }
 
-// reservePlaces asks for places at a service's servers, and hands the service what became
-// of it.
-func (g *Gateway) reservePlaces(s *service, wishes []balance.ReservationRequest) {
+// requestReservations requests reservations for a service in the background and gives the service the
+// results.
+func (g *Gateway) requestReservations(s *service, wishes []balance.ReservationRequest) {
 	for _, wish := range wishes {
 		go func() {
-			got := g.reserve(wish)
-			s.reserved(wish.Server, got)
+			result := g.requestReservation(wish)
+			s.applyReservation(wish.Server, result)
 		}()
 	}
 }
 
-// reserve asks the scheduler for places at a server.
-func (g *Gateway) reserve(wish balance.ReservationRequest) balance.Reservation {
-	asked := g.now()
-	news, _ := g.limits.of(wish.Server)
-	request := placesRequest{Server: limitToldOf(notice.TellOf(asked, wish.Server, news)), Places: wish.Permits, WithinMicros: wish.Within.Microseconds()}
-	answer, err := g.askPlaces(&request)
-	if err != nil || !answer.Schedules {
-		if g.failureLines.take() {
-			g.log.Info("no places given: the host keeps to its own part", "server", wish.Server.String(), "places", wish.Permits, "error", errorText(err))
+// requestReservation asks the scheduler for reservations at a server.
+func (g *Gateway) requestReservation(wish balance.ReservationRequest) balance.Reservation {
+	askedAt := g.now()
+	limit, _ := g.limits.latest(wish.Server)
+	request := reservationRequest{Limit: newLimitNotice(notice.TellOf(askedAt, wish.Server, limit)), Count: wish.Permits, WithinMicros: wish.Within.Microseconds()}
+	answer, err := g.callScheduler(&request)
+	if err != nil || !answer.IsScheduler {
+		if g.failureLines.allow() {
+			g.log.Info("no reservations granted; the host keeps to its own share of the rate limit", "server", wish.Server.String(), "places", wish.Permits, "error", errorText(err))
 		}
 		return balance.Reservation{}
 	}
-	g.hearLimits([]limitTold{answer.Server}, "scheduler")
-	got := balance.Reservation{Reached: true, RequestedAt: asked, RefusedWait: time.Duration(answer.FullMicros) * time.Microsecond}
+	g.applyLimitNotices([]limitNotice{answer.Limit}, "scheduler")
+	result := balance.Reservation{Reached: true, RequestedAt: askedAt, RefusedWait: time.Duration(answer.RefusedWaitMicros) * time.Microsecond}
 	for _, wait := range answer.WaitsMicros {
-		got.Waits = append(got.Waits, time.Duration(wait)*time.Microsecond)
+		result.Waits = append(result.Waits, time.Duration(wait)*time.Microsecond)
 	}
-	if g.loadLines.take() {
-		g.log.Debug("places reserved", "server", wish.Server.String(), "asked", wish.Permits, "given", len(got.Waits),
-			"within-ms", wish.Within.Milliseconds(), "full-ms", got.RefusedWait.Milliseconds(), "answered-ms", (g.now() - asked).Milliseconds())
+	if g.loadLines.allow() {
+		g.log.Debug("reservations granted", "server", wish.Server.String(), "asked", wish.Permits, "given", len(result.Waits),
+			"within-ms", wish.Within.Milliseconds(), "full-ms", result.RefusedWait.Milliseconds(), "answered-ms", (g.now() - askedAt).Milliseconds())
 	}
-	return got
+	return result
 }
 
-// askPlaces asks the scheduler, which may be this process.
-func (g *Gateway) askPlaces(request *placesRequest) (placesAnswer, error) {
+// callScheduler calls the scheduler, which may be this process.
+func (g *Gateway) callScheduler(request *reservationRequest) (reservationReply, error) {
 	scheduler, known := g.scheduler()
 	if !known {
-		return placesAnswer{}, errNoScheduler
+		return reservationReply{}, errNoScheduler
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), placesTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), reservationTimeout)
 	defer cancel()
 	if scheduler.Incarnation == g.identity.Incarnation {
-		return g.askOwnPlaces(ctx, request)
+		return g.callOwnScheduler(ctx, request)
 	}
-	var answer placesAnswer
-	err := g.askPeer(ctx, placesTimeout, scheduler.Address, pathPlaces, request, &answer)
+	var answer reservationReply
+	err := g.askPeer(ctx, reservationTimeout, scheduler.Address, pathPlaces, request, &answer)
 	return answer, err
 }
 
-// askOwnPlaces asks this process's control loop.
-func (g *Gateway) askOwnPlaces(ctx context.Context, request *placesRequest) (placesAnswer, error) {
+// callOwnScheduler lets this process's control loop handle the call.
+func (g *Gateway) callOwnScheduler(ctx context.Context, request *reservationRequest) (reservationReply, error) {
 	call := &peerCall{places: request, answer: make(chan any, 1)}
 	if !g.control.events.Offer(call) {
-		g.counts.crowdedOut.Inc()
-		return placesAnswer{}, errControlBusy
+		g.counts.hostCallsRejected.Inc()
+		return reservationReply{}, errControlQueueFull
 	}
 	select {
 	case answer := <-call.answer:
-		return answer.(placesAnswer), nil
+		return answer.(reservationReply), nil
 	case <-ctx.Done():
-		return placesAnswer{}, ctx.Err()
+		return reservationReply{}, ctx.Err()
 	}
 }
 
-// givePlaces answers a question for places. Only a controller that the store has confirmed,
-// and whose predecessors have stopped, gives any: two that schedule at the same time would
-// give out a limit twice.
-func (g *Gateway) givePlaces(request *placesRequest, now time.Duration) placesAnswer {
-	g.hearLimits([]limitTold{request.Server}, "host")
-	c := g.scheduling(now)
+// grantReservations handles a call for reservations. Only a controller that the store has
+// confirmed and whose predecessors have stopped grants any: two that schedule at the same time
+// would grant a server's limit twice.
+func (g *Gateway) grantReservations(request *reservationRequest, now time.Duration) reservationReply {
+	g.applyLimitNotices([]limitNotice{request.Limit}, "host")
+	c := g.schedulingController(now)
 	if c == nil {
-		return placesAnswer{}
+		return reservationReply{}
 	}
-	server := request.Server.Server
-	news, known := g.limits.of(server)
+	server := request.Limit.Server
+	limit, known := g.limits.latest(server)
 	if !known {
-		return placesAnswer{}
+		return reservationReply{}
 	}
-	answer := placesAnswer{Schedules: true, Server: limitToldOf(notice.TellOf(g.now(), server, news))}
-	if news.Value <= 0 {
-		// Its next answer tells the host what holds.
-		answer.WaitsMicros = make([]int64, min(request.Places, mostPlaces))
+	answer := reservationReply{IsScheduler: true, Limit: newLimitNotice(notice.TellOf(g.now(), server, limit))}
+	if limit.Value <= 0 {
+		// The server has no limit any more; the response tells the asking host.
+		answer.WaitsMicros = make([]int64, min(request.Count, maxReservationsPerResponse))
 		return answer
 	}
 	within := time.Duration(request.WithinMicros) * time.Microsecond
 	schedule := c.scheduleOf(server)
-	for range min(request.Places, mostPlaces) {
-		wait, ok := schedule.Reserve(now, news.Value, within)
+	for range min(request.Count, maxReservationsPerResponse) {
+		wait, ok := schedule.Reserve(now, limit.Value, within)
 		if !ok {
-			answer.FullMicros = max(wait.Microseconds(), 1)
+			answer.RefusedWaitMicros = max(wait.Microseconds(), 1)
 			break
 		}
 		answer.WaitsMicros = append(answer.WaitsMicros, wait.Microseconds())
@@ -159,8 +166,9 @@
 	return answer
 }
 
-// scheduling returns the controller as which this process schedules places, or nil.
-func (g *Gateway) scheduling(now time.Duration) *controller {
+// schedulingController returns the controller by which this process is the scheduler, or nil if
+// it is not.
+func (g *Gateway) schedulingController(now time.Duration) *controller {
 	s := g.firstController()
 	if s == nil {
 		return nil
@@ -172,16 +180,17 @@
 	return c
 }
 
-// mostSchedules bounds the schedules that a controller keeps. Those of servers that are gone
-// are dropped when it is reached.
-const mostSchedules = 1024
+// maxSchedules bounds the schedules that a controller keeps. When it is reached all are dropped,
+// so that those of removed servers do not accumulate.
+const maxSchedules = 1024
 
+// scheduleOf returns the schedule of a server, which it creates if there is none.
 func (c *controller) scheduleOf(server fleet.Incarnation) *ratelimit.Schedule {
 	schedule := c.schedules[server]
 	if schedule != nil {
 		return schedule
 	}
-	if c.schedules == nil || len(c.schedules) >= mostSchedules {
+	if c.schedules == nil || len(c.schedules) >= maxSchedules {
 		c.schedules = map[fleet.Incarnation]*ratelimit.Schedule{}
 	}
 	schedule = &ratelimit.Schedule{}
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -12,45 +12,46 @@
 	"cicadarouter/link/backendlink"
 )
 
-// Limits of a service's connections and retries.
+// Limits of a service's connections and dispatching.
 const (
-	// mostIdle bounds the idle connections to one server from this host. The
-	// servers' caps are shared by all hosts.
-	mostIdle = 8
-	// mostAnswer bounds answers that are read whole by backendlink's callers;
-	// the gateway streams longer ones.
-	mostAnswer = 1 << 20
-	// pumpEvery is how often waiting requests are looked at when nothing else
-	// happens: estimates of load decay in hundreds of milliseconds.
-	pumpEvery = 20 * time.Millisecond
+	// maxIdleConnsPerServer bounds this host's idle connections to one server. A server's
+	// connection limit is shared by all hosts.
+	maxIdleConnsPerServer = 8
+	// maxWholeResponseBytes bounds the responses that callers of backendlink read whole, in
+	// bytes; the gateway streams longer ones.
+	maxWholeResponseBytes = 1 << 20
+	// dispatchInterval is how often waiting requests are reconsidered when no event causes
+	// it. Load estimates decay within hundreds of milliseconds.
+	dispatchInterval = 20 * time.Millisecond
 )
 
-// service is a service's servers, waiting requests and connections on this host.
+// service holds this host's state of one service: its servers, waiting requests and
+// connections.
 type service struct {
 	name string
 	now  func() time.Duration
-	view *keyView // nil for a service without keys
-
-	mu     sync.Mutex
-	pool   *balance.Pool
-	links  map[string]*serverLink // by the server's ID, of those that have been used
-	budget *dispatch.Budget
-	// reserveShared is set once the host has its part of the reserve of a start.
-	reserveShared bool
-	asked         map[uint16]time.Duration                   // slot time by key, since the last report
-	paces         map[fleet.Incarnation]balance.ServiceTimes // since the last report
-	pumping       bool
-
-	// reserve asks for places at servers that name limits. It does not block.
-	reserve func(s *service, wishes []balance.ReservationRequest)
+	view *keyView // nil for a service that is not sharded by key
+
+	mu          sync.Mutex
+	pool        *balance.Pool
+	conns       map[string]*serverConns // by server ID; only servers that have been used
+	retryBudget *dispatch.Budget
+	// retryReserveSet is set once the host has its share of the initial retry reserve.
+	retryReserveSet   bool
+	keyDemand         map[uint16]time.Duration                   // requested slot time by key, since the last report
+	paces             map[fleet.Incarnation]balance.ServiceTimes // since the last report
+	dispatchScheduled bool
+
+	// requestReservations requests reservations at rate-limited servers. It does not block.
+	requestReservations func(s *service, wishes []balance.ReservationRequest)
 }
 
 func newService(name string, identity Identity, keyed bool, now func() time.Duration) *service {
-	share := retryPart * cmp.Or(identity.RetryRatio, defaultRetryRatio)
-	s := &service{name: name, now: now, links: map[string]*serverLink{},
-		budget: dispatch.NewBudget(share, 0), asked: map[uint16]time.Duration{}, paces: map[fleet.Incarnation]balance.ServiceTimes{}}
-	reserve := reserveOf(identity.RetryReserve, 0)
-	s.budget.SetReserve(reserve.most, reserve.first)
+	retryRatio := usedRetryFraction * cmp.Or(identity.RetryRatio, defaultRetryRatio)
+	s := &service{name: name, now: now, conns: map[string]*serverConns{},
+		retryBudget: dispatch.NewBudget(retryRatio, 0), keyDemand: map[uint16]time.Duration{}, paces: map[fleet.Incarnation]balance.ServiceTimes{}}
+	reserve := retryReserveFor(identity.RetryReserve, 0)
+	s.retryBudget.SetReserve(reserve.capacity, reserve.initial)
 	var owner balance.Owner
 	if keyed {
 		s.view = newKeyView(now)
@@ -63,64 +64,66 @@
 	return s
 }
 
-// setCold sets what a cold server bears, and by how many hosts that is shared.
-func (s *service) setCold(perSecond float64, hosts int) {
+// setColdStartLimit sets the rate of requests that a cold server can take, and the number of
+// hosts that share it.
+func (s *service) setColdStartLimit(perSecond float64, hosts int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pool.SetColdStartLimit(perSecond, hosts)
 }
 
-// doubt takes that a server's process may have started again, and reports whether it is to be
-// asked if it is cold.
-func (s *service) doubt(server *balance.Server) bool {
+// suspectRestart records that a server's process may have restarted, and reports whether to ask the
+// server if it is cold.
+func (s *service) suspectRestart(server *balance.Server) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.pool.SuspectRestart(s.now(), server.Incarnation())
 }
 
-// toldCold takes that a server said for how long it is still cold.
-func (s *service) toldCold(server *balance.Server, coldFor time.Duration) {
+// setColdFor records how much longer a server says it is cold.
+func (s *service) setColdFor(server *balance.Server, coldFor time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pool.SetColdFor(s.now(), server.Incarnation(), coldFor)
 }
 
-// setLimits takes the limits that servers name, and how many hosts there are.
-func (s *service) setLimits(limits map[fleet.Incarnation]float64, hosts int) {
+// setRateLimits sets the rate limits that servers have announced, in requests a second, and the
+// number of hosts that share them.
+func (s *service) setRateLimits(limits map[fleet.Incarnation]float64, hosts int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pool.SetLimits(s.now(), limits, hosts)
-	s.wish()
+	s.reserveForWaiting()
 }
 
-// wish has places reserved for waiting requests. s.mu is held.
-func (s *service) wish() {
+// reserveForWaiting requests the reservations that waiting requests need. s.mu must be held.
+func (s *service) reserveForWaiting() {
 	if wishes := s.pool.ReservationRequests(s.now()); len(wishes) > 0 {
-		s.reserve(s, wishes)
+		s.requestReservations(s, wishes)
 	}
 }
 
-// reserved takes what became of a wish.
-func (s *service) reserved(server fleet.Incarnation, got balance.Reservation) {
+// applyReservation applies the result of a reservation request.
+func (s *service) applyReservation(server fleet.Incarnation, result balance.Reservation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pool.ApplyReservation(s.now(), server, got)
-	s.wish()
-	s.armPump()
+	s.pool.ApplyReservation(s.now(), server, result)
+	s.reserveForWaiting()
+	s.scheduleDispatch()
 }
 
-// changeServers takes servers of the service that have changed, and the IDs of those that are
-// not its servers any more. Connections to the latter are closed.
-func (s *service) changeServers(changed []fleet.Server, gone []string) {
+// updateServers updates the service's servers that have changed and removes those whose IDs are
+// in gone. It closes the connections to removed servers and to servers that were replaced.
+func (s *service) updateServers(changed []fleet.Server, gone []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, id := range gone {
-		s.unlink(id)
+		s.closeConns(id)
 	}
 	for i := range changed {
 		server := &changed[i]
-		if linked := s.links[server.ID]; linked != nil && !linked.leadsTo(server) {
-			s.unlink(server.ID)
+		if link := s.conns[server.ID]; link != nil && !link.matches(server) {
+			s.closeConns(server.ID)
 		}
 	}
 	if s.view != nil {
@@ -129,85 +132,85 @@
 	s.pool.UpdateServers(s.now(), changed, gone)
 }
 
-// serverLink holds the connections to one incarnation of a server.
-type serverLink struct {
+// serverConns holds the connections to one incarnation of a server.
+type serverConns struct {
 	incarnation fleet.Incarnation
 	pool        *backendlink.Pool
 }
 
-func (l *serverLink) leadsTo(server *fleet.Server) bool {
+// matches reports whether the connections are to this incarnation and address.
+func (l *serverConns) matches(server *fleet.Server) bool {
 	return l.incarnation == server.Incarnation() && l.pool.Address() == server.Address
 }
 
-// link returns the connections to a server, nil if the server is not the one listed. A host
-// has connections to few of the servers, so they are made when they are first used. s.mu is
-// held.
-func (s *service) link(server *balance.Server) *backendlink.Pool {
+// connPool returns the connection pool of a server, or nil if the server has been removed or
+// replaced. A host uses few of the servers, so pools are created on first use. s.mu must be held.
+func (s *service) connPool(server *balance.Server) *backendlink.Pool {
 	if !s.pool.Contains(server) {
 		return nil
 	}
-	linked := s.links[server.ID]
-	if linked == nil {
-		linked = &serverLink{incarnation: server.Incarnation(), pool: backendlink.NewPool(server.Address, mostIdle, mostAnswer)}
-		s.links[server.ID] = linked
+	link := s.conns[server.ID]
+	if link == nil {
+		link = &serverConns{incarnation: server.Incarnation(), pool: backendlink.NewPool(server.Address, maxIdleConnsPerServer, maxWholeResponseBytes)}
+		s.conns[server.ID] = link
 	}
-	return linked.pool
+	return link.pool
 }
 
-// unlink closes the connections to a server. s.mu is held.
-func (s *service) unlink(id string) {
-	if linked := s.links[id]; linked != nil {
-		linked.pool.Close()
-		delete(s.links, id)
+// closeConns closes the connections to a server. s.mu must be held.
+func (s *service) closeConns(id string) {
+	if link := s.conns[id]; link != nil {
+		link.pool.Close()
+		delete(s.conns, id)
 	}
 }
 
-// first notes a request's first attempt. What is asked of a key counts whether
-// or not its owner has room: an owner that turns most of it away is no less
-// overloaded.
-func (s *service) first(key *uint16) {
+// recordRequest counts a request before any attempt. A key's demand counts whether or not its
+// owner has capacity: an owner that rejects most requests is still overloaded.
+func (s *service) recordRequest(key *uint16) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget.First()
+	s.retryBudget.First()
 	if key != nil {
-		s.asked[*key] += s.pool.MeanServiceTime()
+		s.keyDemand[*key] += s.pool.MeanServiceTime()
 	}
 }
 
-// shareReserve takes this host's part of the requests that may be sent once more beyond the
-// ratio.
-func (s *service) shareReserve(reserve retryReserve) {
+// setRetryReserve sets this host's share of the retries that are allowed beyond the retry ratio.
+// The initial retries are added only once.
+func (s *service) setRetryReserve(reserve retryReserve) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	added := reserve.first
-	if s.reserveShared {
+	added := reserve.initial
+	if s.retryReserveSet {
 		added = 0
 	}
-	s.reserveShared = true
-	s.budget.SetReserve(reserve.most, added)
+	s.retryReserveSet = true
+	s.retryBudget.SetReserve(reserve.capacity, added)
 }
 
-// mayRetry takes the right to send a request once more.
-func (s *service) mayRetry() bool {
+// takeRetry takes one retry from the budget and reports whether there was one.
+func (s *service) takeRetry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budget.Retry()
+	return s.retryBudget.Retry()
 }
 
-// acquire waits for a server. Errors: *balance.RejectedError, or the context's.
-func (s *service) acquire(ctx context.Context, waiter *balance.Waiter) (*balance.Server, *backendlink.Pool, error) {
+// acquireServer waits for a server and occupies one of its slots. The error is a
+// *balance.RejectedError or the context's error.
+func (s *service) acquireServer(ctx context.Context, waiter *balance.Waiter) (*balance.Server, *backendlink.Pool, error) {
 	s.mu.Lock()
 	s.pool.Enqueue(s.now(), waiter)
-	s.wish()
-	s.armPump()
+	s.reserveForWaiting()
+	s.scheduleDispatch()
 	s.mu.Unlock()
 	select {
 	case <-waiter.Ready:
 	case <-ctx.Done():
 		s.mu.Lock()
-		given := s.pool.Cancel(waiter)
-		if given != nil {
-			s.pool.Done(s.now(), given, balance.AttemptResult{Outcome: balance.Abandoned})
+		assigned := s.pool.Cancel(waiter)
+		if assigned != nil {
+			s.pool.Done(s.now(), assigned, balance.AttemptResult{Outcome: balance.Abandoned})
 		}
 		s.mu.Unlock()
 		return nil, nil, ctx.Err()
@@ -217,60 +220,60 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	link := s.link(waiter.Server)
+	link := s.connPool(waiter.Server)
 	if link == nil {
 		s.pool.Done(s.now(), waiter.Server, balance.AttemptResult{Outcome: balance.Abandoned})
-		return nil, nil, &balance.RejectedError{Reason: balance.NoServer, RetryAfter: retryAfterUnknown}
+		return nil, nil, &balance.RejectedError{Reason: balance.NoServer, RetryAfter: defaultRetryAfter}
 	}
 	return waiter.Server, link, nil
 }
 
-// expectedToEnd reports whether a server that did not answer may have ended as planned,
-// which is no request's doing: it leaves, or it broke off and its entry was gone before
-// that, as that of a server is which leaves without saying so.
-func (s *service) expectedToEnd(server *balance.Server, brokeOff bool) bool {
+// mayHaveEndedAsPlanned reports whether a server that did not respond may have ended as planned, for
+// which no request is to blame. That is so if the server is leaving, or if the connection broke
+// after its registry entry was removed, as happens when a server leaves without announcing it.
+func (s *service) mayHaveEndedAsPlanned(server *balance.Server, brokeOff bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return server.Leaving() || brokeOff && !s.pool.Contains(server)
 }
 
-// done gives a server back.
-func (s *service) done(server *balance.Server, end balance.AttemptResult) {
+// releaseServer releases the slot that a request occupied at a server.
+func (s *service) releaseServer(server *balance.Server, end balance.AttemptResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	pace := s.pool.Done(s.now(), server, end)
 	if s.view != nil && pace.Count > 0 {
 		s.paces[server.Incarnation()] = s.paces[server.Incarnation()].Merge(pace)
 	}
-	s.wish()
-	s.armPump()
+	s.reserveForWaiting()
+	s.scheduleDispatch()
 }
 
-// armPump sees to it that waiting requests are looked at again. s.mu is held.
-func (s *service) armPump() {
-	if s.pumping || s.pool.Waiting() == 0 {
+// scheduleDispatch schedules the next check of waiting requests if there are any. s.mu must be held.
+func (s *service) scheduleDispatch() {
+	if s.dispatchScheduled || s.pool.Waiting() == 0 {
 		return
 	}
-	s.pumping = true
-	time.AfterFunc(pumpEvery, func() {
+	s.dispatchScheduled = true
+	time.AfterFunc(dispatchInterval, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.pumping = false
+		s.dispatchScheduled = false
 		s.pool.Dispatch(s.now())
-		s.wish()
-		s.armPump()
+		s.reserveForWaiting()
+		s.scheduleDispatch()
 	})
 }
 
-// pump looks at waiting requests after the owners of keys have changed.
-func (s *service) pump() {
+// dispatchWaiting dispatches waiting requests after the owners of keys have changed.
+func (s *service) dispatchWaiting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pool.Dispatch(s.now())
-	s.wish()
+	s.reserveForWaiting()
 }
 
-// inFlight returns the requests that hold a place at one of the servers.
+// inFlight returns the number of requests that occupy a slot at one of the servers.
 func (s *service) inFlight() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -281,26 +284,26 @@
 	return total
 }
 
-// keyLoad is what a host tells the controller of a service's keys.
+// keyLoad is the load that a host reports to the controller of a service's keys.
 type keyLoad struct {
-	// asked is the slot time that was asked for, by key.
-	asked map[uint16]time.Duration
-	// work is how long one request holds a slot.
-	work  time.Duration
-	paces map[fleet.Incarnation]balance.ServiceTimes
+	// demand is the slot time that requests need, by key.
+	demand map[uint16]time.Duration
+	// meanSlotTime is the mean time for which one request occupies a slot.
+	meanSlotTime time.Duration
+	paces        map[fleet.Incarnation]balance.ServiceTimes
 }
 
 // takeLoad returns the load since the last call.
 func (s *service) takeLoad() keyLoad {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	taken := keyLoad{asked: s.asked, work: s.pool.MeanServiceTime(), paces: s.paces}
-	s.asked, s.paces = map[uint16]time.Duration{}, map[fleet.Incarnation]balance.ServiceTimes{}
-	return taken
+	load := keyLoad{demand: s.keyDemand, meanSlotTime: s.pool.MeanServiceTime(), paces: s.paces}
+	s.keyDemand, s.paces = map[uint16]time.Duration{}, map[fleet.Incarnation]balance.ServiceTimes{}
+	return load
 }
 
-// learn takes what another host has measured of the servers' speed.
-func (s *service) learn(paces map[fleet.Incarnation]balance.ServiceTimes) {
+// mergePaces merges another host's measurements of the servers' speed.
+func (s *service) mergePaces(paces map[fleet.Incarnation]balance.ServiceTimes) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for incarnation, pace := range paces {
@@ -308,19 +311,20 @@
 	}
 }
 
-// setShares takes the parts of what is asked of keys that their owners can take on.
-func (s *service) setShares(parts map[uint16]float64) {
+// setKeyShares sets, for overloaded keys, the share of requests that their owners can take.
+func (s *service) setKeyShares(shares map[uint16]float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pool.SetKeyShares(s.now(), parts)
+	s.pool.SetKeyShares(s.now(), shares)
 }
 
-// serverState is what the controller of a service's keys needs of its servers.
+// serverState is what the controller of a service's keys needs to know of a server.
 type serverState struct {
 	fleet.Server
 	Speed float64
-	// LongRest is set if the server has asked this host for a long rest.
-	LongRest bool
+	// LongBackoff is set if the server has asked this host for a backoff that is long enough
+	// to move its keys.
+	LongBackoff bool
 }
 
 func (s *service) serverStates() []serverState {
@@ -328,7 +332,7 @@
 	defer s.mu.Unlock()
 	var states []serverState
 	for _, server := range s.pool.Servers() {
-		states = append(states, serverState{Server: server.Server, Speed: s.pool.Speed(s.now(), server), LongRest: server.BackoffLeft(s.now()) >= longRest})
+		states = append(states, serverState{Server: server.Server, Speed: s.pool.Speed(s.now(), server), LongBackoff: server.BackoffLeft(s.now()) >= minBackoffToMoveKeys})
 	}
 	return states
 }
--- a/tools/mutants/limits.go
+++ b/tools/mutants/limits.go
@@ -33,6 +33,6 @@
 		host("limits.go", "do not apply limits", "	g.applyLimits()\n	g.nudge()", "	g.nudge()"),
 		host("places.go", "schedule while a predecessor may schedule", " || len(c.machine.UnfencedPredecessors(now)) > 0", ""),
 		host("coordination.go", "run no controller without keyed services", "if len(g.keyedServices()) == 0 {", "if false {"),
-		host("cold.go", "do not suspect a server that closed a connection", "if ctx.Err() != nil || !req.service.doubt(server) {", "if true {"),
+		host("cold.go", "do not suspect a server that closed a connection", "if ctx.Err() != nil || !req.service.suspectRestart(server) {", "if true {"),
 	}
 }
