--- a/gateway/control.go
+++ b/gateway/control.go
@@ -132,7 +132,7 @@
 // stepLeast apart, since each step looks at all ranges and hundreds of events may arrive per
 // second.
 func (g *Gateway) runControl(ctx context.Context) {
-	stepped, least := g.boot.Now(), stepLeast
+	lastStep, minPause := g.boot.Now(), stepLeast
 	for ctx.Err() == nil {
 		pause := idleEvery
 		if g.controls() {
@@ -148,13 +148,13 @@
 		}
 		timer.Stop()
 		g.drainEvents()
-		if early := least - (g.boot.Now() - stepped); early > 0 {
+		if early := minPause - (g.boot.Now() - lastStep); early > 0 {
 			clock.Sleep(ctx, early)
 			g.drainEvents()
 		}
-		stepped = g.boot.Now()
+		lastStep = g.boot.Now()
 		g.stepControl(ctx)
-		least = max(stepLeast, stepRest*(g.boot.Now()-stepped))
+		minPause = max(stepLeast, stepRest*(g.boot.Now()-lastStep))
 	}
 }
 
@@ -343,11 +343,11 @@
 	if len(servers) != c.firstCount {
 		c.firstCount, c.countedAt = len(servers), now
 	}
-	longest := firstWaitMost
+	maxWait := firstWaitMost
 	if c.machine.Loads().Any() {
-		longest = firstWaitAsked
+		maxWait = firstWaitAsked
 	}
-	if now-c.countedAt < firstWait && now-c.led < longest {
+	if now-c.countedAt < firstWait && now-c.led < maxWait {
 		return
 	}
 	eligible := slices.DeleteFunc(slices.Clone(servers), func(server keyspace.Server) bool { return server.Leaving })
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -83,11 +83,11 @@
 // took records that the controller's answer to a report was processed, which advanced this
 // host's ledger from change before to change after. Changes that came from the controller need
 // not be reported back to it at once.
-func (e *exchange) took(before, after, told, heard uint64) {
+func (e *exchange) took(before, after, acknowledged, received uint64) {
 	if before == e.sent {
 		e.sent = after
 	}
-	e.told, e.heard = told, heard
+	e.told, e.heard = acknowledged, received
 }
 
 // peerNews is the state of all exchanges between a host and the controller of a service: of
@@ -132,22 +132,22 @@
 
 // casesFor returns the cases for a host that has received this ledger up to a change, and the
 // last change that they cover.
-func (g *Gateway) casesFor(heard uint64) ([]poison.Case, uint64) {
+func (g *Gateway) casesFor(received uint64) ([]poison.Case, uint64) {
 	g.ends.mu.Lock()
 	defer g.ends.mu.Unlock()
-	return g.ends.ledger.Tell(g.now(), heard, mostCasesTold, poison.Everyone)
+	return g.ends.ledger.Tell(g.now(), received, mostCasesTold, poison.Everyone)
 }
 
 // takeCases merges cases from another host or the store, and returns the ledger's last change
 // before and after.
 func (g *Gateway) takeCases(cases []poison.Case, sender string) (before, after uint64) {
-	heard, before, after := g.learnCases(cases)
-	for i := range heard {
-		judged := &heard[i].judged
+	merged, before, after := g.learnCases(cases)
+	for i := range merged {
+		judged := &merged[i].judged
 		if judged.Verdict == poison.Unsuspected && judged.Ends > 0 || !g.failureLines.take() {
 			continue // a single termination only matters to the controller, which collects them
 		}
-		g.log.Info("received a request during which servers terminated", "teller", sender, "fingerprint", heard[i].fingerprint.String(),
+		g.log.Info("received a request during which servers terminated", "teller", sender, "fingerprint", merged[i].fingerprint.String(),
 			"servers-ended", judged.Ends, "verdict", judged.Verdict.String(), "last-end-age-ms", (g.now() - judged.LastEnd).Milliseconds())
 	}
 	return before, after
@@ -159,18 +159,18 @@
 	judged      poison.Judgement
 }
 
-func (g *Gateway) learnCases(cases []poison.Case) (heard []heardCase, before, after uint64) {
+func (g *Gateway) learnCases(cases []poison.Case) (merged []heardCase, before, after uint64) {
 	now := g.now()
 	g.ends.mu.Lock()
 	defer g.ends.mu.Unlock()
 	ledger := &g.ends.ledger
 	before = ledger.Changes()
 	for _, fingerprint := range ledger.Take(now, cases) {
-		heard = append(heard, heardCase{fingerprint: fingerprint, judged: ledger.Judge(now, fingerprint)})
+		merged = append(merged, heardCase{fingerprint: fingerprint, judged: ledger.Judge(now, fingerprint)})
 	}
-	if len(heard) > 0 {
+	if len(merged) > 0 {
 		g.ends.watching.Store(true)
 		g.ends.ledgerChanged()
 	}
-	return heard, before, ledger.Changes()
+	return merged, before, ledger.Changes()
 }
--- a/tools/mutants/scale.go
+++ b/tools/mutants/scale.go
@@ -24,7 +24,7 @@
 		host("control.go", "report to a new controller at once", "	return turnWithin(spread, g.identity.Host+c.service.name)\n", "	return 0 * spread\n"),
 		host("retries.go", "give each host the reserve of a small fleet", "	most := min(max(each/2, leastRetryReserve), mostRetryReserve)", "	most := float64(mostRetryReserve)"),
 		host("firstservers.go", "read the entries in the store", "	until := g.now() + hostsWait + g.storeTurn()\n", "	until := g.now()\n"),
-		host("control.go", "assign keys to the servers that come first", "	if now-c.countedAt < firstWait && now-c.led < longest {", "	if now-c.countedAt < 0 && now-c.led < longest {"),
+		host("control.go", "assign keys to the servers that come first", "	if now-c.countedAt < firstWait && now-c.led < maxWait {", "	if now-c.countedAt < 0 && now-c.led < maxWait {"),
 		host("readahead.go", "hold whatever callers do not read", "		case a.held+readAheadChunk <= mostReadAhead && a.quota.take(readAheadChunk):", "		case true:"),
 		host("readahead.go", "keep what a caller that left held", "	a.give(a.held)\n", ""),
 		keys("first.go", "assign keys without authority", " || !m.Authority(now) {", " {"),
