--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		result := g.unreached(ctx, err)
 		result.server = server.ID
-		g.noteUnreached(server, err)
+		g.noteConnectError(server, err)
 		g.doubt(ctx, req, server)
 		req.service.done(server, result.end(req, 0))
 		return result
@@ -78,8 +78,8 @@
 		return result
 	}
 	req.sends++
-	if g.limits.value(server.Incarnation()) > 0 {
-		g.counts.limitedSends.Inc()
+	if g.serverLimits.value(server.Incarnation()) > 0 {
+		g.metrics.limitedSends.Inc()
 	}
 	stop := context.AfterFunc(ctx, exchange.Abort)
 	result, response := g.exchange(ctx, req, server, exchange)
@@ -87,13 +87,13 @@
 	if response == nil {
 		stop()
 		exchange.Abort()
-		g.noteNoAnswer(ctx, req, server, link, &result)
+		g.noteUnanswered(ctx, req, server, link, &result)
 		g.doubt(ctx, req, server)
 		req.service.done(server, result.end(req, g.now()-began))
 		return result
 	}
 	took := g.now() - began
-	g.noteAlive(server, lived(g.now()-exchange.Opened(), began, server), &result)
+	g.noteAlive(server, aliveSpan(g.now()-exchange.Opened(), began, server), &result)
 	finish := func(whole bool) {
 		if stop() && whole {
 			exchange.Keep()
@@ -101,7 +101,7 @@
 			exchange.Abort()
 		}
 		if whole && result.ran(response.StatusCode) {
-			g.noteRan(req)
+			g.noteCompleted(req)
 		}
 		req.service.done(server, result.end(req, took))
 	}
@@ -152,7 +152,7 @@
 		}
 		// A late second answer to an earlier request lies in the way. Passing
 		// it on would give one caller another's answer.
-		g.counts.strays.Inc()
+		g.metrics.strays.Inc()
 		if !exchange.Reused || stray >= mostStray {
 			return g.unanswered(ctx, errOtherAnswer), nil
 		}
--- a/gateway/calls.go
+++ b/gateway/calls.go
@@ -20,22 +20,22 @@
 	// releaseTimeout bounds a release, which the server answers once the running requests for
 	// the keys have finished.
 	releaseTimeout = 3 * time.Second
-	// writeTimeout bounds a write to the store, and a read of the quarantine.
-	writeTimeout = 1500 * time.Millisecond
-	// writePause is the pause after a failed write.
-	writePause = 200 * time.Millisecond
+	// storeTimeout bounds a write to the store, and a read of the quarantine.
+	storeTimeout = 1500 * time.Millisecond
+	// storeRetryPause is the pause after a failed write.
+	storeRetryPause = 200 * time.Millisecond
 )
 
-// post queues an event for the control loop.
-func (g *Gateway) post(ctx context.Context, next event) {
+// postEvent queues an event for the control loop.
+func (g *Gateway) postEvent(ctx context.Context, next event) {
 	if err := g.control.events.Put(ctx, next); err != nil {
 		g.log.Debug("event dropped at shutdown", "error", err.Error())
 	}
 }
 
-// callEnded is the result of a call to a server.
-type callEnded struct {
-	controller   *controller
+// callResult is the result of a call to a server.
+type callResult struct {
+	control      *serviceControl
 	machine      *keyspace.Machine
 	server       fleet.Server
 	call         keyspace.Call
@@ -46,22 +46,22 @@
 }
 
 // startCall calls a server asynchronously.
-func (g *Gateway) startCall(ctx context.Context, c *controller, call keyspace.Call) {
-	server, known := c.known[call.Server]
+func (g *Gateway) startCall(ctx context.Context, c *serviceControl, call keyspace.Call) {
+	server, known := c.knownServers[call.Server]
 	machine := c.machine
 	if !known {
 		// The server's address is no longer known: its keys become free only when the lease
 		// expires.
-		now := g.boot.Now()
+		now := g.bootClock.Now()
 		machine.Answered(call, keyspace.CallUnanswered, "", now, now)
 		return
 	}
 	backend := adapter.Backend{Server: server}
-	if current := g.inForce.Current(); current != nil {
+	if current := g.configuration.Current(); current != nil {
 		backend.HealthPath = current.Services[c.service.name].HealthPath
 	}
 	go func() {
-		result := &callEnded{controller: c, machine: machine, server: server, call: call, began: g.boot.Now()}
+		result := &callResult{control: c, machine: machine, server: server, call: call, began: g.bootClock.Now()}
 		heard := hearing{server: server.Incarnation(), call: call.Kind.String(), sent: g.now()}
 		switch call.Kind {
 		case keyspace.GrantCall:
@@ -80,15 +80,15 @@
 			health, result.err = g.keys.Probe(calling, backend)
 			heard.Notice, heard.healthy = health.Notice, health.Healthy
 		}
-		result.ended = g.boot.Now()
+		result.ended = g.bootClock.Now()
 		g.hear(heard)
-		g.post(ctx, result)
+		g.postEvent(ctx, result)
 	}()
 }
 
 // apply implements event.
-func (e *callEnded) apply(g *Gateway, _ time.Duration) {
-	if e.controller.machine != e.machine {
+func (e *callResult) apply(g *Gateway, _ time.Duration) {
+	if e.control.machine != e.machine {
 		return
 	}
 	var stale *adapter.StaleTokenError
@@ -103,8 +103,8 @@
 	default:
 		e.result = keyspace.CallUnanswered
 	}
-	if (e.err != nil || e.call.Kind == keyspace.ReleaseCall) && g.callLines.take() {
-		g.log.Info("key lease call", "service", e.controller.service.name, "kind", e.call.Kind.String(), "server", e.call.Incarnation().String(), "called", e.server.Incarnation().String(),
+	if (e.err != nil || e.call.Kind == keyspace.ReleaseCall) && g.callLogLimit.take() {
+		g.log.Info("key lease call", "service", e.control.service.name, "kind", e.call.Kind.String(), "server", e.call.Incarnation().String(), "called", e.server.Incarnation().String(),
 			"from", e.call.From, "to", e.call.To, "token", e.call.Token, "ms", (e.ended - e.began).Milliseconds(),
 			"handoff", e.handoff, "error", errorText(e.err))
 	}
@@ -121,37 +121,37 @@
 	return err.Error()
 }
 
-// writeEnded is the result of writing a machine's pending record.
-type writeEnded struct {
-	controller *controller
-	machine    *keyspace.Machine
-	record     *keyspace.Record
-	stored     objects.Object
-	began      time.Duration
-	err        error
+// recordWriteResult is the result of writing a machine's pending record.
+type recordWriteResult struct {
+	control *serviceControl
+	machine *keyspace.Machine
+	record  *keyspace.Record
+	stored  objects.Object
+	began   time.Duration
+	err     error
 }
 
-func (g *Gateway) startWrite(ctx context.Context, c *controller, record *keyspace.Record) {
+func (g *Gateway) startRecordWrite(ctx context.Context, c *serviceControl, record *keyspace.Record) {
 	machine, revision := c.machine, c.revision
 	go func() {
-		result := &writeEnded{controller: c, machine: machine, record: record, began: g.boot.Now()}
+		result := &recordWriteResult{control: c, machine: machine, record: record, began: g.bootClock.Now()}
 		result.stored, result.err = g.putRecord(ctx, c, record, revision)
 		if result.err != nil {
-			clock.Sleep(ctx, writePause)
+			clock.Sleep(ctx, storeRetryPause)
 		}
-		g.post(ctx, result)
+		g.postEvent(ctx, result)
 	}()
 }
 
 // putRecord writes a record, provided that the stored one has the given revision. A conflict
 // with an identical record means that an earlier write of it took effect although its answer
 // was lost.
-func (g *Gateway) putRecord(ctx context.Context, c *controller, record *keyspace.Record, revision uint64) (objects.Object, error) {
+func (g *Gateway) putRecord(ctx context.Context, c *serviceControl, record *keyspace.Record, revision uint64) (objects.Object, error) {
 	spec, err := json.Marshal(record)
 	if err != nil {
 		return objects.Object{}, err
 	}
-	writing, cancel := context.WithTimeout(ctx, writeTimeout)
+	writing, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	stored, err := g.store.Put(writing, objects.Object{Kind: Assignments, Name: c.service.name, Revision: revision, Spec: spec})
 	var conflict *objects.ConflictError
@@ -178,12 +178,12 @@
 }
 
 // apply implements event.
-func (e *writeEnded) apply(g *Gateway, now time.Duration) {
-	c := e.controller
+func (e *recordWriteResult) apply(g *Gateway, now time.Duration) {
+	c := e.control
 	if c.machine != e.machine {
 		return
 	}
-	c.writing = false
+	c.writeInFlight = false
 	var conflict *objects.ConflictError
 	if errors.As(e.err, &conflict) {
 		if g.restore(c, conflict.Current, now) {
@@ -201,40 +201,40 @@
 		return
 	}
 	c.machine.Written(e.began)
-	c.revision, c.confirm, c.written = e.stored.Revision, e.began, now
+	c.revision, c.confirmStarted, c.writtenAt = e.stored.Revision, e.began, now
 	g.log.Info("assignment written", "service", c.service.name, "revision", c.revision, "ranges", len(e.record.Ranges), "last-token", e.record.LastToken)
-	if c.service.view.offer(e.stored.Revision, e.record) {
+	if c.service.view.update(e.stored.Revision, e.record) {
 		c.service.pump()
 	}
 }
 
-// confirmed is the result of a read that confirms the controller. A watch without changes
+// confirmResult is the result of a read that confirms the controller. A watch without changes
 // confirms nothing, since it may have missed one.
-type confirmed struct {
-	controller *controller
-	machine    *keyspace.Machine
-	object     objects.Object
-	began      time.Duration // on the boot clock
-	asked      time.Duration // the same moment on the clock that watches use
-	err        error
+type confirmResult struct {
+	control *serviceControl
+	machine *keyspace.Machine
+	object  objects.Object
+	began   time.Duration // on the boot clock
+	askedAt time.Duration // the same moment on the clock that watches use
+	err     error
 }
 
-func (g *Gateway) startConfirm(ctx context.Context, c *controller) {
+func (g *Gateway) startConfirm(ctx context.Context, c *serviceControl) {
 	machine := c.machine
 	go func() {
-		result := &confirmed{controller: c, machine: machine, began: g.boot.Now(), asked: g.now()}
+		result := &confirmResult{control: c, machine: machine, began: g.bootClock.Now(), askedAt: g.now()}
 		result.object, result.err = g.store.Get(ctx, Assignments, c.service.name)
-		g.post(ctx, result)
+		g.postEvent(ctx, result)
 	}()
 }
 
 // apply implements event.
-func (e *confirmed) apply(g *Gateway, now time.Duration) {
-	c := e.controller
+func (e *confirmResult) apply(g *Gateway, now time.Duration) {
+	c := e.control
 	if c.machine != e.machine {
 		return
 	}
-	c.reading = false
+	c.confirmInFlight = false
 	if (e.err == nil || errors.Is(e.err, objects.ErrNotFound)) && g.restore(c, e.object, now) {
 		return
 	}
@@ -247,75 +247,75 @@
 		g.log.Error("can't decode the assignment", "service", c.service.name, "revision", e.object.Revision, "error", err.Error())
 		return
 	}
-	if !g.own(&stored) {
+	if !g.isOwnRecord(&stored) {
 		g.takeAssignment(e.object)
 		g.stepDown(c, "another controller took over", stored.Controller.Host)
 		return
 	}
 	c.machine.Confirm(e.began)
-	g.fresh.confirm(e.asked)
+	g.freshness.confirm(e.askedAt)
 }
 
-// claimEnded is the result of a claim of the controller role.
-type claimEnded struct {
-	controller *controller
-	record     *keyspace.Record
-	stored     objects.Object
-	began      time.Duration
-	err        error
+// claimResult is the result of a claim of the controller role.
+type claimResult struct {
+	control *serviceControl
+	record  *keyspace.Record
+	stored  objects.Object
+	began   time.Duration
+	err     error
 }
 
-func (g *Gateway) claim(ctx context.Context, c *controller, record *keyspace.Record, revision uint64) {
+func (g *Gateway) startClaim(ctx context.Context, c *serviceControl, record *keyspace.Record, revision uint64) {
 	go func() {
-		result := &claimEnded{controller: c, record: record, began: g.boot.Now()}
+		result := &claimResult{control: c, record: record, began: g.bootClock.Now()}
 		result.stored, result.err = g.putRecord(ctx, c, record, revision)
 		if result.err != nil {
-			clock.Sleep(ctx, writePause)
+			clock.Sleep(ctx, storeRetryPause)
 		}
-		g.post(ctx, result)
+		g.postEvent(ctx, result)
 	}()
 }
 
 // apply implements event.
-func (e *claimEnded) apply(g *Gateway, now time.Duration) {
-	c := e.controller
-	c.claiming = false
-	c.heard = now
+func (e *claimResult) apply(g *Gateway, now time.Duration) {
+	c := e.control
+	c.claimInFlight = false
+	c.answeredAt = now
 	var conflict *objects.ConflictError
 	if errors.As(e.err, &conflict) {
 		g.takeAssignment(conflict.Current)
 		return
 	}
-	c.absent = errors.Is(e.err, objects.ErrNotFound)
+	c.recordMissing = errors.Is(e.err, objects.ErrNotFound)
 	if e.err != nil {
 		g.log.Warn("claim of the controller role failed or its result is unknown", "service", c.service.name, "error", e.err.Error())
 		// The claim may have taken effect; the watch or the next claim will show.
-		c.heard = now - silentAfter
+		c.answeredAt = now - controllerTimeout
 		return
 	}
-	if e.record.Term < c.yielded {
+	if e.record.Term < c.yieldedTerm {
 		// The successor has been told that this process has stopped, and reassigns the keys
 		// once the leases that it knows of have expired. If this process became the controller
 		// now, it would go on renewing leases on keys that it does not know it has lost.
 		g.log.Info("claim ignored: a successor has already been told that this process has stopped", "service", c.service.name,
-			"term", e.record.Term, "successor-term", c.yielded)
+			"term", e.record.Term, "successor-term", c.yieldedTerm)
 		return
 	}
-	c.revision, c.confirm, c.written, c.reported, c.led = e.stored.Revision, e.began, now, now, now
-	c.kept = keptQuarantine{}
+	c.revision, c.confirmStarted, c.writtenAt, c.reportedAt, c.controllerSince = e.stored.Revision, e.began, now, now, now
+	c.quarantine = storedQuarantine{}
 	if e.record.Term == 1 {
 		c.machine = keyspace.New(e.record, e.began, now)
 	} else {
 		c.machine = keyspace.Adopt(e.record, e.began, now)
 	}
 	g.log.Info("in control", "service", c.service.name, "term", e.record.Term, "revision", c.revision, "ranges", len(e.record.Ranges))
-	if c.service.view.offer(e.stored.Revision, e.record) {
+	if c.service.view.update(e.stored.Revision, e.record) {
 		c.service.pump()
 	}
 }
 
 // startResign records in the store that this controller has stopped.
-func (g *Gateway) startResign(ctx context.Context, c *controller, record *keyspace.Record, revision uint64) {
+func (g *Gateway) startResign(ctx context.Context, c *serviceControl, record *keyspace.Record, revision uint64) {
 	go func() {
 		if _, err := g.putRecord(ctx, c, record, revision); err != nil {
 			g.log.Warn("writing the resignation failed; the next controller waits until this one's authority expires", "service", c.service.name, "error", err.Error())
--- a/gateway/cold.go
+++ b/gateway/cold.go
@@ -53,7 +53,7 @@
 	for _, s := range g.allServices() {
 		s.shareReserve(reserveOf(g.identity.RetryReserve, hosts))
 	}
-	if current := g.inForce.Current(); current != nil {
+	if current := g.configuration.Current(); current != nil {
 		g.limitCold(current)
 	}
 }
@@ -88,7 +88,7 @@
 		if err == nil && health.TellsCold {
 			s.toldCold(server, health.ColdFor)
 		}
-		if g.failureLines.take() {
+		if g.failureLogLimit.take() {
 			g.log.Info("server may have started again", "request", id, "server", server.Incarnation().String(),
 				"tells-cold", health.TellsCold, "cold-ms", health.ColdFor.Milliseconds(), "error", errorText(err))
 		}
--- a/gateway/cold_test.go
+++ b/gateway/cold_test.go
@@ -20,10 +20,10 @@
 	process, err := platformtest.StartProcess(t.Context(), "127.0.0.1:0", server)
 	assert.NilError(t, err)
 	s.register("f1", "free", process.Address(), "ready")
-	s.serve("f2", "free", false)
+	s.startServer("f2", "free", false)
 	s.configureCold(3, perSecond)
 	for i := range 3 {
-		s.host(fmt.Sprintf("host-%d", i))
+		s.startHost(fmt.Sprintf("host-%d", i))
 	}
 	s.eventually("the hosts are counted", func() bool { return s.countsHosts(3) })
 	began := time.Now()
--- a/gateway/control_test.go
+++ b/gateway/control_test.go
@@ -20,7 +20,7 @@
 		name := fmt.Sprintf("host-%d", i)
 		large := New(Identity{Host: name}, Platform{}, logs.Discard())
 		small := New(Identity{Host: name, Small: true}, Platform{}, logs.Discard())
-		c := &controller{service: newService("s", Identity{Incarnation: 1}, true, large.now)}
+		c := &serviceControl{service: newService("s", Identity{Incarnation: 1}, true, large.now)}
 		assert.Assert(t, large.claimDelay(c, 1) < claimSpread)
 		assert.Assert(t, small.claimDelay(c, 1) >= claimSpread)
 		assert.Assert(t, small.claimDelay(c, 1) < 2*claimSpread)
@@ -45,14 +45,15 @@
 	}
 }
 
-// claiming returns a host whose claim the store has accepted, with the answer still on its way.
-func claiming(term uint64) (*Gateway, *controller, *claimEnded) {
+// newClaimingHost returns a host whose claim the store has accepted, with the answer still on
+// its way.
+func newClaimingHost(term uint64) (*Gateway, *serviceControl, *claimResult) {
 	g := New(Identity{Host: "one", Incarnation: 1}, Platform{}, logs.Discard())
-	c := &controller{service: newService("s", Identity{Incarnation: 1}, true, g.now), known: map[string]fleet.Server{}, members: newMembers(), claiming: true}
+	c := &serviceControl{service: newService("s", Identity{Incarnation: 1}, true, g.now), knownServers: map[string]fleet.Server{}, members: newMembers(), claimInFlight: true}
 	g.control.services["s"] = c
-	record := keyspace.First(g.self(), 0, []keyspace.Server{{ID: "a", Slots: 1}})
+	record := keyspace.First(g.asController(), 0, []keyspace.Server{{ID: "a", Slots: 1}})
 	record.Term = term
-	return g, c, &claimEnded{controller: c, record: record}
+	return g, c, &claimResult{control: c, record: record}
 }
 
 // Guards against two servers holding the same keys, granted by different controllers. Host A's
@@ -62,25 +63,25 @@
 // would go on renewing leases of servers in its failure domain, while B reassigns their keys
 // once the leases that B knows of have expired.
 func TestClaimIsNotTakenAfterItsSuccessorWasToldOfTheStop(t *testing.T) {
-	g, c, claim := claiming(2)
-	assert.Assert(t, g.takeReport(&loadReport{Service: "s"}, 0).Claiming, "other hosts must not claim the role yet")
-	assert.Assert(t, g.yieldTo(&yieldRequest{Service: "s", Term: 3}).Stopped)
+	g, c, claim := newClaimingHost(2)
+	assert.Assert(t, g.handleReport(&loadReport{Service: "s"}, 0).Claiming, "other hosts must not claim the role yet")
+	assert.Assert(t, g.handleYield(&yieldRequest{Service: "s", Term: 3}).Stopped)
 	claim.apply(g, 0)
 	assert.Assert(t, c.machine == nil, "it has confirmed that it has stopped")
 
-	g, c, claim = claiming(4)
-	g.yieldTo(&yieldRequest{Service: "s", Term: 3})
+	g, c, claim = newClaimingHost(4)
+	g.handleYield(&yieldRequest{Service: "s", Term: 3})
 	claim.apply(g, 0)
 	assert.Assert(t, c.machine != nil, "a claim with a later term than the successor's must be accepted")
 }
 
 // While a controller's claim is in progress, hosts that report to it must not take over.
 func TestClaimingControllerIsWaitedFor(t *testing.T) {
-	g, c, _ := claiming(2)
-	c.claiming, c.heard = false, time.Minute
+	g, c, _ := newClaimingHost(2)
+	c.claimInFlight, c.answeredAt = false, time.Minute
 	to := keyspace.Controller{Host: "two", Incarnation: 2}
-	(&reportEnded{controller: c, to: to, answer: loadAnswer{Incarnation: 2, Claiming: true}}).apply(g, time.Minute)
-	assert.Equal(t, c.heard, time.Minute)
-	(&reportEnded{controller: c, to: to, answer: loadAnswer{Incarnation: 2}}).apply(g, time.Minute)
-	assert.Assert(t, time.Minute-c.heard >= silentAfter)
+	(&reportResult{control: c, to: to, answer: loadAnswer{Incarnation: 2, Claiming: true}}).apply(g, time.Minute)
+	assert.Equal(t, c.answeredAt, time.Minute)
+	(&reportResult{control: c, to: to, answer: loadAnswer{Incarnation: 2}}).apply(g, time.Minute)
+	assert.Assert(t, time.Minute-c.answeredAt >= controllerTimeout)
 }
--- a/gateway/coordination.go
+++ b/gateway/coordination.go
@@ -1,25 +1,25 @@
 package gateway
 
-// coordination is the name of a service without servers and requests. Deployments in which no
-// service is divided by key have it, so that they have a controller too: one process, named in
-// the store, that passes on state between hosts, counts them, and allocates places at
+// coordinationService is the name of a service without servers and requests. Deployments in
+// which no service is divided by key have it, so that they have a controller too: one process,
+// named in the store, that passes on state between hosts, counts them, and allocates places at
 // rate-limited servers.
-const coordination = "cicada-hosts"
+const coordinationService = "cicada-hosts"
 
-// coordinate ensures that there is a controller if no service is divided by key. Once created,
-// the service is never removed.
-func (g *Gateway) coordinate() {
+// ensureController ensures that there is a controller if no service is divided by key. Once
+// created, the service is never removed.
+func (g *Gateway) ensureController() {
 	if len(g.keyedServices()) == 0 {
-		g.keyedService(coordination)
+		g.keyedService(coordinationService)
 	}
 }
 
-// firstController returns the service whose controller does the work for all hosts that is not
-// tied to keys, or nil. All hosts choose the same one, since they see the same records.
-func (g *Gateway) firstController() *service {
+// coordinatingService returns the service whose controller does the work for all hosts that is
+// not tied to keys, or nil. All hosts choose the same one, since they see the same records.
+func (g *Gateway) coordinatingService() *service {
 	var first *service
 	for _, s := range g.keyedServices() {
-		if s.name == coordination {
+		if s.name == coordinationService {
 			return s
 		}
 		if first == nil || s.name < first.name {
--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -71,9 +71,9 @@
 func newStore(s Settings) *platform.Store { return platform.NewStore(s.Store) }
 
 func newIdentity(s Settings) gateway.Identity {
-	return gateway.Identity{Host: s.Host, Domain: s.Domain, Peers: s.Peers, Incarnation: rand.Uint64() >> 1, FirstStart: s.FirstStart, RetryRatio: s.RetryRatio, RetryReserve: s.RetryReserve,
-		ReadAhead: int64(float64(s.MemoryMB) * unreadShare * (1 << 20)),
-		Seeds:     s.Seeds, ObeyWithin: min(s.ConfigurationWithin, s.DrainWithin), EvacuateWithin: s.EvacuateWithin,
+	return gateway.Identity{Host: s.Host, Domain: s.Domain, PeerAddress: s.Peers, Incarnation: rand.Uint64() >> 1, FirstStart: s.FirstStart, RetryRatio: s.RetryRatio, RetryReserve: s.RetryReserve,
+		ReadAheadLimit: int64(float64(s.MemoryMB) * unreadShare * (1 << 20)),
+		Seeds:          s.Seeds, ApplyWithin: min(s.ConfigurationWithin, s.DrainWithin), EvacuateWithin: s.EvacuateWithin,
 		Small: s.Processor < smallProcessor || s.LinkMbps < smallLinkMbps}
 }
 
--- a/gateway/deltas.go
+++ b/gateway/deltas.go
@@ -26,7 +26,7 @@
 	// others itself kept its link and processor busy for seconds, in which the
 	// others missed changes. Large hosts pass on what a body may hold.
 	longAnswer      = 64 << 10
-	largeLongAnswer = mostPeerBody / 2
+	largeLongAnswer = maxPeerBody / 2
 	// mostDeltas bounds the deltas that are kept: nearly all hosts have the
 	// version before the last and ask for the same.
 	mostDeltas = 8
--- a/gateway/era.go
+++ b/gateway/era.go
@@ -23,7 +23,7 @@
 // restore has a controller write its record again if the store, which has come back from a
 // copy, holds an earlier one or none, and reports whether that is so. A controller without
 // authority gives up: a successor that the store has forgotten as well may have moved keys.
-func (g *Gateway) restore(c *controller, found objects.Object, now time.Duration) bool {
+func (g *Gateway) restore(c *serviceControl, found objects.Object, now time.Duration) bool {
 	era := g.era.Load()
 	if found.Revision > 0 {
 		era = revision.Era(found.Revision)
@@ -33,15 +33,15 @@
 			return false
 		}
 	}
-	if c.writing {
+	if c.writeInFlight {
 		return true // the write under way meets what the store holds, and tells
 	}
 	g.noteEra(Assignments, era)
 	g.log.Warn("store does not hold the assignment that it had acknowledged", "service", c.service.name, "revision", c.revision,
 		"found", found.Revision, "term", c.machine.Record().Term, "authority", c.machine.Authority(now))
-	c.revision, c.kept = found.Revision, keptQuarantine{}
+	c.revision, c.quarantine = found.Revision, storedQuarantine{}
 	if !c.machine.Authority(now) {
-		c.absent = found.Revision == 0
+		c.recordMissing = found.Revision == 0
 		g.stepDown(c, "the store has forgotten it, and its authority has run out", "")
 		return true
 	}
--- a/gateway/era_test.go
+++ b/gateway/era_test.go
@@ -102,7 +102,7 @@
 			s := limitSite(t, 3)
 			before, _ := s.record()
 			again := s.drill(func() {
-				s.serve("k4", "owned", true)
+				s.startServer("k4", "owned", true)
 				s.register("k1", "owned", s.addresses["k1"], "draining")
 				s.unused("k1", "/keyed/x")
 				s.eventually("the new server owns keys", func() bool {
--- a/gateway/evacuations.go
+++ b/gateway/evacuations.go
@@ -72,6 +72,6 @@
 	g.directory.TouchAll()
 	g.mu.Unlock()
 	g.log.Info("evacuations changed", "revision", listing.Revision, "domains", changed, "evacuated", evacuated,
-		"store-age-ms", g.fresh.ageNow(g.now()).Milliseconds())
+		"store-age-ms", g.freshness.ageNow(g.now()).Milliseconds())
 	g.directoryChanged()
 }
--- a/gateway/evacuations_test.go
+++ b/gateway/evacuations_test.go
@@ -28,7 +28,7 @@
 		s.serveIn(domain, "k-"+domain, "owned", true)
 	}
 	s.configure(3, "")
-	h := s.host("one")
+	h := s.startHost("one")
 	s.eventually("keys have owners", func() bool { return s.keysServed(h) == keysTried })
 	return s, h
 }
@@ -95,7 +95,7 @@
 	s, _ := twoDomains(t)
 	s.put("evacuations", "a", "{}")
 	before := s.runs("f-a")
-	h := s.host("two")
+	h := s.startHost("two")
 	for range 8 {
 		assert.Equal(t, s.call(h, http.MethodGet, "/free/x", "", "").status, http.StatusOK)
 	}
--- a/gateway/firstservers.go
+++ b/gateway/firstservers.go
@@ -39,7 +39,7 @@
 		return objects.Listing{}, false
 	}
 	until := g.now() + hostsWait + g.storeTurn()
-	for g.now() < until && ctx.Err() == nil && !g.fresh.leading() {
+	for g.now() < until && ctx.Err() == nil && !g.freshness.leading() {
 		source := g.firstSource()
 		if source == "" {
 			clock.Sleep(ctx, sourceLook)
@@ -59,7 +59,7 @@
 // storeTurn is how much later this host asks the store than the first one does that gets no
 // answer of others.
 func (g *Gateway) storeTurn() time.Duration {
-	return turnWithin(time.Duration(g.sources.hostsNamed())*storeSpread, g.identity.Host)
+	return hashedDelay(time.Duration(g.sources.hostsNamed())*storeSpread, g.identity.Host)
 }
 
 // asksHosts reports whether other hosts are to be asked for the servers. While the whole
@@ -69,7 +69,7 @@
 		return true
 	}
 	until := g.now() + assignmentsWait
-	for !g.control.listed.Load() && !g.control.refused.Load() && g.now() < until && ctx.Err() == nil {
+	for !g.control.assignmentsListed.Load() && !g.control.listRejected.Load() && g.now() < until && ctx.Err() == nil {
 		clock.Sleep(ctx, sourceLook)
 	}
 	return g.sources.asksHosts()
@@ -81,7 +81,7 @@
 	switch {
 	case !g.identity.FirstStart:
 		return g.sources.current()
-	case !g.fresh.vouchedOnce():
+	case !g.freshness.vouchedOnce():
 		return ""
 	}
 	return g.sources.upstream(g.sources.controllerAddress())
@@ -89,7 +89,7 @@
 
 func (g *Gateway) serversOf(ctx context.Context, source string) (objects.Listing, error) {
 	listing, age, err := g.relayedList(ctx, source, g.registry.Servers())
-	if err == nil && age >= g.fresh.vouchedFor() {
+	if err == nil && age >= g.freshness.vouchedFor() {
 		err = errOldList
 	}
 	return listing, err
--- a/gateway/firststart_test.go
+++ b/gateway/firststart_test.go
@@ -32,13 +32,13 @@
 	const hosts = 6
 	s := newSite(t)
 	s.configure(1, "")
-	s.serve("owned-1", "owned", true)
-	s.serve("free-1", "free", false)
+	s.startServer("owned-1", "owned", true)
+	s.startServer("free-1", "free", false)
 	var reads []*entryReads
 	for i := range hosts {
 		front := &entryReads{store: s.store}
 		reads = append(reads, front)
-		s.start(hostSetup{name: fmt.Sprintf("h%d", i), store: s.listen(front), firstStart: true})
+		s.start(hostOptions{name: fmt.Sprintf("h%d", i), store: s.listen(front), firstStart: true})
 	}
 	for _, h := range s.hosts {
 		s.eventually("the host is ready", h.gateway.Ready)
@@ -72,7 +72,7 @@
 	s.eventually("all keys are served", func() bool { return s.allServed(first) })
 	before := s.assignment()
 	first.kill()
-	late := s.start(hostSetup{name: "late", store: s.listen(withoutEntries{s.store})})
+	late := s.start(hostOptions{name: "late", store: s.listen(withoutEntries{s.store})})
 	s.eventually("control is claimed", func() bool { return s.assignment().Controller.Address == late.peers.address })
 	assert.Assert(t, !late.gateway.Ready())
 	assert.DeepEqual(t, s.assignment().Ranges, before.Ranges)
@@ -84,12 +84,12 @@
 	const servers = 12
 	s := newSite(t)
 	s.configure(1, "")
-	s.serve("owned-00", "owned", true)
-	h := s.start(hostSetup{name: "h", store: s.address, firstStart: true})
+	s.startServer("owned-00", "owned", true)
+	h := s.start(hostOptions{name: "h", store: s.address, firstStart: true})
 	s.eventually("control is claimed", func() bool { _, claimed := s.record(); return claimed })
 	s.eventually("the controller knows the first server", h.gateway.Ready)
 	for i := 1; i < servers; i++ {
-		s.serve(fmt.Sprintf("owned-%02d", i), "owned", true)
+		s.startServer(fmt.Sprintf("owned-%02d", i), "owned", true)
 	}
 	s.eventually("keys are assigned", func() bool { record, _ := s.record(); return len(record.Ranges) > 0 })
 	record, _ := s.record()
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -66,12 +66,12 @@
 			clock.Sleep(ctx, pause)
 			pause = min(2*pause, awayMost)
 			if !f.prober {
-				g.reach.wait(ctx)
+				g.storeReach.wait(ctx)
 			}
 			continue
 		}
 		if f.prober {
-			g.reach.back()
+			g.storeReach.back()
 		}
 		g.noteEra(f.kind, revision.Era(listing.Revision))
 		if !connected {
@@ -81,7 +81,7 @@
 			f.change(listing)
 		}
 		g.relay.note(f.kind, listing, !connected)
-		g.fresh.known(f.kind, listing.Revision, !connected || len(listing.Objects) > 0)
+		g.freshness.known(f.kind, listing.Revision, !connected || len(listing.Objects) > 0)
 		connected, pause, known = true, awayFirst, max(known, listing.Revision)
 		if f.gather > 0 && len(listing.Objects) < gathered {
 			clock.Sleep(ctx, g.gatherFor(f.gather))
@@ -105,13 +105,13 @@
 		listing, err = g.list(ctx, kind, revision)
 		return listing, false, err
 	}
-	watching, cancel, plan := g.fresh.begin(ctx, kind, g.now(), g.sources.known())
+	watching, cancel, plan := g.freshness.begin(ctx, kind, g.now(), g.sources.known())
 	defer cancel()
 	if plan.news != nil {
 		clock.Await(watching, plan.news, plan.wait)
 		return listing, true, nil
 	}
-	if f.prober && g.reach.isAway() {
+	if f.prober && g.storeReach.isAway() {
 		// Whoever answers: the others wait for it.
 		plan.wait = min(plan.wait, awayWatch)
 	}
@@ -124,7 +124,7 @@
 		return listing, false, err
 	}
 	if watching.Err() == nil {
-		g.fresh.failed(plan.source)
+		g.freshness.failed(plan.source)
 		g.sources.pass(plan.source)
 		g.log.Info("source does not pass on what the store holds", "kind", kind, "source", plan.source, "error", err.Error())
 	}
@@ -139,7 +139,7 @@
 	if known == 0 {
 		return g.firstList(ctx, kind)
 	}
-	if source := g.fresh.follows(g.now()); source != "" {
+	if source := g.freshness.follows(g.now()); source != "" {
 		listing, _, err := g.relayedList(ctx, source, kind)
 		if err == nil && revision.Era(listing.Revision) < g.era.Load() {
 			err = &objects.RewoundError{Given: listing.Revision, Era: g.era.Load()}
@@ -152,7 +152,7 @@
 	began := g.now()
 	listing, err := g.store.List(ctx, kind)
 	if err == nil {
-		g.fresh.touch(kind, began)
+		g.freshness.touch(kind, began)
 	}
 	return g.asPassedOn(kind, listing), err
 }
@@ -186,14 +186,14 @@
 // thirds of the calls of a calm day. Before the first callers come nothing depends
 // on seconds, so these calls are made at the lower price.
 func (g *Gateway) watchStore(ctx context.Context, kind string, revision uint64, wait time.Duration) (objects.Listing, error) {
-	if g.identity.FirstStart && g.fresh.startingNow(g.now()) {
+	if g.identity.FirstStart && g.freshness.startingNow(g.now()) {
 		listing, err := g.store.Stale().Watch(ctx, kind, revision, wait)
 		return g.asPassedOn(kind, listing), err
 	}
 	began := g.now()
 	listing, err := g.store.Watch(ctx, kind, revision, wait)
 	if err == nil {
-		g.fresh.touch(kind, began)
+		g.freshness.touch(kind, began)
 	}
 	return g.asPassedOn(kind, listing), err
 }
@@ -201,7 +201,7 @@
 // lost notes a failed call, and reports whether the watch may go on from its
 // revision. A watch that was cut or turned away loses nothing by going on.
 func (g *Gateway) lost(f follower, err error, connected bool) bool {
-	g.counts.storeErrors.Inc()
+	g.metrics.storeErrors.Inc()
 	var rewound *objects.RewoundError
 	if errors.As(err, &rewound) {
 		g.noteEra(f.kind, rewound.Era)
@@ -212,7 +212,7 @@
 		f.away(err)
 	}
 	if f.prober && !compacted {
-		g.reach.lost()
+		g.storeReach.lost()
 	}
 	return connected && !compacted
 }
@@ -229,7 +229,7 @@
 				g.log.Error("configuration left aside", "revision", object.Revision, "error", err.Error())
 				continue
 			}
-			g.configure(offered)
+			g.applyConfiguration(offered)
 		}
 	}
 	// A configuration has the shortest time in which it must be in force.
@@ -242,7 +242,7 @@
 		for _, object := range listing.Objects {
 			g.takeAssignment(object)
 		}
-		g.control.listed.Store(true)
+		g.control.assignmentsListed.Store(true)
 		g.nudge()
 	}
 	g.follow(ctx, follower{kind: Assignments, replace: take, change: take, away: g.noteAssignmentsAway})
@@ -252,7 +252,7 @@
 // may be busy with the lists of hundreds of hosts.
 func (g *Gateway) noteAssignmentsAway(err error) {
 	if errors.Is(err, objects.ErrRefused) {
-		g.control.refused.Store(true)
+		g.control.listRejected.Store(true)
 	}
 }
 
@@ -270,8 +270,8 @@
 		g.log.Error("assignment left aside", "service", object.Name, "revision", object.Revision, "error", err.Error())
 		return
 	}
-	if record.Keyless != (object.Name == coordination) {
-		g.log.Error("record left aside: only "+coordination+" has one without keys", "service", object.Name, "keyless", record.Keyless)
+	if record.Keyless != (object.Name == coordinationService) {
+		g.log.Error("record left aside: only "+coordinationService+" has one without keys", "service", object.Name, "keyless", record.Keyless)
 		return
 	}
 	s := g.keyedService(object.Name)
@@ -280,7 +280,7 @@
 		return
 	}
 	g.sources.read(record.Controller)
-	if s.view.offer(object.Revision, record) {
+	if s.view.update(object.Revision, record) {
 		g.log.Info("assignment known", "service", object.Name, "revision", object.Revision, "term", record.Term,
 			"controller", record.Controller.Host, "ranges", len(record.Ranges))
 		s.pump()
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -97,7 +97,7 @@
 	store.mu.Lock()
 	store.serves = true
 	store.mu.Unlock()
-	for !g.listed.Load() || !g.control.listed.Load() {
+	for !g.registryListed.Load() || !g.control.assignmentsListed.Load() {
 		select {
 		case <-store.called:
 		case <-time.After(time.Millisecond):
@@ -113,11 +113,11 @@
 // Cause: hosts claimed without having the store themselves.
 func TestNoClaimWhileTheStoreIsAway(t *testing.T) {
 	g := New(Identity{Host: "one"}, Platform{}, logs.Discard())
-	c := &controller{service: newService("s", Identity{Incarnation: 1}, true, g.now), wanted: time.Second}
-	g.reach.lost()
-	g.wantClaim(context.Background(), c, time.Hour, nil, 0, 0)
-	assert.Assert(t, !c.claiming)
-	assert.Equal(t, c.wanted, time.Duration(0), "the delay begins anew when the store is back")
+	c := &serviceControl{service: newService("s", Identity{Incarnation: 1}, true, g.now), claimDueSince: time.Second}
+	g.storeReach.lost()
+	g.claimWhenDue(context.Background(), c, time.Hour, nil, 0, 0)
+	assert.Assert(t, !c.claimInFlight)
+	assert.Equal(t, c.claimDueSince, time.Duration(0), "the delay begins anew when the store is back")
 }
 
 // Symptom: a host sends to servers that left seconds ago; it hears of no change
@@ -137,8 +137,8 @@
 	}))
 	defer controller.Close()
 	g := New(Identity{}, Platform{Store: memobjects.New(), Registry: kinds{}}, logs.Discard())
-	g.fresh.told(g.now(), wordOf(g.now(), strings.TrimPrefix(controller.URL, "http://"), nil))
-	g.reach.lost()
+	g.freshness.told(g.now(), wordOf(g.now(), strings.TrimPrefix(controller.URL, "http://"), nil))
+	g.storeReach.lost()
 	listing, _, err := g.next(context.Background(), follower{prober: true, kind: "configurations"}, true, 5)
 	assert.NilError(t, err)
 	assert.Equal(t, listing.Revision, uint64(5))
@@ -149,9 +149,9 @@
 // A controller that answers and has the store brings the followers back at once.
 func TestControllersWordEndsTheWait(t *testing.T) {
 	g := New(Identity{}, Platform{}, logs.Discard())
-	g.reach.lost()
-	c := &controller{service: newService("s", Identity{Incarnation: 1}, true, g.now)}
-	ended := &reportEnded{controller: c, to: keyspace.Controller{Incarnation: 7}, answer: loadAnswer{Incarnation: 7, Controls: true}}
-	ended.apply(g, g.boot.Now())
-	assert.Assert(t, !g.reach.isAway())
+	g.storeReach.lost()
+	c := &serviceControl{service: newService("s", Identity{Incarnation: 1}, true, g.now)}
+	ended := &reportResult{control: c, to: keyspace.Controller{Incarnation: 7}, answer: loadAnswer{Incarnation: 7, Controls: true}}
+	ended.apply(g, g.bootClock.Now())
+	assert.Assert(t, !g.storeReach.isAway())
 }
--- a/gateway/freshness.go
+++ b/gateway/freshness.go
@@ -264,7 +264,7 @@
 func (f *freshness) renewal(now time.Duration, relay string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.leads && f.source == relay && f.wordAge(now) > reportEvery
+	return !f.leads && f.source == relay && f.wordAge(now) > reportInterval
 }
 
 // trusted reports whether a kind's watch may wait long. A controller reads its
--- a/gateway/freshness_test.go
+++ b/gateway/freshness_test.go
@@ -49,7 +49,7 @@
 	f.tend(time.Second+vouchedFor, false)
 	assert.Assert(t, watching.Err() != nil)
 	const mostForAChange = 2 * time.Second
-	assert.Assert(t, vouchedFor < mostForAChange-idleEvery)
+	assert.Assert(t, vouchedFor < mostForAChange-idleControlInterval)
 
 	// Sequence: the controller is cut off from the store, and still answers.
 	f.told(time.Second, wordOf(time.Second, "controller", nil))
@@ -82,13 +82,13 @@
 // Cause: the controller did not miss what it had written itself.
 func TestControllerMissesItsOwnWrites(t *testing.T) {
 	g := New(Identity{}, Platform{}, logs.Discard())
-	g.fresh.tend(0, true)
-	_, watching := plan(&g.fresh, Assignments, 0)
-	g.fresh.known(Assignments, 7, true)
-	c := &controller{service: newService("s", Identity{Incarnation: 1}, true, g.now), revision: 9, written: time.Second}
-	g.hearOwnWrites(c, time.Second)
+	g.freshness.tend(0, true)
+	_, watching := plan(&g.freshness, Assignments, 0)
+	g.freshness.known(Assignments, 7, true)
+	c := &serviceControl{service: newService("s", Identity{Incarnation: 1}, true, g.now), revision: 9, writtenAt: time.Second}
+	g.checkOwnWrites(c, time.Second)
 	assert.NilError(t, watching.Err())
-	g.hearOwnWrites(c, time.Second+ownWriteWait)
+	g.checkOwnWrites(c, time.Second+ownWriteTimeout)
 	assert.Assert(t, watching.Err() != nil)
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -30,8 +30,8 @@
 type Identity struct {
 	Host   string
 	Domain string
-	// Peers is the address at which other hosts reach this one.
-	Peers string
+	// PeerAddress is the address at which other hosts reach this one.
+	PeerAddress string
 	// Seeds are addresses of hosts that a newly started host may ask for the state of the
 	// store.
 	Seeds []string
@@ -43,18 +43,18 @@
 	// RetryReserve is the number of additional retries that are allowed, over all hosts and
 	// within the period over which retries are counted; 0 if not configured.
 	RetryReserve float64
-	// ObeyWithin is the time within which a change in the store must take effect; 0 if not
+	// ApplyWithin is the time within which a change in the store must take effect; 0 if not
 	// configured.
-	ObeyWithin time.Duration
+	ApplyWithin time.Duration
 	// EvacuateWithin is the time after which no request may reach the servers of a failure
 	// domain that operators have evacuated; 0 if domains are never evacuated.
 	EvacuateWithin time.Duration
 	// FirstStart is set if the whole system starts for the first time: no configuration has
 	// been in force yet, so this host can't have an outdated one.
 	FirstStart bool
-	// ReadAhead bounds the memory for response data that callers have not read yet, in bytes; 0
-	// selects the default.
-	ReadAhead int64
+	// ReadAheadLimit bounds the memory for response data that callers have not read yet, in
+	// bytes; 0 selects the default.
+	ReadAheadLimit int64
 	// Incarnation is a random number, different for each start of the process.
 	Incarnation uint64
 }
@@ -69,40 +69,40 @@
 
 // Gateway is the daemon of one host. It is safe for concurrent use.
 type Gateway struct {
-	identity Identity
-	codec    adapter.Codec
-	registry adapter.Registry
-	store    objects.Store
-	keys     adapter.Keys
-	clock    clock.Clock
-	boot     clock.Clock
-	log      *log.Logger
-	counts   *counts
+	identity  Identity
+	codec     adapter.Codec
+	registry  adapter.Registry
+	store     objects.Store
+	keys      adapter.Keys
+	clock     clock.Clock
+	bootClock clock.Clock
+	log       *log.Logger
+	metrics   *counts
 
 	// Rate limits for log lines whose number grows with the load. Each kind has its own limit,
 	// so that lines of successful requests can't displace those of failed ones.
-	requestLines, failureLines, callLines, entryLines, loadLines *lineQuota
+	requestLogLimit, failureLogLimit, callLogLimit, entryLogLimit, noticeLogLimit *lineQuota
 
-	inForce           routing.InForce
-	listed            atomic.Bool // the registry has been read at least once
+	configuration     routing.InForce
+	registryListed    atomic.Bool // the registry has been read at least once
 	evacuationsListed atomic.Bool // the evacuations have been read at least once
 
-	// distributing serializes distributions: if an earlier one finished last, it would
+	// distributeMu serializes distributions: if an earlier one finished last, it would
 	// overwrite newer state.
-	distributing sync.Mutex
+	distributeMu sync.Mutex
 
 	mu        sync.Mutex
 	directory *fleet.Directory
 	services  map[string]*service
 
-	stop    stop
-	control control
-	fresh   freshness
-	sources *sources
-	reach   reach
-	ends    serverEnds
-	limits  notices[float64] // in requests per second
-	leaving notices[bool]
+	stop         stop
+	control      control
+	freshness    freshness
+	sources      *sources
+	storeReach   reach
+	terminations terminationTracker
+	serverLimits notices[float64] // in requests per second
+	leaving      notices[bool]
 	// applyingLimits ensures that services receive limits in the order in which they changed.
 	applyingLimits sync.Mutex
 	// leavingAsked is when servers that had announced their shutdown were last probed; used by
@@ -111,10 +111,10 @@
 	hosts        hostCount
 	relay        relay
 	era          atomic.Uint64 // the store's era, as last reported by the store
-	calls        storeCalls
+	storeCalls   storeCalls
 	deltas       deltas
-	unread       byteQuota // of response data that callers have not read
-	peers        *http.Client
+	unreadBytes  byteQuota // of response data that callers have not read
+	peerClient   *http.Client
 	wake         chan struct{} // wakes the control loop
 }
 
@@ -122,28 +122,28 @@
 func New(identity Identity, platform Platform, logger *log.Logger) *Gateway {
 	g := &Gateway{
 		identity: identity, codec: platform.Codec, registry: platform.Registry, keys: platform.Keys,
-		clock: clock.System(), boot: clock.Boot(), log: logger, counts: newCounts(),
+		clock: clock.System(), bootClock: clock.Boot(), log: logger, metrics: newCounts(),
 		directory: fleet.NewDirectory(), services: map[string]*service{},
-		stop: newStop(), control: newControl(), fresh: newFreshness(identity.ObeyWithin), sources: newSources(identity), deltas: newDeltas(identity), peers: newPeerClient(), wake: make(chan struct{}, 1),
+		stop: newStop(), control: newControl(), freshness: newFreshness(identity.ApplyWithin), sources: newSources(identity), deltas: newDeltas(identity), peerClient: newPeerClient(), wake: make(chan struct{}, 1),
 	}
-	g.unread.most = cmp.Or(identity.ReadAhead, defaultReadAhead)
-	g.counts.set.NewGauge("cicada_unread_answer_bytes", func() float64 { return float64(g.unread.held.Load()) })
+	g.unreadBytes.most = cmp.Or(identity.ReadAheadLimit, defaultReadAhead)
+	g.metrics.set.NewGauge("cicada_unread_answer_bytes", func() float64 { return float64(g.unreadBytes.held.Load()) })
 	g.evacuationsListed.Store(identity.EvacuateWithin == 0) // without evacuations there is nothing to read
 	g.store = newCountedStore(platform.Store, g.noteStoreCall)
-	g.counts.set.NewGauge("cicada_in_flight", g.inFlight)
-	g.counts.set.NewGauge("cicada_hosts", func() float64 { return float64(g.hosts.count()) })
-	g.counts.set.NewGauge("cicada_limited_servers", g.limits.count)
-	g.counts.set.NewGauge("cicada_leaving_servers", g.leaving.count)
-	g.counts.set.NewGauge("cicada_resting_servers", g.resting)
-	g.counts.set.NewGauge("cicada_store_era", func() float64 { return float64(g.era.Load()) })
+	g.metrics.set.NewGauge("cicada_in_flight", g.inFlight)
+	g.metrics.set.NewGauge("cicada_hosts", func() float64 { return float64(g.hosts.count()) })
+	g.metrics.set.NewGauge("cicada_limited_servers", g.serverLimits.count)
+	g.metrics.set.NewGauge("cicada_leaving_servers", g.leaving.count)
+	g.metrics.set.NewGauge("cicada_resting_servers", g.resting)
+	g.metrics.set.NewGauge("cicada_store_era", func() float64 { return float64(g.era.Load()) })
 	for _, verdict := range []poison.Verdict{poison.Suspected, poison.Quarantined} {
-		g.counts.set.NewGauge(`cicada_judged_requests{verdict="`+verdict.String()+`"}`, g.judgedAs(verdict))
+		g.metrics.set.NewGauge(`cicada_judged_requests{verdict="`+verdict.String()+`"}`, g.verdictGauge(verdict))
 	}
-	g.requestLines = newLineQuota(logger, g.clock, "request")
-	g.failureLines = newLineQuota(logger, g.clock, "failed request")
-	g.callLines = newLineQuota(logger, g.clock, "key lease call")
-	g.entryLines = newLineQuota(logger, g.clock, "invalid server entry")
-	g.loadLines = newLineQuota(logger, g.clock, "server notice or place reservation")
+	g.requestLogLimit = newLineQuota(logger, g.clock, "request")
+	g.failureLogLimit = newLineQuota(logger, g.clock, "failed request")
+	g.callLogLimit = newLineQuota(logger, g.clock, "key lease call")
+	g.entryLogLimit = newLineQuota(logger, g.clock, "invalid server entry")
+	g.noticeLogLimit = newLineQuota(logger, g.clock, "server notice or place reservation")
 	return g
 }
 
@@ -151,12 +151,12 @@
 
 // Ready reports whether callers' requests should be routed to this host.
 func (g *Gateway) Ready() bool {
-	return !g.stop.stopping() && g.inForce.Current() != nil && g.listed.Load() && g.evacuationsListed.Load()
+	return !g.stop.stopping() && g.configuration.Current() != nil && g.registryListed.Load() && g.evacuationsListed.Load()
 }
 
 // Limits returns the limits on callers' requests, which the listener enforces.
 func (g *Gateway) Limits() routing.Limits {
-	if current := g.inForce.Current(); current != nil {
+	if current := g.configuration.Current(); current != nil {
 		return current.Limits
 	}
 	return routing.Limits{}
@@ -198,9 +198,9 @@
 	return keyed
 }
 
-// configure applies a configuration if it is newer than the current one.
-func (g *Gateway) configure(offered *routing.Configuration) {
-	before := g.inForce.Current()
+// applyConfiguration applies a configuration if it is newer than the current one.
+func (g *Gateway) applyConfiguration(offered *routing.Configuration) {
+	before := g.configuration.Current()
 	if before != nil && before.Version >= offered.Version {
 		if before.Version > offered.Version {
 			g.log.Info("ignoring an older configuration", "offered", offered.Version, "in-force", before.Version)
@@ -214,15 +214,15 @@
 		}
 	}
 	g.mu.Unlock()
-	g.coordinate()
+	g.ensureController()
 	g.limitCold(offered)
 	g.applyLimits()
 	// Services get their servers first: no request may match a route whose service has none
 	// yet.
-	g.distribute()
-	if g.inForce.Offer(offered) {
+	g.distributeServers()
+	if g.configuration.Offer(offered) {
 		for _, doubt := range offered.Doubts {
-			if g.failureLines.take() {
+			if g.failureLogLimit.take() {
 				g.log.Warn("configuration has a setting that can't be parsed; the strictest value is used", "version", offered.Version, "error", doubt.Error())
 			}
 		}
@@ -231,43 +231,43 @@
 	g.nudge()
 }
 
-// distribute passes servers that have changed to their services.
-func (g *Gateway) distribute() {
-	g.distributing.Lock()
-	defer g.distributing.Unlock()
-	for s, changes := range g.takeChanges() {
-		s.changeServers(changes.changed, changes.gone)
+// distributeServers passes servers that have changed to their services.
+func (g *Gateway) distributeServers() {
+	g.distributeMu.Lock()
+	defer g.distributeMu.Unlock()
+	for s, changes := range g.takeServerChanges() {
+		s.changeServers(changes.changed, changes.removed)
 	}
 }
 
 // serverChanges are the server changes that concern one service.
 type serverChanges struct {
 	changed []fleet.Server
-	gone    []string
+	removed []string
 }
 
-// takeChanges returns the changes of the directory since the last call, by service.
-func (g *Gateway) takeChanges() map[*service]serverChanges {
+// takeServerChanges returns the changes of the directory since the last call, by service.
+func (g *Gateway) takeServerChanges() map[*service]serverChanges {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	changed, gone := g.directory.Changes()
 	g.noteReplaced()
-	g.limits.retain(g.now(), g.directory.Lists)
+	g.serverLimits.retain(g.now(), g.directory.Lists)
 	g.leaving.retain(g.now(), g.directory.Lists)
 	concerns := make(map[*service]serverChanges, len(g.services))
 	for name, s := range g.services {
-		concerns[s] = g.changesOf(name, changed, gone)
+		concerns[s] = g.changesFor(name, changed, gone)
 	}
 	return concerns
 }
 
-// changesOf returns the changes as seen by one service: a server that now belongs to another
+// changesFor returns the changes as seen by one service: a server that now belongs to another
 // service is gone.
-func (g *Gateway) changesOf(service string, changed []fleet.Server, gone []string) serverChanges {
-	changes := serverChanges{gone: slices.Clone(gone)}
+func (g *Gateway) changesFor(service string, changed []fleet.Server, gone []string) serverChanges {
+	changes := serverChanges{removed: slices.Clone(gone)}
 	for _, server := range changed {
 		if server.Service != service {
-			changes.gone = append(changes.gone, server.ID)
+			changes.removed = append(changes.removed, server.ID)
 			continue
 		}
 		server.Draining = server.Draining || g.leaving.value(server.Incarnation())
@@ -276,9 +276,9 @@
 	return changes
 }
 
-// touchServer marks a server to be passed to its service again, since the server itself or
+// markServerChanged marks a server to be passed to its service again, since the server itself or
 // another host has reported something about it.
-func (g *Gateway) touchServer(server fleet.Incarnation) {
+func (g *Gateway) markServerChanged(server fleet.Incarnation) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.directory.Touch(server.ID)
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -14,12 +14,12 @@
 // calm is a site with two servers a service and one host.
 func calm(t *testing.T) (*site, *hostUnderTest) {
 	s := newSite(t)
-	s.serve("f1", "free", false)
-	s.serve("f2", "free", false)
-	s.serve("k1", "owned", true)
-	s.serve("k2", "owned", true)
+	s.startServer("f1", "free", false)
+	s.startServer("f2", "free", false)
+	s.startServer("k1", "owned", true)
+	s.startServer("k2", "owned", true)
 	s.configure(3, "")
-	return s, s.host("one")
+	return s, s.startHost("one")
 }
 
 // Method, path, query and body reach a server, and its answer the caller, as
@@ -53,7 +53,7 @@
 func TestWithoutConfiguration(t *testing.T) {
 	s := newSite(t)
 	s.store.SetFaults(platformtest.Faults{Refuse: true})
-	h := s.unready("one")
+	h := s.startUnready("one")
 	got := s.call(h, http.MethodGet, "/free/x", "", "")
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Assert(t, got.header.Get("Retry-After") != "")
@@ -151,7 +151,7 @@
 	other := &platformtest.Server{ID: "new", Slots: 8}
 	s.register("old", "free", s.listen(other), "ready")
 	s.configure(3, "")
-	h := s.host("one")
+	h := s.startHost("one")
 	got := s.call(h, http.MethodPost, "/once/x", "", "")
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Equal(t, len(other.Runs()), 0)
@@ -163,9 +163,9 @@
 	leaving := &platformtest.Server{ID: "f1", Slots: 8}
 	address := s.listen(leaving)
 	s.register("f1", "free", address, "ready")
-	s.serve("f2", "free", false)
+	s.startServer("f2", "free", false)
 	s.configure(3, "")
-	h := s.host("one")
+	h := s.startHost("one")
 	s.register("f1", "free", address, "draining")
 	s.eventually("the host knows that the server leaves", func() bool {
 		before := len(leaving.Runs())
@@ -203,7 +203,7 @@
 	address := strings.TrimPrefix(unused.URL, "http://")
 	unused.Close()
 	s.register("f0", "free", address, "ready")
-	s.serve("f3", "free", false)
+	s.startServer("f3", "free", false)
 	s.eventually("the host knows the last server", func() bool {
 		s.call(h, http.MethodGet, "/free/x", "", "")
 		return s.runs("f3") > 0
--- a/gateway/keys_test.go
+++ b/gateway/keys_test.go
@@ -47,11 +47,11 @@
 // keys; one that leaves is emptied, by hand-over.
 func TestKeysFollowServers(t *testing.T) {
 	s, h := calm(t)
-	second := s.host("two")
+	second := s.startHost("two")
 	s.eventually("all keys are served", func() bool { return s.allServed(h) && s.allServed(second) })
 	s.heldOnce("k1", "k2")
 
-	s.serve("k3", "owned", true)
+	s.startServer("k3", "owned", true)
 	s.eventually("the server that joined runs requests", func() bool { return s.allServed(h) && s.runs("k3") > 0 })
 	s.heldOnce("k1", "k2", "k3")
 
@@ -73,7 +73,7 @@
 func TestControllerIsReplaced(t *testing.T) {
 	s, first := calm(t)
 	s.eventually("all keys are served", func() bool { return s.allServed(first) })
-	second := s.host("two")
+	second := s.startHost("two")
 	first.kill()
 	s.eventually("keys are still served", func() bool { return s.allServed(second) })
 	s.remove("servers", "k1")
@@ -92,7 +92,7 @@
 	s.eventually("the host has noticed", func() bool { return s.store.Calls() > before+10 })
 	assert.Assert(t, s.allServed(h))
 	s.store.SetFaults(platformtest.Faults{})
-	s.serve("k3", "owned", true)
+	s.startServer("k3", "owned", true)
 	s.eventually("a server that joined later gets keys", func() bool { return s.allServed(h) && s.runs("k3") > 0 })
 }
 
@@ -102,7 +102,7 @@
 func TestMissedChangeIsFoundOut(t *testing.T) {
 	s, h := calm(t)
 	s.eventually("all keys are served", func() bool { return s.allServed(h) })
-	second := s.host("two")
+	second := s.startHost("two")
 	s.store.Deafen()
 	s.configure(9, `,{"name":"more","path-prefix":"/more/","kind":"safe","timeout":"5000ms","service":"free","max-attempts":1}`)
 	s.eventually("both hosts serve the new route", func() bool {
@@ -119,14 +119,14 @@
 func TestMovesReachHostsThoughTheControllersWatchIsDeaf(t *testing.T) {
 	s, h := calm(t)
 	s.eventually("all keys are served", func() bool { return s.allServed(h) })
-	second := s.host("two")
+	second := s.startHost("two")
 	s.eventually("the second host serves them too", func() bool { return s.allServed(second) })
 	s.eventually("the hosts watch through the controller", func() bool {
 		calls := s.store.Calls()
 		return s.allServed(second) && s.store.Calls() == calls
 	})
 	s.store.Deafen()
-	s.serve("k3", "owned", true)
+	s.startServer("k3", "owned", true)
 	s.eventually("both hosts send to the server that joined", func() bool {
 		before := s.runs("k3")
 		ok := s.allServed(h)
@@ -186,12 +186,12 @@
 		s.put("servers", name, spec)
 	}
 	s.put("servers", "f1", `{"service":"free"}`)
-	s.serve("f3", "free", false)
+	s.startServer("f3", "free", false)
 	s.eventually("the host has heard of the last entry", func() bool {
 		s.call(h, http.MethodGet, "/free/x", "", "")
 		return s.runs("f3") > 0
 	})
-	second := s.host("two") // reads the entries from a list, the first host as changes
+	second := s.startHost("two") // reads the entries from a list, the first host as changes
 	before := s.runs("f1")
 	for range 40 {
 		assert.Equal(t, s.call(h, http.MethodGet, "/free/x", "", "").status, http.StatusOK)
@@ -216,12 +216,12 @@
 	before := s.store.Calls()
 	s.store.SetFaults(platformtest.Faults{Refuse: true})
 	s.eventually("the host has noticed", func() bool { return s.store.Calls() > before+3 })
-	h.gateway.Stop(patience)
+	h.gateway.Stop(waitTimeout)
 	granted := len(s.servers["k1"].Tokens())
 	more := len(s.assignment().Ranges) * 3 / 4 // half of the ranges are the server's: over one round
 	s.eventually("leases are renewed", func() bool { return len(s.servers["k1"].Tokens()) > granted+more })
 	s.store.SetFaults(platformtest.Faults{})
-	second := s.host("two")
+	second := s.startHost("two")
 	s.eventually("another host takes over", func() bool { return s.assignment().Controller.Host == "two" && s.allServed(second) })
 }
 
--- a/gateway/keyview.go
+++ b/gateway/keyview.go
@@ -16,33 +16,33 @@
 	mu       sync.RWMutex
 	revision uint64
 	record   *keyspace.Record
-	// forgotten is set while the store, restored from a backup, holds an older record than this
-	// one. revision is that of the record in the store even then.
-	forgotten bool
-	seen      time.Duration                // when record was received
-	present   map[string]fleet.Incarnation // registered servers by ID
-	vacant    map[uint16]time.Duration     // since when a range has had no owner, by its first key
+	// storeRolledBack is set while the store, restored from a backup, holds an older record
+	// than this one. revision is that of the record in the store even then.
+	storeRolledBack bool
+	receivedAt      time.Duration                // when record was received
+	registered      map[string]fleet.Incarnation // registered servers by ID
+	ownerlessSince  map[uint16]time.Duration     // since when a range has had no owner, by its first key
 }
 
 func newKeyView(now func() time.Duration) *keyView {
-	return &keyView{now: now, present: map[string]fleet.Incarnation{}, vacant: map[uint16]time.Duration{}}
+	return &keyView{now: now, registered: map[string]fleet.Incarnation{}, ownerlessSince: map[uint16]time.Duration{}}
 }
 
-// offer stores a record unless a newer one is known, and reports whether it did. A late answer,
+// update stores a record unless a newer one is known, and reports whether it did. A late answer,
 // or a store that was restored from a backup, must not bring back owners that have lost their
 // keys.
-func (v *keyView) offer(version uint64, record *keyspace.Record) bool {
+func (v *keyView) update(version uint64, record *keyspace.Record) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if version <= v.revision {
 		return false
 	}
-	v.forgotten = v.forgotten || v.record != nil && revision.Era(version) > revision.Era(v.revision)
+	v.storeRolledBack = v.storeRolledBack || v.record != nil && revision.Era(version) > revision.Era(v.revision)
 	v.revision = version
-	if v.forgotten && record.OlderThan(v.record) {
+	if v.storeRolledBack && record.OlderThan(v.record) {
 		return false
 	}
-	v.record, v.seen, v.forgotten = record, v.now(), false
+	v.record, v.receivedAt, v.storeRolledBack = record, v.now(), false
 	return true
 }
 
@@ -58,19 +58,19 @@
 func (v *keyView) age() time.Duration {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	return v.now() - v.seen
+	return v.now() - v.receivedAt
 }
 
-// changePresent updates the registered servers: changed ones, and the IDs of those that are no
+// updateServers updates the registered servers: changed ones, and the IDs of those that are no
 // longer registered.
-func (v *keyView) changePresent(changed []fleet.Server, gone []string) {
+func (v *keyView) updateServers(changed []fleet.Server, gone []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, id := range gone {
-		delete(v.present, id)
+		delete(v.registered, id)
 	}
 	for i := range changed {
-		v.present[changed[i].ID] = changed[i].Incarnation()
+		v.registered[changed[i].ID] = changed[i].Incarnation()
 	}
 }
 
@@ -85,41 +85,41 @@
 	if r == nil {
 		return "", 0
 	}
-	if !r.Moving() && v.runs(r.Holder) {
-		delete(v.vacant, r.From)
+	if !r.Moving() && v.isRunning(r.Holder) {
+		delete(v.ownerlessSince, r.From)
 		return r.Server, 0
 	}
-	return "", v.backAt(r)
+	return "", v.ownerExpectedAt(r)
 }
 
-// runs reports whether a holder is registered and has not been restarted since: a later
+// isRunning reports whether a holder is registered and has not been restarted since: a later
 // incarnation holds nothing until the record names it.
-func (v *keyView) runs(holder keyspace.Holder) bool {
-	incarnation, registered := v.present[holder.Server]
+func (v *keyView) isRunning(holder keyspace.Holder) bool {
+	incarnation, registered := v.registered[holder.Server]
 	return registered && !incarnation.Replaces(holder.Incarnation())
 }
 
-// backAt estimates when a range will have an owner again; 0 means soon. A former holder that is
-// still registered releases the range once its running requests have finished; one that is gone
-// holds it until its lease has expired.
-func (v *keyView) backAt(r *keyspace.Range) time.Duration {
-	since, known := v.vacant[r.From]
+// ownerExpectedAt estimates when a range will have an owner again; 0 means soon. A former
+// holder that is still registered releases the range once its running requests have finished;
+// one that is gone holds it until its lease has expired.
+func (v *keyView) ownerExpectedAt(r *keyspace.Range) time.Duration {
+	since, known := v.ownerlessSince[r.From]
 	if !known {
 		since = v.now()
-		v.vacant[r.From] = since
+		v.ownerlessSince[r.From] = since
 	}
-	_, alive := v.present[r.Server] // even if restarted: it is then granted the keys at once
+	_, alive := v.registered[r.Server] // even if restarted: it is then granted the keys at once
 	lost := !r.Moving() && !alive
 	for _, former := range r.Former {
-		_, registered := v.present[former.Server]
+		_, registered := v.registered[former.Server]
 		lost = lost || !registered
 	}
 	if !lost {
 		return 0
 	}
-	return max(since+keyspace.LeaseTerm, v.now()+leastVacancy)
+	return max(since+keyspace.LeaseTerm, v.now()+minVacancy)
 }
 
-// leastVacancy is the minimum time for which the keys of a lost owner are expected to stay
+// minVacancy is the minimum time for which the keys of a lost owner are expected to stay
 // without an owner.
-const leastVacancy = 300 * time.Millisecond
+const minVacancy = 300 * time.Millisecond
--- a/gateway/leaving.go
+++ b/gateway/leaving.go
@@ -18,8 +18,8 @@
 	if _, changed := g.leaving.take(h.server, news); !changed {
 		return
 	}
-	g.touchServer(h.server)
-	if g.failureLines.take() {
+	g.markServerChanged(h.server)
+	if g.failureLogLimit.take() {
 		g.log.Info("server says whether it leaves", "server", h.server.String(), "leaving", h.Leaving, "call", h.call, "request", h.request,
 			"answered-ms", (news.Heard - news.Sent).Milliseconds())
 	}
@@ -28,19 +28,19 @@
 
 // tellLeaving adds to a report what the controller has not heard of, and returns up to which
 // change that is all.
-func (g *Gateway) tellLeaving(c *controller, report *loadReport) uint64 {
+func (g *Gateway) tellLeaving(c *serviceControl, report *loadReport) uint64 {
 	var upTo uint64
 	report.Leaving, upTo = g.leaving.tell(g.now(), c.news.leaving.told)
-	report.KnownLeaving = c.news.leaving.heard
+	report.KnownLeaving = c.news.leaving.received
 	c.news.leaving.sent = upTo
 	return upTo
 }
 
 // hearReportedLeaving takes what the controller told with its answer to a report.
-func (g *Gateway) hearReportedLeaving(c *controller, e *reportEnded) {
+func (g *Gateway) hearReportedLeaving(c *serviceControl, e *reportResult) {
 	before := g.leaving.changes()
 	g.hearLeaving(e.answer.Leaving, e.to.Host)
-	c.news.leaving.took(before, g.leaving.changes(), e.leavingUpTo, e.answer.LeavingUpTo)
+	c.news.leaving.noteAnswer(before, g.leaving.changes(), e.leavingUpTo, e.answer.LeavingUpTo)
 }
 
 // hearLeaving takes what another host told of servers that leave.
@@ -50,9 +50,9 @@
 		_, changed := g.leaving.take(each.Server, each.News(g.now()))
 		any = any || changed
 		if changed {
-			g.touchServer(each.Server)
+			g.markServerChanged(each.Server)
 		}
-		if changed && g.failureLines.take() {
+		if changed && g.failureLogLimit.take() {
 			g.log.Info("heard whether a server leaves", "teller", teller, "server", each.Server.String(), "leaving", each.Value, "age-ms", each.HeardAgo)
 		}
 	}
@@ -86,7 +86,7 @@
 // doubtfullyLeaving returns the servers whose word that they leave is doubted.
 func (g *Gateway) doubtfullyLeaving() []fleet.Server {
 	now := g.now()
-	if g.fresh.ageNow(now) >= g.fresh.vouchedFor() {
+	if g.freshness.ageNow(now) >= g.freshness.vouchedFor() {
 		return nil
 	}
 	g.mu.Lock()
@@ -108,14 +108,14 @@
 // askLeaving makes a health check.
 func (g *Gateway) askLeaving(ctx context.Context, server fleet.Server) {
 	backend := adapter.Backend{Server: server}
-	if current := g.inForce.Current(); current != nil {
+	if current := g.configuration.Current(); current != nil {
 		backend.HealthPath = current.Services[server.Service].HealthPath
 	}
 	go func() {
 		asking, cancel := context.WithTimeout(ctx, grantTimeout)
 		defer cancel()
 		health, err := g.checkHealth(asking, backend)
-		if g.failureLines.take() {
+		if g.failureLogLimit.take() {
 			g.log.Info("asked a server that said that it leaves and whose entry says ready", "server", server.Incarnation().String(),
 				"healthy", health.Healthy, "leaving", health.Leaving, "error", errorText(err))
 		}
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -99,7 +99,7 @@
 	s := limitSite(t, 2)
 	s.leave(s.hosts[0], "k1")
 	s.knowsLeaving(s.hosts...)
-	s.knowsLeaving(s.host("host-late"))
+	s.knowsLeaving(s.startHost("host-late"))
 }
 
 // Guards against a server that is lost to a wrong word: it said that it leaves, stays, and its
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -9,17 +9,17 @@
 
 // noteLimit takes what an answer says of its server's limit.
 func (g *Gateway) noteLimit(h hearing) {
-	if h.Limit == 0 && !(g.limits.any.Load() && h.ran) {
+	if h.Limit == 0 && !(g.serverLimits.any.Load() && h.ran) {
 		return // only an answer to a request that ran says that the server needs no limit
 	}
 	news := notice.News[float64]{Value: h.Limit, Sent: h.sent, Heard: g.now()}
-	before, changed := g.limits.take(h.server, news)
+	before, changed := g.serverLimits.take(h.server, news)
 	if !changed {
 		return
 	}
 	g.applyLimits()
 	g.nudge() // the others are to hear of it at once
-	if g.failureLines.take() {
+	if g.failureLogLimit.take() {
 		g.log.Info("server's limit changed", "request", h.request, "call", h.call, "server", h.server.String(),
 			"per-second", news.Value, "before", before, "answered-ms", (news.Heard - news.Sent).Milliseconds())
 	}
@@ -30,7 +30,7 @@
 func (g *Gateway) applyLimits() {
 	g.applyingLimits.Lock()
 	defer g.applyingLimits.Unlock()
-	limits, hosts := g.limits.inForce(), g.hosts.count()
+	limits, hosts := g.serverLimits.inForce(), g.hosts.count()
 	for _, s := range g.allServices() {
 		s.setLimits(limits, hosts)
 	}
@@ -63,27 +63,27 @@
 
 // tellLimits adds to a report what the controller has not heard of, and returns up to which
 // change that is all.
-func (g *Gateway) tellLimits(c *controller, report *loadReport) uint64 {
-	told, upTo := g.limits.tell(g.now(), c.news.limits.told)
-	report.Limits, report.KnownLimits = limitsTold(told), c.news.limits.heard
+func (g *Gateway) tellLimits(c *serviceControl, report *loadReport) uint64 {
+	told, upTo := g.serverLimits.tell(g.now(), c.news.limits.told)
+	report.Limits, report.KnownLimits = limitsTold(told), c.news.limits.received
 	c.news.limits.sent = upTo
 	return upTo
 }
 
 // hearReportedLimits takes what the controller told with its answer to a report.
-func (g *Gateway) hearReportedLimits(c *controller, e *reportEnded) {
-	before := g.limits.changes()
+func (g *Gateway) hearReportedLimits(c *serviceControl, e *reportResult) {
+	before := g.serverLimits.changes()
 	g.hearLimits(e.answer.Limits, e.to.Host)
-	c.news.limits.took(before, g.limits.changes(), e.limitsUpTo, e.answer.LimitsUpTo)
+	c.news.limits.noteAnswer(before, g.serverLimits.changes(), e.limitsUpTo, e.answer.LimitsUpTo)
 }
 
 // hearLimits takes what another host told of limits.
 func (g *Gateway) hearLimits(told []limitTold, teller string) {
 	changed := false
 	for _, each := range told {
-		before, news := g.limits.take(each.Server, each.news(g.now()))
+		before, news := g.serverLimits.take(each.Server, each.news(g.now()))
 		changed = changed || news
-		if news && g.failureLines.take() {
+		if news && g.failureLogLimit.take() {
 			g.log.Info("heard that a server's limit changed", "teller", teller, "server", each.Server.String(),
 				"per-second", each.PerSecond, "before", before, "age-ms", each.HeardAgo)
 		}
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -64,12 +64,12 @@
 	t.Helper()
 	s := newSite(t)
 	for i := range 4 {
-		s.serve(fmt.Sprintf("f%d", i), "free", false)
-		s.serve(fmt.Sprintf("k%d", i), "owned", true)
+		s.startServer(fmt.Sprintf("f%d", i), "free", false)
+		s.startServer(fmt.Sprintf("k%d", i), "owned", true)
 	}
 	s.configure(3, "")
 	for i := range hosts {
-		s.host(fmt.Sprintf("host-%d", i))
+		s.startHost(fmt.Sprintf("host-%d", i))
 	}
 	s.eventually("keys are served", func() bool {
 		for key := 0; key < 65536; key += 4096 {
@@ -139,20 +139,20 @@
 func TestHostsWithoutKeyedServicesHaveAController(t *testing.T) {
 	s := newSite(t)
 	deadly := &platformtest.Deadly{Path: "/free/deadly"}
-	s.serveMortal(&mortals{deadly: deadly, service: "free", count: 6, lives: 3})
+	s.startCrashing(&crashingServers{deadly: deadly, service: "free", count: 6, maxRestarts: 3})
 	for i := range 3 {
-		s.serve(fmt.Sprintf("f%d", i), "free", false)
+		s.startServer(fmt.Sprintf("f%d", i), "free", false)
 	}
 	s.configureKeyless(3)
 	for i := range 3 {
-		s.host(fmt.Sprintf("host-%d", i))
+		s.startHost(fmt.Sprintf("host-%d", i))
 	}
 	s.eventually("three servers have ended", func() bool {
 		s.call(s.hosts[0], http.MethodGet, "/free/deadly", "", "")
 		return deadly.Ended() >= 3
 	})
 	for _, h := range s.hosts {
-		s.knows(h)
+		s.waitQuarantined(h)
 	}
 	for i := range 3 {
 		s.servers[fmt.Sprintf("f%d", i)].SetLimit(3)
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -62,14 +62,14 @@
 
 // WriteMetrics writes the metrics in the text exposition format.
 func (g *Gateway) WriteMetrics(out io.Writer) {
-	g.counts.set.WritePrometheus(out)
+	g.metrics.set.WritePrometheus(out)
 	metrics.WriteProcessMetrics(out)
 }
 
 // finished counts a request's final answer.
 func (g *Gateway) finished(req *request, answer *reply) {
-	g.counts.set.GetOrCreateCounter(`cicada_requests_total{outcome="` + answer.outcome + `"}`).Inc()
-	g.counts.latency.Update((g.now() - req.arrived).Seconds())
+	g.metrics.set.GetOrCreateCounter(`cicada_requests_total{outcome="` + answer.outcome + `"}`).Inc()
+	g.metrics.latency.Update((g.now() - req.arrived).Seconds())
 }
 
 // linesPerSecond is the most lines of one kind that are written each second:
@@ -113,9 +113,9 @@
 
 // logRequest writes the line that tells how a request ended, and on what ground.
 func (g *Gateway) logRequest(req *request, answer *reply) {
-	quota := g.failureLines
+	quota := g.failureLogLimit
 	if answer.outcome == outcomeAnswered && answer.status < http.StatusInternalServerError {
-		quota = g.requestLines
+		quota = g.requestLogLimit
 	}
 	if !quota.take() {
 		return
@@ -152,7 +152,7 @@
 
 // logRetry writes the line of an attempt that did not settle a request.
 func (g *Gateway) logRetry(req *request, result attemptResult) {
-	if !g.failureLines.take() {
+	if !g.failureLogLimit.take() {
 		return
 	}
 	fields := []any{"request", req.ID, "server", result.server, "sent", result.sent, "not-run", result.notRun,
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -58,8 +58,8 @@
 // noteUnreadable counts what a server tells and nobody can read. Nothing else shows it.
 func (g *Gateway) noteUnreadable(h hearing) {
 	for _, err := range h.Unreadable {
-		g.counts.unreadableNotice(err.Field).Inc()
-		if g.loadLines.take() {
+		g.metrics.unreadableNotice(err.Field).Inc()
+		if g.noticeLogLimit.take() {
 			g.log.Warn("server tells what can't be read; what was known stays", "server", h.server.String(), "call", h.call, "request", h.request, "error", err.Error())
 		}
 	}
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -24,13 +24,13 @@
 	unreadable := []*adapter.FieldError{{Field: "some", Value: "x", Fix: "y"}}
 	g.hear(hearing{server: server, call: callRequest, sent: later, ran: true, Notice: adapter.Notice{Unreadable: unreadable}})
 	g.hear(hearing{server: server, call: callHealth, sent: later, healthy: true, Notice: adapter.Notice{Unreadable: unreadable}})
-	assert.Equal(t, g.limits.value(server), 3.0)
+	assert.Equal(t, g.serverLimits.value(server), 3.0)
 	assert.Assert(t, g.leaving.value(server))
 	g.hear(hearing{server: server, call: callHealth, sent: later, healthy: true})
-	assert.Equal(t, g.limits.value(server), 3.0, "health answers need not name it")
+	assert.Equal(t, g.serverLimits.value(server), 3.0, "health answers need not name it")
 	assert.Assert(t, !g.leaving.value(server))
 	g.hear(hearing{server: server, call: callRequest, sent: later, ran: true})
-	assert.Equal(t, g.limits.value(server), 0.0)
+	assert.Equal(t, g.serverLimits.value(server), 0.0)
 }
 
 // Guards against a limit that a host knows and does not keep: two limits came at the same time,
@@ -47,7 +47,7 @@
 				g.hear(limitNamed(fleet.Incarnation{ID: fmt.Sprint(i)}))
 			})
 		}
-		for g.limits.count() < servers {
+		for g.serverLimits.count() < servers {
 			runtime.Gosched()
 		}
 		s.mu.Unlock()
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -34,9 +34,9 @@
 const (
 	// peerTimeout bounds a call to another host.
 	peerTimeout = 500 * time.Millisecond
-	// mostPeerBody is the maximum size of a message between hosts, in bytes. A report has at
+	// maxPeerBody is the maximum size of a message between hosts, in bytes. A report has at
 	// most one entry per key.
-	mostPeerBody = 2 << 20
+	maxPeerBody = 2 << 20
 )
 
 // loadReport reports to a controller the load of keys since the host's last report, and what
@@ -135,8 +135,8 @@
 	return fmt.Sprintf("host %s answered with status %d", e.Host, e.Status)
 }
 
-// askPeer calls another host.
-func (g *Gateway) askPeer(ctx context.Context, timeout time.Duration, address, path string, body, into any) error {
+// callPeer calls another host.
+func (g *Gateway) callPeer(ctx context.Context, timeout time.Duration, address, path string, body, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	encoded, err := json.Marshal(body)
@@ -147,7 +147,7 @@
 	if err != nil {
 		return eris.Wrap(err, "creating a request to a host")
 	}
-	response, err := g.peers.Do(request)
+	response, err := g.peerClient.Do(request)
 	if err != nil {
 		return eris.Wrap(err, "sending a request to a host")
 	}
@@ -155,12 +155,12 @@
 	if response.StatusCode != http.StatusOK {
 		return &peerStatusError{Host: address, Status: response.StatusCode}
 	}
-	return json.NewDecoder(io.LimitReader(response.Body, mostPeerBody)).Decode(into)
+	return json.NewDecoder(io.LimitReader(response.Body, maxPeerBody)).Decode(into)
 }
 
-// reportEnded is the result of a load report to a controller.
-type reportEnded struct {
-	controller  *controller
+// reportResult is the result of a load report to a controller.
+type reportResult struct {
+	control     *serviceControl
 	to          keyspace.Controller
 	casesUpTo   uint64 // last change of this host's ledger that the report includes
 	limitsUpTo  uint64 // likewise for limits
@@ -169,49 +169,49 @@
 	err         error
 }
 
-func (g *Gateway) sendReport(ctx context.Context, c *controller, to keyspace.Controller) {
+func (g *Gateway) sendReport(ctx context.Context, c *serviceControl, to keyspace.Controller) {
 	load := c.service.takeLoad()
-	report := loadReport{Service: c.service.name, Host: g.identity.Host, Address: g.identity.Peers, Domain: g.identity.Domain,
+	report := loadReport{Service: c.service.name, Host: g.identity.Host, Address: g.identity.PeerAddress, Domain: g.identity.Domain,
 		Small: g.identity.Small, Asked: map[uint16]int64{},
 		WorkMicros: load.work.Microseconds(), Paces: load.paces, Resting: c.service.longRests()}
 	for key, asked := range load.asked {
 		report.Asked[key] = asked.Microseconds()
 	}
-	casesUpTo := g.tellCases(c, &report)
+	casesUpTo := g.addCases(c, &report)
 	limitsUpTo := g.tellLimits(c, &report)
 	leavingUpTo := g.tellLeaving(c, &report)
 	go func() {
-		result := &reportEnded{controller: c, to: to, casesUpTo: casesUpTo, limitsUpTo: limitsUpTo, leavingUpTo: leavingUpTo}
-		result.err = g.askPeer(ctx, peerTimeout, to.Address, pathLoad, report, &result.answer)
-		g.post(ctx, result)
+		result := &reportResult{control: c, to: to, casesUpTo: casesUpTo, limitsUpTo: limitsUpTo, leavingUpTo: leavingUpTo}
+		result.err = g.callPeer(ctx, peerTimeout, to.Address, pathLoad, report, &result.answer)
+		g.postEvent(ctx, result)
 	}()
 }
 
 // apply implements event.
-func (e *reportEnded) apply(g *Gateway, now time.Duration) {
-	c := e.controller
-	c.news.reporting = false
+func (e *reportResult) apply(g *Gateway, now time.Duration) {
+	c := e.control
+	c.news.reportInFlight = false
 	switch {
 	case e.err != nil:
-		g.fresh.doubt()
+		g.freshness.doubt()
 		g.log.Info("controller did not answer a report", "service", c.service.name, "controller", e.to.Host,
-			"unheard-ms", (now - c.heard).Milliseconds(), "error", e.err.Error())
+			"unheard-ms", (now - c.answeredAt).Milliseconds(), "error", e.err.Error())
 	case e.answer.Incarnation == e.to.Incarnation && e.answer.Claiming:
 		g.log.Info("controller does not know yet that its claim was accepted", "service", c.service.name, "controller", e.to.Host)
 	case e.answer.Incarnation != e.to.Incarnation || !e.answer.Controls:
 		g.log.Info("controller is gone: another process answers, or it has stepped down", "service", c.service.name, "controller", e.to.Host)
-		c.heard = min(c.heard, now-silentAfter)
-	case time.Duration(e.answer.StoreAgeMs)*time.Millisecond > storelessAfter:
+		c.answeredAt = min(c.answeredAt, now-controllerTimeout)
+	case time.Duration(e.answer.StoreAgeMs)*time.Millisecond > storeContactTimeout:
 		// The controller still renews leases but can't move keys. A host that can reach the
 		// store can.
-		c.heard = min(c.heard, now-silentAfter)
+		c.answeredAt = min(c.answeredAt, now-controllerTimeout)
 	default:
-		c.heard = now
-		g.reach.back() // what this host can't read from the store, it gets from the controller
+		c.answeredAt = now
+		g.storeReach.back() // what this host can't read from the store, it gets from the controller
 		g.sources.name(e.answer.Relays, e.answer.FollowRelays)
 		c.service.setShares(e.answer.Shares)
-		if e.to.Incarnation == c.heardOf { // a newer controller gets everything again
-			g.hearCases(c, e)
+		if e.to.Incarnation == c.answeredBy { // a newer controller gets everything again
+			g.mergeReportedCases(c, e)
 			g.hearReportedLimits(c, e)
 			g.hearReportedLeaving(c, e)
 		}
@@ -219,47 +219,47 @@
 		receivedAt := g.now()
 		confirmed := receivedAt - time.Duration(e.answer.StoreAgeMs)*time.Millisecond
 		vouch := word{confirmed: confirmed, teller: e.to.Address, source: g.sources.upstream(e.to.Address), revisions: e.answer.Revisions}
-		if behind := g.fresh.told(receivedAt, vouch); len(behind) > 0 {
+		if behind := g.freshness.told(receivedAt, vouch); len(behind) > 0 {
 			g.sources.pass(vouch.source)
 			g.log.Warn("watches were behind", "kinds", behind, "controller", e.to.Host, "source", vouch.source)
 		}
 	}
 }
 
-// yieldEnded is a predecessor's answer to a yieldRequest.
-type yieldEnded struct {
-	controller *controller
-	machine    *keyspace.Machine
-	asked      keyspace.Controller
-	answer     yieldAnswer
-	err        error
+// yieldResult is a predecessor's answer to a yieldRequest.
+type yieldResult struct {
+	control     *serviceControl
+	machine     *keyspace.Machine
+	predecessor keyspace.Controller
+	answer      yieldAnswer
+	err         error
 }
 
-func (g *Gateway) startYield(ctx context.Context, c *controller, predecessor keyspace.Controller) {
+func (g *Gateway) startYield(ctx context.Context, c *serviceControl, predecessor keyspace.Controller) {
 	machine := c.machine
 	request := yieldRequest{Service: c.service.name, Term: machine.Record().Term}
 	go func() {
-		result := &yieldEnded{controller: c, machine: machine, asked: predecessor}
-		result.err = g.askPeer(ctx, peerTimeout, predecessor.Address, pathYield, request, &result.answer)
-		g.post(ctx, result)
+		result := &yieldResult{control: c, machine: machine, predecessor: predecessor}
+		result.err = g.callPeer(ctx, peerTimeout, predecessor.Address, pathYield, request, &result.answer)
+		g.postEvent(ctx, result)
 	}()
 }
 
 // apply implements event.
-func (e *yieldEnded) apply(g *Gateway, now time.Duration) {
-	c := e.controller
+func (e *yieldResult) apply(g *Gateway, now time.Duration) {
+	c := e.control
 	if c.machine != e.machine || e.err != nil {
 		return
 	}
-	if e.answer.Incarnation == e.asked.Incarnation && !e.answer.Stopped {
+	if e.answer.Incarnation == e.predecessor.Incarnation && !e.answer.Stopped {
 		return
 	}
-	g.log.Info("predecessor has stopped", "service", c.service.name, "predecessor", e.asked.Host, "restarted", e.answer.Incarnation != e.asked.Incarnation)
-	c.machine.Stopped(now, e.asked)
+	g.log.Info("predecessor has stopped", "service", c.service.name, "predecessor", e.predecessor.Host, "restarted", e.answer.Incarnation != e.predecessor.Incarnation)
+	c.machine.Stopped(now, e.predecessor)
 }
 
-// peerCall is a request by another host that the control loop answers.
-type peerCall struct {
+// peerRequest is a request by another host that the control loop answers.
+type peerRequest struct {
 	load   *loadReport
 	yield  *yieldRequest
 	places *placesRequest
@@ -267,22 +267,22 @@
 }
 
 // apply implements event.
-func (p *peerCall) apply(g *Gateway, now time.Duration) {
+func (p *peerRequest) apply(g *Gateway, now time.Duration) {
 	switch {
 	case p.load != nil:
-		p.answer <- g.takeReport(p.load, now)
+		p.answer <- g.handleReport(p.load, now)
 	case p.places != nil:
 		p.answer <- g.givePlaces(p.places, now)
 	default:
-		p.answer <- g.yieldTo(p.yield)
+		p.answer <- g.handleYield(p.yield)
 	}
 }
 
-func (g *Gateway) takeReport(report *loadReport, now time.Duration) loadAnswer {
+func (g *Gateway) handleReport(report *loadReport, now time.Duration) loadAnswer {
 	answer := loadAnswer{Incarnation: g.identity.Incarnation}
 	c := g.control.services[report.Service]
 	if c == nil || c.machine == nil {
-		answer.Claiming = c != nil && c.claiming
+		answer.Claiming = c != nil && c.claimInFlight
 		return answer
 	}
 	asked := make(map[uint16]time.Duration, len(report.Asked))
@@ -291,24 +291,24 @@
 	}
 	c.machine.Loads().Add(now, asked, time.Duration(report.WorkMicros)*time.Microsecond)
 	c.service.learn(report.Paces)
-	c.members.note(report.Host, member{address: report.Address, domain: report.Domain, small: report.Small, seen: now, resting: report.Resting})
-	g.takeCases(report.Cases, report.Host)
+	c.members.add(report.Host, member{address: report.Address, domain: report.Domain, small: report.Small, lastSeen: now, resting: report.Resting})
+	g.mergeCases(report.Cases, report.Host)
 	answer.Cases, answer.CasesUpTo = g.casesFor(report.KnownCases)
 	g.hearLimits(report.Limits, report.Host)
-	limits, upTo := g.limits.tell(g.now(), report.KnownLimits)
+	limits, upTo := g.serverLimits.tell(g.now(), report.KnownLimits)
 	answer.Limits, answer.LimitsUpTo = limitsTold(limits), upTo
 	g.hearLeaving(report.Leaving, report.Host)
 	answer.Leaving, answer.LeavingUpTo = g.leaving.tell(g.now(), report.KnownLeaving)
 	answer.Relays = c.members.relaysFor(report.Host, report.Domain, now)
 	answer.Hosts = g.hosts.count()
-	answer.FollowRelays = len(c.members.hosts) > mostFollowers
+	answer.FollowRelays = len(c.members.hosts) > maxDirectFollowers
 	answer.Controls, answer.Shares = true, c.shares
-	answer.Revisions = g.fresh.revisions()
+	answer.Revisions = g.freshness.revisions()
 	answer.StoreAgeMs = c.machine.ConfirmedAge(now).Milliseconds()
 	return answer
 }
 
-func (g *Gateway) yieldTo(request *yieldRequest) yieldAnswer {
+func (g *Gateway) handleYield(request *yieldRequest) yieldAnswer {
 	answer := yieldAnswer{Incarnation: g.identity.Incarnation}
 	c := g.control.services[request.Service]
 	if c != nil && c.machine != nil {
@@ -318,7 +318,7 @@
 		g.stepDown(c, "requested by a successor", "")
 	}
 	if c != nil {
-		c.yielded = max(c.yielded, request.Term)
+		c.yieldedTerm = max(c.yieldedTerm, request.Term)
 	}
 	answer.Stopped = true
 	return answer
@@ -329,20 +329,20 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+pathLoad, func(w http.ResponseWriter, r *http.Request) {
 		var report loadReport
-		if g.readPeer(w, r, &report) {
-			g.answerPeer(w, r, &peerCall{load: &report})
+		if g.decodePeerRequest(w, r, &report) {
+			g.serveInControlLoop(w, r, &peerRequest{load: &report})
 		}
 	})
 	mux.HandleFunc("POST "+pathYield, func(w http.ResponseWriter, r *http.Request) {
 		var request yieldRequest
-		if g.readPeer(w, r, &request) {
-			g.answerPeer(w, r, &peerCall{yield: &request})
+		if g.decodePeerRequest(w, r, &request) {
+			g.serveInControlLoop(w, r, &peerRequest{yield: &request})
 		}
 	})
 	mux.HandleFunc("POST "+pathPlaces, func(w http.ResponseWriter, r *http.Request) {
 		var request placesRequest
-		if g.readPeer(w, r, &request) {
-			g.answerPeer(w, r, &peerCall{places: &request})
+		if g.decodePeerRequest(w, r, &request) {
+			g.serveInControlLoop(w, r, &peerRequest{places: &request})
 		}
 	})
 	mux.HandleFunc("POST "+pathWatch, g.answerWatch)
@@ -351,8 +351,8 @@
 	return mux
 }
 
-func (g *Gateway) readPeer(w http.ResponseWriter, r *http.Request, into any) bool {
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostPeerBody)).Decode(into)
+func (g *Gateway) decodePeerRequest(w http.ResponseWriter, r *http.Request, into any) bool {
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxPeerBody)).Decode(into)
 	if err != nil {
 		g.log.Warn("can't decode a request by another host", "path", r.URL.Path, "error", err.Error())
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -360,19 +360,19 @@
 	return err == nil
 }
 
-func (g *Gateway) answerPeer(w http.ResponseWriter, r *http.Request, call *peerCall) {
+func (g *Gateway) serveInControlLoop(w http.ResponseWriter, r *http.Request, call *peerRequest) {
 	call.answer = make(chan any, 1)
 	if !g.control.events.Offer(call) {
-		g.counts.crowdedOut.Inc()
-		if g.callLines.take() {
-			g.log.Warn("request by another host rejected: the control loop's event queue is full", "path", r.URL.Path, "most", mostEvents)
+		g.metrics.crowdedOut.Inc()
+		if g.callLogLimit.take() {
+			g.log.Warn("request by another host rejected: the control loop's event queue is full", "path", r.URL.Path, "most", maxQueuedEvents)
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	select {
 	case answer := <-call.answer:
-		g.writePeer(w, r, answer)
+		g.writePeerResponse(w, r, answer)
 	case <-r.Context().Done():
 	}
 }
--- a/gateway/pipeline_test.go
+++ b/gateway/pipeline_test.go
@@ -21,9 +21,9 @@
 	const n = 8
 	s := newSite(t)
 	s.configure(1, "")
-	s.serve("free-1", "free", false)
-	s.serve("free-2", "free", false)
-	h := s.host("h")
+	s.startServer("free-1", "free", false)
+	s.startServer("free-2", "free", false)
+	h := s.startHost("h")
 	conn, err := net.Dial("tcp", strings.TrimPrefix(h.callers.URL, "http://"))
 	assert.NilError(t, err)
 	defer conn.Close()
--- a/gateway/places.go
+++ b/gateway/places.go
@@ -49,7 +49,7 @@
 // scheduler returns the process that schedules the places of all limited servers: the
 // controller of firstController. That one is named in the store, so there is one at a time. ok is false while none is known.
 func (g *Gateway) scheduler() (scheduler keyspace.Controller, ok bool) {
-	s := g.firstController()
+	s := g.coordinatingService()
 	if s == nil {
 		return keyspace.Controller{}, false
 	}
@@ -74,11 +74,11 @@
 // reserve asks the scheduler for places at a server.
 func (g *Gateway) reserve(wish balance.Wish) balance.Reservation {
 	asked := g.now()
-	news, _ := g.limits.of(wish.Server)
+	news, _ := g.serverLimits.of(wish.Server)
 	request := placesRequest{Server: limitToldOf(notice.TellOf(asked, wish.Server, news)), Places: wish.Places, WithinMicros: wish.Within.Microseconds()}
 	answer, err := g.askPlaces(&request)
 	if err != nil || !answer.Schedules {
-		if g.failureLines.take() {
+		if g.failureLogLimit.take() {
 			g.log.Info("no places given: the host keeps to its own part", "server", wish.Server.String(), "places", wish.Places, "error", errorText(err))
 		}
 		return balance.Reservation{}
@@ -88,7 +88,7 @@
 	for _, wait := range answer.WaitsMicros {
 		got.Waits = append(got.Waits, time.Duration(wait)*time.Microsecond)
 	}
-	if g.loadLines.take() {
+	if g.noticeLogLimit.take() {
 		g.log.Debug("places reserved", "server", wish.Server.String(), "asked", wish.Places, "given", len(got.Waits),
 			"within-ms", wish.Within.Milliseconds(), "full-ms", got.Full.Milliseconds(), "answered-ms", (g.now() - asked).Milliseconds())
 	}
@@ -107,15 +107,15 @@
 		return g.askOwnPlaces(ctx, request)
 	}
 	var answer placesAnswer
-	err := g.askPeer(ctx, placesTimeout, scheduler.Address, pathPlaces, request, &answer)
+	err := g.callPeer(ctx, placesTimeout, scheduler.Address, pathPlaces, request, &answer)
 	return answer, err
 }
 
 // askOwnPlaces asks this process's control loop.
 func (g *Gateway) askOwnPlaces(ctx context.Context, request *placesRequest) (placesAnswer, error) {
-	call := &peerCall{places: request, answer: make(chan any, 1)}
+	call := &peerRequest{places: request, answer: make(chan any, 1)}
 	if !g.control.events.Offer(call) {
-		g.counts.crowdedOut.Inc()
+		g.metrics.crowdedOut.Inc()
 		return placesAnswer{}, errControlBusy
 	}
 	select {
@@ -136,7 +136,7 @@
 		return placesAnswer{}
 	}
 	server := request.Server.Server
-	news, known := g.limits.of(server)
+	news, known := g.serverLimits.of(server)
 	if !known {
 		return placesAnswer{}
 	}
@@ -160,8 +160,8 @@
 }
 
 // scheduling returns the controller as which this process schedules places, or nil.
-func (g *Gateway) scheduling(now time.Duration) *controller {
-	s := g.firstController()
+func (g *Gateway) scheduling(now time.Duration) *serviceControl {
+	s := g.coordinatingService()
 	if s == nil {
 		return nil
 	}
@@ -176,7 +176,7 @@
 // are dropped when it is reached.
 const mostSchedules = 1024
 
-func (c *controller) scheduleOf(server fleet.Incarnation) *ratelimit.Schedule {
+func (c *serviceControl) scheduleOf(server fleet.Incarnation) *ratelimit.Schedule {
 	schedule := c.schedules[server]
 	if schedule != nil {
 		return schedule
--- a/gateway/places_test.go
+++ b/gateway/places_test.go
@@ -16,14 +16,14 @@
 // requests a second.
 type places struct {
 	gateway    *Gateway
-	controller *controller
+	controller *serviceControl
 	request    placesRequest
 }
 
 func newPlaces(record *keyspace.Record, now time.Duration) places {
 	g := New(Identity{Host: "one", Incarnation: 1}, Platform{}, logs.Discard())
 	s := g.keyedService("s")
-	c := &controller{service: s, machine: keyspace.Adopt(record, now, now), members: newMembers()}
+	c := &serviceControl{service: s, machine: keyspace.Adopt(record, now, now), members: newMembers()}
 	g.control.services["s"] = c
 	return places{gateway: g, controller: c,
 		request: placesRequest{Server: limitTold{Server: fleet.Incarnation{ID: "a"}, PerSecond: 10}, Places: 2, WithinMicros: time.Second.Microseconds()}}
@@ -62,11 +62,11 @@
 	assert.Equal(t, answer.FullMicros, int64(200_000))
 
 	newer := notice.News[float64]{Value: 4, Heard: p.gateway.now()}
-	p.gateway.limits.take(p.request.Server.Server, newer)
+	p.gateway.serverLimits.take(p.request.Server.Server, newer)
 	p.request.Server.HeardAgo = 1000
 	assert.Equal(t, p.ask(time.Minute).Server.PerSecond, 4.0)
 
-	p.gateway.limits.take(p.request.Server.Server, notice.News[float64]{Sent: p.gateway.now(), Heard: p.gateway.now()})
+	p.gateway.serverLimits.take(p.request.Server.Server, notice.News[float64]{Sent: p.gateway.now(), Heard: p.gateway.now()})
 	answer = p.ask(time.Minute)
 	assert.Assert(t, answer.Schedules)
 	assert.DeepEqual(t, answer.WaitsMicros, []int64{0, 0})
--- a/gateway/poison_test.go
+++ b/gateway/poison_test.go
@@ -22,26 +22,26 @@
 )
 
 const (
-	// newsWithin is the time within which all hosts must know what one of them has seen.
-	newsWithin = 3 * time.Second
-	// downFor is how long a terminated server stays down.
-	downFor = 250 * time.Millisecond
+	// propagationLimit is the time within which all hosts must know what one of them has seen.
+	propagationLimit = 3 * time.Second
+	// defaultDowntime is how long a terminated server stays down.
+	defaultDowntime = 250 * time.Millisecond
 )
 
-// mortals are servers that terminate on a deadly request. Each is replaced a little later by
-// another server at the same address.
-type mortals struct {
+// crashingServers are servers that terminate on a deadly request. Each is replaced a little
+// later by another server at the same address.
+type crashingServers struct {
 	deadly  *platformtest.Deadly
 	service string
 	keyed   bool
 	count   int
 	// slots is the number of slots of each server; 0 selects 8.
 	slots int
-	// lives is the number of terminations after which servers are still replaced; 0 for no
+	// maxRestarts is the number of terminations after which servers are still replaced; 0 for no
 	// limit.
-	lives int
-	// down is how long the servers stay down; 0 selects downFor.
-	down time.Duration
+	maxRestarts int
+	// downtime is how long the servers stay down; 0 selects defaultDowntime.
+	downtime time.Duration
 
 	s   *site
 	ctx context.Context
@@ -49,10 +49,10 @@
 	restarts sync.WaitGroup
 }
 
-// serveMortal starts and registers the servers.
-func (s *site) serveMortal(m *mortals) {
+// startCrashing starts and registers the servers.
+func (s *site) startCrashing(m *crashingServers) {
 	ctx, cancel := context.WithCancel(context.Background())
-	m.s, m.ctx, m.slots, m.down = s, ctx, cmp.Or(m.slots, 8), cmp.Or(m.down, downFor)
+	m.s, m.ctx, m.slots, m.downtime = s, ctx, cmp.Or(m.slots, 8), cmp.Or(m.downtime, defaultDowntime)
 	s.t.Cleanup(func() {
 		cancel()
 		m.restarts.Wait()
@@ -61,32 +61,32 @@
 		server := m.server(place, 0)
 		process, err := platformtest.StartProcess(ctx, "127.0.0.1:0", server)
 		assert.NilError(s.t, err)
-		m.mortal(server, process, place, 0)
+		m.setCrash(server, process, place, 0)
 		m.register(server, process)
 	}
 }
 
-func (m *mortals) server(place, life int) *platformtest.Server {
+func (m *crashingServers) server(place, life int) *platformtest.Server {
 	id := fmt.Sprintf("%s-%d-%d", m.service, place, life)
 	return &platformtest.Server{ID: id, Keyed: m.keyed, Slots: m.slots, Work: time.Millisecond, Deadly: []*platformtest.Deadly{m.deadly}}
 }
 
-// mortal sets what a server does on a deadly request: its process ends and the next server
+// setCrash sets what a server does on a deadly request: its process ends and the next server
 // takes its place.
-func (m *mortals) mortal(server *platformtest.Server, process *platformtest.Process, place, life int) {
+func (m *crashingServers) setCrash(server *platformtest.Server, process *platformtest.Process, place, life int) {
 	server.End = func() {
 		process.End()
-		if m.lives > 0 && m.deadly.Ended() > m.lives {
+		if m.maxRestarts > 0 && m.deadly.Ended() > m.maxRestarts {
 			return
 		}
 		m.restarts.Go(func() {
 			select {
-			case <-time.After(m.down):
+			case <-time.After(m.downtime):
 			case <-m.ctx.Done():
 				return
 			}
 			next := m.server(place, life+1)
-			m.mortal(next, process, place, life+1)
+			m.setCrash(next, process, place, life+1)
 			if process.Start(next) == nil {
 				m.register(next, process)
 				m.deregister(server)
@@ -95,7 +95,7 @@
 	}
 }
 
-func (m *mortals) register(server *platformtest.Server, process *platformtest.Process) {
+func (m *crashingServers) register(server *platformtest.Server, process *platformtest.Process) {
 	spec := fmt.Sprintf(`{"service":%q,"address":%q,"zone":"a","version":"v1","slots":%d,"state":"ready","cold-remaining":"0ms","seq":1,"born":%d}`,
 		m.service, process.Address(), m.slots, firstStart)
 	if _, err := m.s.store.Kept().Put(m.ctx, objects.Object{Kind: "servers", Name: server.ID, Spec: []byte(spec)}); err != nil && m.ctx.Err() == nil {
@@ -103,7 +103,7 @@
 	}
 }
 
-func (m *mortals) deregister(server *platformtest.Server) {
+func (m *crashingServers) deregister(server *platformtest.Server) {
 	current, err := m.s.store.Kept().Get(m.ctx, "servers", server.ID)
 	if err == nil {
 		err = m.s.store.Kept().Delete(m.ctx, "servers", server.ID, current.Revision)
@@ -116,8 +116,8 @@
 // tally counts ordinary requests and those of them that were served.
 type tally struct{ sent, served atomic.Int64 }
 
-// ordinary sends ordinary requests until the context ends.
-func (s *site) ordinary(ctx context.Context, path string, into *tally) {
+// sendOrdinary sends ordinary requests until the context ends.
+func (s *site) sendOrdinary(ctx context.Context, path string, into *tally) {
 	for ctx.Err() == nil {
 		h := s.hosts[rand.IntN(len(s.hosts))]
 		got := s.call(h, http.MethodGet, fmt.Sprintf("%s%d", path, rand.IntN(1000)), strconv.Itoa(rand.IntN(65536)), "")
@@ -129,8 +129,8 @@
 	}
 }
 
-// copies sends copies of a request to all hosts in turn until the context ends.
-func (s *site) copies(ctx context.Context, method, path string) {
+// sendCopies sends copies of a request to all hosts in turn until the context ends.
+func (s *site) sendCopies(ctx context.Context, method, path string) {
 	const pause = 20 * time.Millisecond
 	for n := 0; ctx.Err() == nil; n++ {
 		s.call(s.hosts[n%len(s.hosts)], method, path, "700", "")
@@ -138,20 +138,20 @@
 	}
 }
 
-// playDeadly sends a deadly request repeatedly among ordinary ones, and continues for some time
+// sendDeadly sends a deadly request repeatedly among ordinary ones, and continues for some time
 // after all hosts must know it.
-func (s *site) playDeadly(deadly *platformtest.Deadly, method, path, ordinary string) *tally {
+func (s *site) sendDeadly(deadly *platformtest.Deadly, method, path, ordinary string) *tally {
 	const callers, goOn, most = 4, 2 * time.Second, 9 * time.Second
 	ctx, end := context.WithTimeout(context.Background(), most)
 	defer end()
 	others := &tally{}
 	var callersDone sync.WaitGroup
 	for range callers {
-		callersDone.Go(func() { s.copies(ctx, method, path) })
-		callersDone.Go(func() { s.ordinary(ctx, ordinary, others) })
+		callersDone.Go(func() { s.sendCopies(ctx, method, path) })
+		callersDone.Go(func() { s.sendOrdinary(ctx, ordinary, others) })
 	}
 	for ctx.Err() == nil {
-		if third := deadly.ThirdEnd(); !third.IsZero() && time.Since(third) > newsWithin+goOn {
+		if third := deadly.ThirdEnd(); !third.IsZero() && time.Since(third) > propagationLimit+goOn {
 			end()
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -177,20 +177,20 @@
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t)
 			deadly := &platformtest.Deadly{Path: play.path, After: 10 * time.Millisecond}
-			s.serveMortal(&mortals{deadly: deadly, service: play.service, keyed: play.keyed, count: 6})
+			s.startCrashing(&crashingServers{deadly: deadly, service: play.service, keyed: play.keyed, count: 6})
 			for _, other := range []string{"x1", "x2"} {
-				s.serve(other, map[bool]string{true: "free", false: "owned"}[play.keyed], !play.keyed)
+				s.startServer(other, map[bool]string{true: "free", false: "owned"}[play.keyed], !play.keyed)
 			}
 			s.configure(3, "")
 			for i := range 3 {
-				s.host(fmt.Sprintf("host-%d", i))
+				s.startHost(fmt.Sprintf("host-%d", i))
 			}
 			s.eventually("keys are served", func() bool { return s.call(s.hosts[0], http.MethodGet, "/keyed/x", "700", "").status == http.StatusOK })
-			others := s.playDeadly(deadly, play.method, play.path, play.ordinary)
-			late, tooMany := deadly.SentLate(newsWithin)
+			others := s.sendDeadly(deadly, play.method, play.path, play.ordinary)
+			late, tooMany := deadly.SentLate(propagationLimit)
 			t.Logf("%d servers terminated; %d copies reached servers later than %v after the third termination; %d of %d other requests served",
-				deadly.Ended(), late, newsWithin, others.served.Load(), others.sent.Load())
-			assert.Assert(t, !tooMany, "%d copies reached servers later than %v after the third termination, %d servers terminated", late, newsWithin, deadly.Ended())
+				deadly.Ended(), late, propagationLimit, others.served.Load(), others.sent.Load())
+			assert.Assert(t, !tooMany, "%d copies reached servers later than %v after the third termination, %d servers terminated", late, propagationLimit, deadly.Ended())
 		})
 	}
 }
@@ -208,13 +208,13 @@
 	server.End = process.End
 	s.register("f1", "free", process.Address(), "ready")
 	s.configure(3, "")
-	got := s.call(s.host("one"), http.MethodGet, "/free/deadly", "", "")
+	got := s.call(s.startHost("one"), http.MethodGet, "/free/deadly", "", "")
 	assert.Equal(t, deadly.Ended(), 1)
 	assert.Equal(t, got.status, http.StatusBadGateway)
 }
 
-// quarantinedAt returns how many requests a host has rejected because of the quarantine.
-func quarantinedAt(h *hostUnderTest) string {
+// quarantineCount returns how many requests a host has rejected because of the quarantine.
+func quarantineCount(h *hostUnderTest) string {
 	return metric(h, "cicada_quarantined_requests_total")
 }
 
@@ -224,22 +224,22 @@
 	t.Helper()
 	s = newSite(t)
 	deadly = &platformtest.Deadly{Path: "/free/deadly"}
-	s.serveMortal(&mortals{deadly: deadly, service: "free", count: 6})
-	s.serve("k1", "owned", true)
+	s.startCrashing(&crashingServers{deadly: deadly, service: "free", count: 6})
+	s.startServer("k1", "owned", true)
 	s.configure(3, "")
-	first, second = s.host("one"), s.host("two")
+	first, second = s.startHost("one"), s.startHost("two")
 	s.eventually("three servers have terminated", func() bool {
 		s.call(first, http.MethodGet, "/free/deadly", "", "")
 		return deadly.Ended() >= 3
 	})
-	s.knows(first)
-	s.knows(second)
+	s.waitQuarantined(first)
+	s.waitQuarantined(second)
 	return s, deadly, first, second
 }
 
-// writtenQuarantine waits until the controller has stored the quarantine, and returns the
+// waitStoredQuarantine waits until the controller has stored the quarantine, and returns the
 // object.
-func (s *site) writtenQuarantine() (written objects.Object) {
+func (s *site) waitStoredQuarantine() (written objects.Object) {
 	s.t.Helper()
 	s.eventually("the controller has stored the quarantine", func() bool {
 		listing, err := s.store.Kept().List(context.Background(), gateway.Quarantines)
@@ -256,7 +256,7 @@
 // termination. It tells the caller at once that the request has not run, and when to retry.
 func TestHostThatStartsLaterKnowsDeadlyRequests(t *testing.T) {
 	s, deadly, _, _ := quarantineSite(t)
-	late := s.host("late")
+	late := s.startHost("late")
 	s.eventually("the host knows the quarantined request", func() bool {
 		s.call(late, http.MethodGet, "/free/harmless", "", "")
 		return judgedAt(late, "quarantined", 1)
@@ -268,7 +268,7 @@
 	assert.NilError(t, err)
 	assert.Assert(t, after > 500 && after <= 3600, "%v s", after)
 	assert.Equal(t, deadly.Ended(), ended)
-	assert.Equal(t, quarantinedAt(late), "1")
+	assert.Equal(t, quarantineCount(late), "1")
 	other := s.call(late, http.MethodGet, "/free/deadly?other", "", "")
 	assert.Assert(t, other.status != http.StatusServiceUnavailable, "a different query makes a different request")
 }
@@ -279,11 +279,11 @@
 	s := newSite(t)
 	// The servers terminate because of other requests, each of which is sent only once.
 	deadly := &platformtest.Deadly{Path: "/free/once/", After: 20 * time.Millisecond}
-	s.serveMortal(&mortals{deadly: deadly, service: "free", count: 6})
-	s.serve("k1", "owned", true)
+	s.startCrashing(&crashingServers{deadly: deadly, service: "free", count: 6})
+	s.startServer("k1", "owned", true)
 	s.configure(3, "")
 	for i := range 2 {
-		s.host(fmt.Sprintf("host-%d", i))
+		s.startHost(fmt.Sprintf("host-%d", i))
 	}
 	const popularCallers, ends = 6, 12
 	ctx, end := context.WithCancel(context.Background())
@@ -304,18 +304,18 @@
 	}
 	for n := 0; deadly.Ended() < ends; n++ {
 		s.call(s.hosts[n%2], http.MethodGet, fmt.Sprintf("/free/once/%d", n), "", "")
-		time.Sleep(downFor / 2) // lets servers come back: the terminations spread over seconds
+		time.Sleep(defaultDowntime / 2) // lets servers come back: the terminations spread over seconds
 	}
 	end()
 	callers.Wait()
 	t.Logf("%d served, %d failed while %d servers terminated", served.Load(), failed.Load(), deadly.Ended())
 	for _, h := range s.hosts {
-		assert.Equal(t, quarantinedAt(h), "0")
+		assert.Equal(t, quarantineCount(h), "0")
 	}
 }
 
-// knows waits until a host has one request in quarantine.
-func (s *site) knows(h *hostUnderTest) {
+// waitQuarantined waits until a host has one request in quarantine.
+func (s *site) waitQuarantined(h *hostUnderTest) {
 	s.t.Helper()
 	s.eventually("the host knows the quarantined request", func() bool { return judgedAt(h, "quarantined", 1) })
 }
@@ -325,13 +325,13 @@
 // must survive the hosts.
 func TestDeadlyRequestIsKnownAfterAllHostsWereLost(t *testing.T) {
 	s, deadly, first, second := quarantineSite(t)
-	s.writtenQuarantine()
+	s.waitStoredQuarantine()
 	first.kill()
 	second.kill()
 	ended := deadly.Ended()
 	for _, name := range []string{"one", "two"} {
-		h := s.host(name)
-		s.knows(h)
+		h := s.startHost(name)
+		s.waitQuarantined(h)
 		assert.Equal(t, s.call(h, http.MethodGet, "/free/deadly", "", "").status, http.StatusServiceUnavailable)
 	}
 	assert.Equal(t, deadly.Ended(), ended)
@@ -341,7 +341,7 @@
 // although none of them has seen it answered.
 func TestOperatorReleasesARequest(t *testing.T) {
 	s, deadly, first, second := quarantineSite(t)
-	written := s.writtenQuarantine()
+	written := s.waitStoredQuarantine()
 	deadly.Mend()
 	kept, err := gateway.ReadQuarantine(written.Spec)
 	assert.NilError(t, err)
@@ -363,16 +363,16 @@
 func TestCopiesThatWaitAreTurnedAway(t *testing.T) {
 	s := newSite(t)
 	deadly := &platformtest.Deadly{Path: "/keyed/deadly", After: 10 * time.Millisecond}
-	s.serveMortal(&mortals{deadly: deadly, service: "owned", keyed: true, count: 1, slots: 1, down: time.Millisecond})
-	s.serve("f1", "free", false)
+	s.startCrashing(&crashingServers{deadly: deadly, service: "owned", keyed: true, count: 1, slots: 1, downtime: time.Millisecond})
+	s.startServer("f1", "free", false)
 	s.configure(3, "")
-	h := s.host("one")
+	h := s.startHost("one")
 	s.eventually("keys are served", func() bool { return s.call(h, http.MethodGet, "/keyed/x", "700", "").status == http.StatusOK })
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
 	var callers sync.WaitGroup
 	for range 6 {
-		callers.Go(func() { s.copies(ctx, http.MethodGet, "/keyed/deadly") })
+		callers.Go(func() { s.sendCopies(ctx, http.MethodGet, "/keyed/deadly") })
 	}
 	s.eventually("three owners have terminated", func() bool { return deadly.Ended() >= 3 })
 	s.eventually("keys are served again", func() bool { return s.call(h, http.MethodGet, "/keyed/x", "700", "").status == http.StatusOK })
@@ -386,9 +386,9 @@
 func TestSuspectedRequestIsNotRepeated(t *testing.T) {
 	s := newSite(t)
 	deadly := &platformtest.Deadly{Path: "/free/deadly"}
-	s.serveMortal(&mortals{deadly: deadly, service: "free", count: 1})
+	s.startCrashing(&crashingServers{deadly: deadly, service: "free", count: 1})
 	s.configure(3, "")
-	h := s.host("one")
+	h := s.startHost("one")
 	assert.Equal(t, s.call(h, http.MethodGet, "/free/deadly", "", "").status, http.StatusBadGateway)
 	assert.Equal(t, deadly.Ended(), 1, "there was no second server")
 	for _, id := range []string{"f2", "f3"} {
@@ -410,10 +410,10 @@
 func TestQuarantinedRequestDoesNotWait(t *testing.T) {
 	s := newSite(t)
 	deadly := &platformtest.Deadly{Path: "/free/deadly"}
-	servers := &mortals{deadly: deadly, service: "free", count: 1, lives: 2}
-	s.serveMortal(servers)
+	servers := &crashingServers{deadly: deadly, service: "free", count: 1, maxRestarts: 2}
+	s.startCrashing(servers)
 	s.configure(3, "")
-	h := s.host("one")
+	h := s.startHost("one")
 	s.eventually("three servers have terminated, and the last one stays down", func() bool {
 		s.call(h, http.MethodGet, "/free/deadly", "", "")
 		return deadly.Ended() == 3
@@ -427,7 +427,7 @@
 		return strings.Contains(page.String(), `cicada_requests_total{outcome="no-server"}`)
 	})
 	assert.Equal(t, s.call(h, http.MethodGet, "/free/deadly", "", "").status, http.StatusServiceUnavailable)
-	assert.Equal(t, quarantinedAt(h), "1")
+	assert.Equal(t, quarantineCount(h), "1")
 }
 
 // judgedAt reports whether a host counts the given number of requests with a verdict.
@@ -441,10 +441,10 @@
 func TestAnswerAcquitsAtAllHosts(t *testing.T) {
 	s := newSite(t)
 	deadly := &platformtest.Deadly{Path: "/free/deadly"}
-	s.serveMortal(&mortals{deadly: deadly, service: "free", count: 3})
-	s.serve("k1", "owned", true)
+	s.startCrashing(&crashingServers{deadly: deadly, service: "free", count: 3})
+	s.startServer("k1", "owned", true)
 	s.configure(3, "")
-	hosts := []*hostUnderTest{s.host("one"), s.host("two")}
+	hosts := []*hostUnderTest{s.startHost("one"), s.startHost("two")}
 	s.call(hosts[0], http.MethodGet, "/free/deadly", "", "")
 	assert.Equal(t, deadly.Ended(), 2, "the host retries once")
 	for _, h := range hosts {
@@ -462,10 +462,10 @@
 func TestRequestThatWasLatelyAnsweredIsNotBlamed(t *testing.T) {
 	s := newSite(t)
 	unlucky := &platformtest.Deadly{Path: "/free/unlucky"}
-	s.serveMortal(&mortals{deadly: unlucky, service: "free", count: 6})
-	s.serve("k1", "owned", true)
+	s.startCrashing(&crashingServers{deadly: unlucky, service: "free", count: 6})
+	s.startServer("k1", "owned", true)
 	s.configure(3, "")
-	h := s.host("one")
+	h := s.startHost("one")
 	unlucky.Mend()
 	assert.Equal(t, s.call(h, http.MethodGet, "/free/unlucky", "", "").status, http.StatusOK)
 	unlucky.Break()
@@ -474,7 +474,7 @@
 		return unlucky.Ended() >= 3
 	})
 	assert.Assert(t, judgedAt(h, "quarantined", 0) && judgedAt(h, "suspected", 0))
-	assert.Equal(t, quarantinedAt(h), "0")
+	assert.Equal(t, quarantineCount(h), "0")
 }
 
 // A server that shuts down, with or without announcing it, terminates while a slow request is
@@ -497,7 +497,7 @@
 			}
 			s.register("f1", "free", process.Address(), "ready")
 			s.configure(3, "")
-			h := s.host("one")
+			h := s.startHost("one")
 			ended := make(chan answer, 1)
 			go func() { ended <- s.call(h, http.MethodPost, "/once/slow", "", "") }()
 			s.eventually("the request runs", func() bool { return len(server.Runs()) == 1 })
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -8,25 +8,26 @@
 )
 
 const (
-	// newsEvery is the minimum time between two reports that are sent early because a server
-	// terminated during a request. A host usually notices one termination several times.
-	newsEvery = 50 * time.Millisecond
-	// mostCasesTold is the maximum number of cases in one message between hosts, about 10 KB.
-	mostCasesTold = 64
+	// earlyReportInterval is the minimum time between two reports that are sent early because a
+	// server terminated during a request. A host usually notices one termination several times.
+	earlyReportInterval = 50 * time.Millisecond
+	// maxCasesPerMessage is the maximum number of cases in one message between hosts, about 10
+	// KB.
+	maxCasesPerMessage = 64
 )
 
 // judge returns how a request is to be handled.
 func (g *Gateway) judge(req *request) poison.Judgement {
-	if !g.ends.suspecting.Load() {
+	if !g.terminations.suspecting.Load() {
 		return poison.Judgement{}
 	}
-	return g.judgeMark(req.fingerprint())
+	return g.judgeFingerprint(req.fingerprint())
 }
 
-func (g *Gateway) judgeMark(fingerprint poison.Fingerprint) poison.Judgement {
-	g.ends.mu.Lock()
-	defer g.ends.mu.Unlock()
-	return g.ends.ledger.Judge(g.now(), fingerprint)
+func (g *Gateway) judgeFingerprint(fingerprint poison.Fingerprint) poison.Judgement {
+	g.terminations.mu.Lock()
+	defer g.terminations.mu.Unlock()
+	return g.terminations.ledger.Judge(g.now(), fingerprint)
 }
 
 // quarantined returns the answer to a request that has terminated every server that ran it, or
@@ -38,23 +39,23 @@
 	if judged.Verdict != poison.Quarantined {
 		return nil
 	}
-	g.counts.quarantined.Inc()
+	g.metrics.quarantined.Inc()
 	return &reply{outcome: outcomeQuarantined, status: http.StatusServiceUnavailable,
 		retryAfter: judged.Until - g.now(), judged: judged}
 }
 
-// noteRan records that a server ran a request to completion and gave a complete answer: the
+// noteCompleted records that a server ran a request to completion and gave a complete answer: the
 // request does not terminate the servers that run it.
-func (g *Gateway) noteRan(req *request) {
+func (g *Gateway) noteCompleted(req *request) {
 	fingerprint, now := req.fingerprint(), g.now()
-	g.ends.mu.Lock()
-	g.ends.answered.Note(now, fingerprint)
-	before := g.ends.ledger.Judge(now, fingerprint)
-	acquitted := g.ends.ledger.Acquit(now, fingerprint)
+	g.terminations.mu.Lock()
+	g.terminations.answered.Note(now, fingerprint)
+	before := g.terminations.ledger.Judge(now, fingerprint)
+	acquitted := g.terminations.ledger.Acquit(now, fingerprint)
 	if acquitted {
-		g.ends.ledgerChanged()
+		g.terminations.updateSuspecting()
 	}
-	g.ends.mu.Unlock()
+	g.terminations.mu.Unlock()
 	if acquitted {
 		g.log.Info("request cleared: a server ran it and gave a complete answer", "request", req.ID, "fingerprint", fingerprint.String(),
 			"servers-ended", before.Ends, "verdict", before.Verdict.String())
@@ -62,12 +63,12 @@
 	}
 }
 
-// judgedAs returns a gauge of the requests that have the given verdict.
-func (g *Gateway) judgedAs(verdict poison.Verdict) func() float64 {
+// verdictGauge returns a gauge of the requests that have the given verdict.
+func (g *Gateway) verdictGauge(verdict poison.Verdict) func() float64 {
 	return func() float64 {
-		g.ends.mu.Lock()
-		defer g.ends.mu.Unlock()
-		return float64(g.ends.ledger.Count(g.now(), verdict))
+		g.terminations.mu.Lock()
+		defer g.terminations.mu.Unlock()
+		return float64(g.terminations.ledger.Count(g.now(), verdict))
 	}
 }
 
@@ -75,76 +76,76 @@
 // ledger.
 type exchange struct {
 	// told is the last change of this host's ledger that the controller has received, sent the
-	// last one that a report included, heard the last change of the controller's ledger that
+	// last one that a report included, received the last change of the controller's ledger that
 	// this host has received.
-	told, sent, heard uint64
+	told, sent, received uint64
 }
 
-// took records that the controller's answer to a report was processed, which advanced this
+// noteAnswer records that the controller's answer to a report was processed, which advanced this
 // host's ledger from change before to change after. Changes that came from the controller need
 // not be reported back to it at once.
-func (e *exchange) took(before, after, acknowledged, received uint64) {
+func (e *exchange) noteAnswer(before, after, acknowledged, received uint64) {
 	if before == e.sent {
 		e.sent = after
 	}
-	e.told, e.heard = acknowledged, received
+	e.told, e.received = acknowledged, received
 }
 
-// peerNews is the state of all exchanges between a host and the controller of a service: of
+// exchanges is the state of all exchanges between a host and the controller of a service: of
 // requests during which servers terminated, and of the notices of servers.
-type peerNews struct {
+type exchanges struct {
 	cases, limits, leaving exchange
-	reporting              bool // a report has been sent and not answered yet
+	reportInFlight         bool // a report has been sent and not answered yet
 }
 
-// hasNews reports whether this host has changes that the controller needs at once. Until it
-// gets them, other hosts go on sending a request that terminates servers, and each host runs
-// into a server's rate limit by itself.
-func (g *Gateway) hasNews(c *controller, now time.Duration) bool {
-	if c.news.reporting || now-c.reported < newsEvery {
+// hasUrgentChanges reports whether this host has changes that the controller needs at once.
+// Until it gets them, other hosts go on sending a request that terminates servers, and each
+// host runs into a server's rate limit by itself.
+func (g *Gateway) hasUrgentChanges(c *serviceControl, now time.Duration) bool {
+	if c.news.reportInFlight || now-c.reportedAt < earlyReportInterval {
 		return false
 	}
-	if g.limits.changes() > c.news.limits.sent || g.leaving.changes() > c.news.leaving.sent {
+	if g.serverLimits.changes() > c.news.limits.sent || g.leaving.changes() > c.news.leaving.sent {
 		return true
 	}
-	g.ends.mu.Lock()
-	defer g.ends.mu.Unlock()
-	return g.ends.ledger.Changes() > c.news.cases.sent
+	g.terminations.mu.Lock()
+	defer g.terminations.mu.Unlock()
+	return g.terminations.ledger.Changes() > c.news.cases.sent
 }
 
-// tellCases adds to a report the cases that the controller has not received, and returns the
+// addCases adds to a report the cases that the controller has not received, and returns the
 // ledger's last change that they cover.
-func (g *Gateway) tellCases(c *controller, report *loadReport) uint64 {
-	g.ends.mu.Lock()
-	defer g.ends.mu.Unlock()
+func (g *Gateway) addCases(c *serviceControl, report *loadReport) uint64 {
+	g.terminations.mu.Lock()
+	defer g.terminations.mu.Unlock()
 	var upTo uint64
-	report.Cases, upTo = g.ends.ledger.Tell(g.now(), c.news.cases.told, mostCasesTold, poison.Collector)
-	report.KnownCases = c.news.cases.heard
-	c.news.cases.sent, c.news.reporting = upTo, true
+	report.Cases, upTo = g.terminations.ledger.Tell(g.now(), c.news.cases.told, maxCasesPerMessage, poison.Collector)
+	report.KnownCases = c.news.cases.received
+	c.news.cases.sent, c.news.reportInFlight = upTo, true
 	return upTo
 }
 
-// hearCases merges the cases in the controller's answer to a report.
-func (g *Gateway) hearCases(c *controller, e *reportEnded) {
-	before, after := g.takeCases(e.answer.Cases, e.to.Host)
-	c.news.cases.took(before, after, e.casesUpTo, e.answer.CasesUpTo)
+// mergeReportedCases merges the cases in the controller's answer to a report.
+func (g *Gateway) mergeReportedCases(c *serviceControl, e *reportResult) {
+	before, after := g.mergeCases(e.answer.Cases, e.to.Host)
+	c.news.cases.noteAnswer(before, after, e.casesUpTo, e.answer.CasesUpTo)
 }
 
 // casesFor returns the cases for a host that has received this ledger up to a change, and the
 // last change that they cover.
 func (g *Gateway) casesFor(received uint64) ([]poison.Case, uint64) {
-	g.ends.mu.Lock()
-	defer g.ends.mu.Unlock()
-	return g.ends.ledger.Tell(g.now(), received, mostCasesTold, poison.Everyone)
+	g.terminations.mu.Lock()
+	defer g.terminations.mu.Unlock()
+	return g.terminations.ledger.Tell(g.now(), received, maxCasesPerMessage, poison.Everyone)
 }
 
-// takeCases merges cases from another host or the store, and returns the ledger's last change
+// mergeCases merges cases from another host or the store, and returns the ledger's last change
 // before and after.
-func (g *Gateway) takeCases(cases []poison.Case, sender string) (before, after uint64) {
-	merged, before, after := g.learnCases(cases)
+func (g *Gateway) mergeCases(cases []poison.Case, sender string) (before, after uint64) {
+	merged, before, after := g.mergeIntoLedger(cases)
 	for i := range merged {
 		judged := &merged[i].judged
-		if judged.Verdict == poison.Unsuspected && judged.Ends > 0 || !g.failureLines.take() {
+		if judged.Verdict == poison.Unsuspected && judged.Ends > 0 || !g.failureLogLimit.take() {
 			continue // a single termination only matters to the controller, which collects them
 		}
 		g.log.Info("received a request during which servers terminated", "teller", sender, "fingerprint", merged[i].fingerprint.String(),
@@ -153,24 +154,24 @@
 	return before, after
 }
 
-// heardCase is a request of which merged cases brought something new.
-type heardCase struct {
+// mergedCase is a request of which merged cases brought something new.
+type mergedCase struct {
 	fingerprint poison.Fingerprint
 	judged      poison.Judgement
 }
 
-func (g *Gateway) learnCases(cases []poison.Case) (merged []heardCase, before, after uint64) {
+func (g *Gateway) mergeIntoLedger(cases []poison.Case) (merged []mergedCase, before, after uint64) {
 	now := g.now()
-	g.ends.mu.Lock()
-	defer g.ends.mu.Unlock()
-	ledger := &g.ends.ledger
+	g.terminations.mu.Lock()
+	defer g.terminations.mu.Unlock()
+	ledger := &g.terminations.ledger
 	before = ledger.Changes()
 	for _, fingerprint := range ledger.Take(now, cases) {
-		merged = append(merged, heardCase{fingerprint: fingerprint, judged: ledger.Judge(now, fingerprint)})
+		merged = append(merged, mergedCase{fingerprint: fingerprint, judged: ledger.Judge(now, fingerprint)})
 	}
 	if len(merged) > 0 {
-		g.ends.watching.Store(true)
-		g.ends.ledgerChanged()
+		g.terminations.tracking.Store(true)
+		g.terminations.updateSuspecting()
 	}
 	return merged, before, ledger.Changes()
 }
--- a/gateway/quarantinestore.go
+++ b/gateway/quarantinestore.go
@@ -20,9 +20,9 @@
 // lost at once, such a request would terminate three more servers.
 const Quarantines = "cicada-quarantines"
 
-// rereadEvery is how often a controller checks whether an operator has released a request,
-// while any is quarantined.
-const rereadEvery = 5 * time.Second
+// quarantineRereadInterval is how often a controller checks whether an operator has released a
+// request, while any is quarantined.
+const quarantineRereadInterval = 5 * time.Second
 
 // Quarantine is the content of a controller's object in the store.
 type Quarantine struct {
@@ -69,8 +69,8 @@
 	return true
 }
 
-// keptCases converts cases to their stored form.
-func keptCases(cases []poison.Case, now time.Time) []QuarantinedRequest {
+// storedCases converts cases to their stored form.
+func storedCases(cases []poison.Case, now time.Time) []QuarantinedRequest {
 	stored := make([]QuarantinedRequest, 0, len(cases))
 	for _, each := range cases {
 		request := QuarantinedRequest{Request: each.Request}
@@ -101,78 +101,78 @@
 // the future counts as now.
 func ageMs(now time.Time, atMs int64) int64 { return max(now.UnixMilli()-atMs, 0) }
 
-// same reports whether two lists contain the same terminations. Times are ignored: converted
-// with another host's clock, they differ by milliseconds.
-func same(a, b []QuarantinedRequest) bool {
+// sameTerminations reports whether two lists contain the same terminations. Times are ignored:
+// converted with another host's clock, they differ by milliseconds.
+func sameTerminations(a, b []QuarantinedRequest) bool {
 	return slices.EqualFunc(a, b, func(x, y QuarantinedRequest) bool {
 		return x.Request == y.Request && slices.EqualFunc(x.Ends, y.Ends, func(v, w QuarantinedEnd) bool { return v.Server == w.Server })
 	})
 }
 
-// keptQuarantine is what a controller knows of its object in the store.
-type keptQuarantine struct {
-	read     bool // it has been read since this process became the controller
-	stale    bool // it may have been changed by someone else since
-	busy     bool // a read or write is in progress
-	revision uint64
-	content  Quarantine
-	asked    time.Duration // when the last read or write was started
+// storedQuarantine is what a controller knows of its object in the store.
+type storedQuarantine struct {
+	read      bool // it has been read since this process became the controller
+	stale     bool // it may have been changed by someone else since
+	inFlight  bool // a read or write is in progress
+	revision  uint64
+	content   Quarantine
+	startedAt time.Duration // when the last read or write was started
 }
 
-// keepQuarantine reads and writes the quarantine in the store, so that it survives the loss of
+// syncQuarantine reads and writes the quarantine in the store, so that it survives the loss of
 // all hosts.
-func (g *Gateway) keepQuarantine(ctx context.Context, c *controller, now time.Duration) {
-	stored := &c.kept
-	if stored.busy || stored.asked > 0 && now-stored.asked < writePause {
+func (g *Gateway) syncQuarantine(ctx context.Context, c *serviceControl, now time.Duration) {
+	stored := &c.quarantine
+	if stored.inFlight || stored.startedAt > 0 && now-stored.startedAt < storeRetryPause {
 		return
 	}
-	reread := len(stored.content.Cases) > 0 && now-stored.asked >= rereadEvery
+	reread := len(stored.content.Cases) > 0 && now-stored.startedAt >= quarantineRereadInterval
 	if !stored.read || stored.stale || reread {
-		stored.busy, stored.asked = true, now
+		stored.inFlight, stored.startedAt = true, now
 		g.startReadQuarantine(ctx, c)
 		return
 	}
 	wall := time.Now()
-	g.ends.mu.Lock()
-	proven := keptCases(g.ends.ledger.Proven(g.now()), wall)
-	g.ends.mu.Unlock()
-	if same(proven, stored.content.Cases) {
+	g.terminations.mu.Lock()
+	proven := storedCases(g.terminations.ledger.Proven(g.now()), wall)
+	g.terminations.mu.Unlock()
+	if sameTerminations(proven, stored.content.Cases) {
 		return
 	}
 	content := Quarantine{Cases: proven, Released: slices.DeleteFunc(slices.Clone(stored.content.Released), func(r ReleasedRequest) bool {
 		return ageMs(wall, r.AtMs) > poison.EndKept.Milliseconds()
 	})}
-	stored.busy, stored.asked = true, now
+	stored.inFlight, stored.startedAt = true, now
 	g.startWriteQuarantine(ctx, c, content)
 }
 
-// quarantineRead is the result of reading a controller's quarantine.
-type quarantineRead struct {
-	controller *controller
-	machine    *keyspace.Machine
-	object     objects.Object
-	err        error
+// quarantineReadResult is the result of reading a controller's quarantine.
+type quarantineReadResult struct {
+	control *serviceControl
+	machine *keyspace.Machine
+	object  objects.Object
+	err     error
 }
 
-func (g *Gateway) startReadQuarantine(ctx context.Context, c *controller) {
+func (g *Gateway) startReadQuarantine(ctx context.Context, c *serviceControl) {
 	machine := c.machine
 	go func() {
-		result := &quarantineRead{controller: c, machine: machine}
-		reading, cancel := context.WithTimeout(ctx, writeTimeout)
+		result := &quarantineReadResult{control: c, machine: machine}
+		reading, cancel := context.WithTimeout(ctx, storeTimeout)
 		defer cancel()
 		result.object, result.err = g.store.Get(reading, Quarantines, c.service.name)
-		g.post(ctx, result)
+		g.postEvent(ctx, result)
 	}()
 }
 
 // apply implements event.
-func (e *quarantineRead) apply(g *Gateway, _ time.Duration) {
-	c := e.controller
+func (e *quarantineReadResult) apply(g *Gateway, _ time.Duration) {
+	c := e.control
 	if c.machine != e.machine {
 		return
 	}
-	stored := &c.kept
-	stored.busy = false
+	stored := &c.quarantine
+	stored.inFlight = false
 	if errors.Is(e.err, objects.ErrNotFound) {
 		stored.read, stored.stale, stored.revision, stored.content = true, false, 0, Quarantine{}
 		return
@@ -187,19 +187,19 @@
 		g.log.Error("can't decode the quarantine", "service", c.service.name, "revision", e.object.Revision, "error", err.Error())
 	}
 	stored.read, stored.stale, stored.revision, stored.content = true, false, e.object.Revision, content
-	g.takeQuarantine(content, e.object)
+	g.mergeQuarantine(content, e.object)
 }
 
-// takeQuarantine merges the stored quarantine into this host's ledger.
-func (g *Gateway) takeQuarantine(content Quarantine, object objects.Object) {
+// mergeQuarantine merges the stored quarantine into this host's ledger.
+func (g *Gateway) mergeQuarantine(content Quarantine, object objects.Object) {
 	wall, now := time.Now(), g.now()
-	g.takeCases(content.cases(wall), "the store")
+	g.mergeCases(content.cases(wall), "the store")
 	for _, released := range content.Released {
 		at := now - time.Duration(ageMs(wall, released.AtMs))*time.Millisecond
-		g.ends.mu.Lock()
-		isNew := g.ends.ledger.Release(now, at, released.Request)
-		g.ends.ledgerChanged()
-		g.ends.mu.Unlock()
+		g.terminations.mu.Lock()
+		isNew := g.terminations.ledger.Release(now, at, released.Request)
+		g.terminations.updateSuspecting()
+		g.terminations.mu.Unlock()
 		if isNew {
 			g.log.Info("request released by an operator", "fingerprint", released.Request.String(), "service", object.Name,
 				"revision", object.Revision, "age-ms", ageMs(wall, released.AtMs))
@@ -207,38 +207,38 @@
 	}
 }
 
-// quarantineWritten is the result of writing a controller's quarantine.
-type quarantineWritten struct {
-	controller *controller
-	machine    *keyspace.Machine
-	content    Quarantine
-	stored     objects.Object
-	err        error
+// quarantineWriteResult is the result of writing a controller's quarantine.
+type quarantineWriteResult struct {
+	control *serviceControl
+	machine *keyspace.Machine
+	content Quarantine
+	stored  objects.Object
+	err     error
 }
 
-func (g *Gateway) startWriteQuarantine(ctx context.Context, c *controller, content Quarantine) {
-	machine, revision := c.machine, c.kept.revision
+func (g *Gateway) startWriteQuarantine(ctx context.Context, c *serviceControl, content Quarantine) {
+	machine, revision := c.machine, c.quarantine.revision
 	go func() {
-		result := &quarantineWritten{controller: c, machine: machine, content: content}
+		result := &quarantineWriteResult{control: c, machine: machine, content: content}
 		spec, err := json.Marshal(content)
 		if err == nil {
-			writing, cancel := context.WithTimeout(ctx, writeTimeout)
+			writing, cancel := context.WithTimeout(ctx, storeTimeout)
 			defer cancel()
 			result.stored, err = g.store.Put(writing, objects.Object{Kind: Quarantines, Name: c.service.name, Revision: revision, Spec: spec})
 		}
 		result.err = err
-		g.post(ctx, result)
+		g.postEvent(ctx, result)
 	}()
 }
 
 // apply implements event.
-func (e *quarantineWritten) apply(g *Gateway, _ time.Duration) {
-	c := e.controller
+func (e *quarantineWriteResult) apply(g *Gateway, _ time.Duration) {
+	c := e.control
 	if c.machine != e.machine {
 		return
 	}
-	stored := &c.kept
-	stored.busy = false
+	stored := &c.quarantine
+	stored.inFlight = false
 	if e.err != nil {
 		// The write may have taken effect, or someone else may have changed the object.
 		stored.stale = true
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -480,7 +480,7 @@
 	request := listRequest{Kind: kind, Columns: true}
 	for first := true; ; first = false {
 		var page listAnswer
-		if err := g.askPeer(ctx, listTimeout, source, pathList, request, &page); err != nil {
+		if err := g.callPeer(ctx, listTimeout, source, pathList, request, &page); err != nil {
 			return objects.Listing{}, 0, err
 		}
 		if first {
@@ -501,7 +501,7 @@
 // answerList answers another host's list, if this host knows the kind.
 func (g *Gateway) answerList(w http.ResponseWriter, r *http.Request) {
 	var request listRequest
-	if !g.readPeer(w, r, &request) {
+	if !g.decodePeerRequest(w, r, &request) {
 		return
 	}
 	listing, more, ok := g.relay.page(request.Kind, request.After, listPage)
@@ -509,7 +509,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	g.writePeer(w, r, listAnswer{Listing: listing, More: more, AgeMs: g.fresh.ageNow(g.now()).Milliseconds()})
+	g.writePeerResponse(w, r, listAnswer{Listing: listing, More: more, AgeMs: g.freshness.ageNow(g.now()).Milliseconds()})
 }
 
 // watchRequest asks a host for the changes of a kind.
@@ -540,7 +540,7 @@
 func (g *Gateway) askRelay(ctx context.Context, source string, request watchRequest) (objects.Listing, error) {
 	var answer watchAnswer
 	wait := time.Duration(request.WaitMs) * time.Millisecond
-	err := g.askPeer(ctx, wait+peerTimeout, source, pathWatch, request, &answer)
+	err := g.callPeer(ctx, wait+peerTimeout, source, pathWatch, request, &answer)
 	var status *peerStatusError
 	if errors.As(err, &status) && status.Status == http.StatusGone {
 		return objects.Listing{}, objects.ErrCompacted
@@ -555,10 +555,10 @@
 // the store counts.
 func (g *Gateway) answerWatch(w http.ResponseWriter, r *http.Request) {
 	var request watchRequest
-	if !g.readPeer(w, r, &request) {
+	if !g.decodePeerRequest(w, r, &request) {
 		return
 	}
-	if !g.fresh.serves(g.now()) || !request.Columns {
+	if !g.freshness.serves(g.now()) || !request.Columns {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -574,5 +574,5 @@
 	if !request.Whole {
 		answer = g.deltas.shorten(&g.relay, request.Kind, listing, request.Revision)
 	}
-	g.writePeer(w, r, answer)
+	g.writePeerResponse(w, r, answer)
 }
--- a/gateway/relays_test.go
+++ b/gateway/relays_test.go
@@ -51,7 +51,7 @@
 // fronted starts a host with a way to the store of its own.
 func (s *site) fronted(name string, seeds ...string) (*hostUnderTest, *storeFront) {
 	front := &storeFront{store: s.store}
-	return s.start(hostSetup{name: name, store: s.listen(front), seeds: seeds}), front
+	return s.start(hostOptions{name: name, store: s.listen(front), seeds: seeds}), front
 }
 
 // newRoute adds a route to the configuration, and has tells whether a host knows it.
@@ -70,7 +70,7 @@
 func TestRefusedHostFollowsARelay(t *testing.T) {
 	s, controller := calm(t)
 	s.eventually("all keys are served", func() bool { return s.allServed(controller) })
-	others := []*hostUnderTest{s.host("two"), s.host("three")}
+	others := []*hostUnderTest{s.startHost("two"), s.startHost("three")}
 	refused, front := s.fronted("refused")
 	s.eventually("the refused host serves keys", func() bool { return refused.gateway.Ready() && s.allServed(refused) })
 	// Relays are named with the answers to reports, of which each host gets one each
@@ -97,7 +97,7 @@
 	s, h := calm(t)
 	s.eventually("all keys are served", func() bool { return s.allServed(h) })
 	s.store.SetFaults(platformtest.Faults{Refuse: true})
-	late := s.start(hostSetup{name: "late", store: s.address, seeds: []string{h.peers.address}})
+	late := s.start(hostOptions{name: "late", store: s.address, seeds: []string{h.peers.address}})
 	s.eventually("the host that started serves", func() bool { return late.gateway.Ready() && s.allServed(late) })
 	s.store.SetFaults(platformtest.Faults{})
 	more := s.newRoute(9, "more")
@@ -114,7 +114,7 @@
 	const hosts = 12
 	started := []*hostUnderTest{first}
 	for i := range hosts {
-		started = append(started, s.host(fmt.Sprintf("host-%d", i)))
+		started = append(started, s.startHost(fmt.Sprintf("host-%d", i)))
 	}
 	s.eventually("the assignment names relays", func() bool { return len(s.assignment().Controller.Relays) > 0 })
 	before := s.assignment().Controller
@@ -126,7 +126,7 @@
 	var fronts []*storeFront
 	for i, h := range started {
 		front := &storeFront{store: s.store}
-		again = append(again, s.start(hostSetup{name: fmt.Sprintf("host-%d", i), store: s.listen(front), peers: h.peers}))
+		again = append(again, s.start(hostOptions{name: fmt.Sprintf("host-%d", i), store: s.listen(front), peers: h.peers}))
 		fronts = append(fronts, front)
 	}
 	s.eventually("all hosts serve", func() bool {
--- a/gateway/reply.go
+++ b/gateway/reply.go
@@ -108,7 +108,7 @@
 		answer.finish(false)
 		return before
 	}
-	ahead := newReadAhead(&g.unread)
+	ahead := newReadAhead(&g.unreadBytes)
 	read := make(chan struct{})
 	go func() {
 		defer close(read)
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -102,7 +102,7 @@
 // handle returns the answer to a request. It is final: nothing of the request
 // is under way any more, except the rest of a streamed answer.
 func (g *Gateway) handle(w http.ResponseWriter, r *http.Request, req *request) *reply {
-	req.configuration = g.inForce.Current()
+	req.configuration = g.configuration.Current()
 	if req.configuration == nil {
 		return turnedAway("no-configuration", retryAfterUnknown)
 	}
@@ -280,7 +280,7 @@
 		return false
 	}
 	g.logRetry(req, result)
-	g.counts.retries.Inc()
+	g.metrics.retries.Inc()
 	if req.service.view != nil {
 		clock.Sleep(ctx, ownerPause)
 		return ctx.Err() == nil
--- a/gateway/rest.go
+++ b/gateway/rest.go
@@ -12,11 +12,11 @@
 	if h.Rest <= 0 {
 		return
 	}
-	g.counts.rests.Inc()
+	g.metrics.rests.Inc()
 	for _, s := range g.allServices() {
 		s.rest(h.server, h.Rest)
 	}
-	if g.failureLines.take() {
+	if g.failureLogLimit.take() {
 		g.log.Info("server asks this host for rest", "server", h.server.String(), "rest-ms", h.Rest.Milliseconds(), "call", h.call, "request", h.request)
 	}
 }
--- a/gateway/scale_test.go
+++ b/gateway/scale_test.go
@@ -35,12 +35,12 @@
 		for i := range servers {
 			put(i, uint64(i+1))
 		}
-		g.distribute()
+		g.distributeServers()
 		revision := uint64(servers)
 		return testing.AllocsPerRun(100, func() {
 			revision++
 			put(int(revision)%servers, revision)
-			g.distribute()
+			g.distributeServers()
 		})
 	}
 	few, many := cost(100), cost(10000)
@@ -53,14 +53,14 @@
 	g.services["s"], g.services["t"] = g.newService("s", true), g.newService("t", false)
 	put := func(service string, revision uint64) {
 		g.directory.Put(0, fleet.Version{Server: fleet.Server{ID: "i", Service: service, Domain: "d", Slots: 4}, Revision: revision})
-		g.distribute()
+		g.distributeServers()
 	}
 	put("s", 1)
 	assert.Equal(t, len(g.services["s"].serverStates()), 1)
 	assert.Equal(t, len(g.services["t"].serverStates()), 0)
 	put("t", 2)
 	assert.Equal(t, len(g.services["s"].serverStates()), 0)
-	assert.Equal(t, len(g.services["s"].view.present), 0)
+	assert.Equal(t, len(g.services["s"].view.registered), 0)
 	assert.Equal(t, len(g.services["t"].serverStates()), 1)
 }
 
@@ -158,7 +158,7 @@
 func TestEarlierHostsAreNotTold(t *testing.T) {
 	g := New(Identity{Host: "h"}, Platform{}, logs.Discard())
 	g.relay.note("servers", entries(0, 3), true)
-	g.fresh.told(g.now(), wordOf(g.now(), "controller", nil))
+	g.freshness.told(g.now(), wordOf(g.now(), "controller", nil))
 	for path, body := range map[string]string{pathList: `{"kind":"servers"}`, pathWatch: `{"kind":"servers","revision":1,"waitMs":1}`} {
 		recorder := httptest.NewRecorder()
 		g.PeerHandler().ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, path, strings.NewReader(body)))
@@ -173,7 +173,7 @@
 		recorder := httptest.NewRecorder()
 		request := httptest.NewRequest(http.MethodPost, pathList, nil)
 		request.Header.Set("Accept-Encoding", accepted)
-		g.writePeer(recorder, request, entries(0, 100))
+		g.writePeerResponse(recorder, request, entries(0, 100))
 		body := recorder.Body.Bytes()
 		assert.Equal(t, recorder.Header().Get("Content-Encoding"), accepted)
 		if accepted != "" {
@@ -208,13 +208,13 @@
 		name := func(i int) string { return fmt.Sprintf("h%04d", i) }
 		domain := func(i int) string { return fmt.Sprintf("d%d", i%5) }
 		for i := range hosts {
-			m.note(name(i), member{address: name(i), domain: domain(i), small: i >= hosts/20})
+			m.add(name(i), member{address: name(i), domain: domain(i), small: i >= hosts/20})
 		}
 		followers := map[string]int{}
 		for i := range hosts {
 			followers[m.relaysFor(name(i), domain(i), 0)[0]]++
 		}
-		bound := 1.6 * max(mostFollowers, math.Sqrt(float64(hosts)))
+		bound := 1.6 * max(maxDirectFollowers, math.Sqrt(float64(hosts)))
 		for relay, n := range followers {
 			assert.Assert(t, float64(n) <= bound, "%d of %d hosts follow %s", n, hosts, relay)
 		}
@@ -230,13 +230,13 @@
 	named := map[string]int{}
 	for i := range hosts {
 		name := fmt.Sprintf("h%04d", i)
-		m.note(name, member{address: name, domain: "d", small: i%20 > 0})
-		if relays := m.relaysFor(name, "d", 0); len(m.hosts) > mostFollowers {
+		m.add(name, member{address: name, domain: "d", small: i%20 > 0})
+		if relays := m.relaysFor(name, "d", 0); len(m.hosts) > maxDirectFollowers {
 			named[relays[0]]++
 		}
 	}
 	// Each time that the hosts double, a relay is named to as many as may follow it.
-	most := int(mostFollowers * math.Ceil(math.Log2(hosts/mostFollowers)))
+	most := int(maxDirectFollowers * math.Ceil(math.Log2(hosts/maxDirectFollowers)))
 	for relay, n := range named {
 		assert.Assert(t, n <= most, "%s is named to %d of %d hosts", relay, n, hosts)
 	}
@@ -248,8 +248,8 @@
 	for i := range 1000 {
 		g := New(Identity{Host: fmt.Sprintf("h%d", i)}, Platform{}, logs.Discard())
 		g.hosts.note(0, 1000)
-		delay := g.firstReportDelay(&controller{service: newService("s", Identity{}, true, g.now)}, &keyspace.Record{})
-		assert.Assert(t, delay <= mostReportSpread)
+		delay := g.firstReportDelay(&serviceControl{service: newService("s", Identity{}, true, g.now)}, &keyspace.Record{})
+		assert.Assert(t, delay <= maxReportSpread)
 		within[delay/(10*time.Millisecond)]++
 	}
 	for _, n := range within {
--- a/gateway/servers.go
+++ b/gateway/servers.go
@@ -21,7 +21,7 @@
 			g.mu.Lock()
 			g.directory.Replace(g.now(), listing.Revision, versions)
 			g.mu.Unlock()
-			g.listed.Store(true)
+			g.registryListed.Store(true)
 			g.directoryChanged()
 		},
 		change: func(listing objects.Listing) {
@@ -75,11 +75,11 @@
 // the lines are found in the logs of those that follow the store: with a line an
 // entry on every host, 295 hosts and 1,080 servers wrote four fifths of all lines,
 // 216 MB in 27 s. An entry that is not taken is told by every host that refuses it.
-func (g *Gateway) tellsEntries() bool { return g.fresh.follows(g.now()) == "" }
+func (g *Gateway) tellsEntries() bool { return g.freshness.follows(g.now()) == "" }
 
 // directoryChanged hands on what the directory holds now.
 func (g *Gateway) directoryChanged() {
-	g.distribute()
+	g.distributeServers()
 	g.nudge()
 }
 
@@ -136,8 +136,8 @@
 		clear(e.reported)
 	}
 	e.reported[object.Name] = object.Revision
-	e.gateway.counts.unreadable.Inc()
-	if e.gateway.entryLines.take() {
+	e.gateway.metrics.unreadable.Inc()
+	if e.gateway.entryLogLimit.take() {
 		e.gateway.log.Error("server entry names no server", "server", object.Name, "revision", object.Revision, "error", cause.Error())
 	}
 }
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -58,7 +58,7 @@
 	}
 	s.pool = balance.NewPool(identity.Domain, owner, identity.Incarnation)
 	if identity.EvacuateWithin > 0 {
-		s.pool.SetEvacuateWithin(identity.EvacuateWithin - identity.ObeyWithin)
+		s.pool.SetEvacuateWithin(identity.EvacuateWithin - identity.ApplyWithin)
 	}
 	return s
 }
@@ -124,7 +124,7 @@
 		}
 	}
 	if s.view != nil {
-		s.view.changePresent(changed, gone)
+		s.view.updateServers(changed, gone)
 	}
 	s.pool.ChangeServers(s.now(), changed, gone)
 }
--- a/gateway/site_test.go
+++ b/gateway/site_test.go
@@ -23,8 +23,8 @@
 	"cicadarouter/platform/platformtest"
 )
 
-// patience is how long a test waits for an expected condition.
-const patience = 20 * time.Second
+// waitTimeout is how long a test waits for an expected condition.
+const waitTimeout = 20 * time.Second
 
 // site is a store, servers and hosts, all in this process on loopback addresses.
 type site struct {
@@ -116,8 +116,8 @@
 	assert.NilError(s.t, s.store.Kept().Delete(ctx, kind, name, current.Revision))
 }
 
-// serve starts a server and registers it.
-func (s *site) serve(id, service string, keyed bool) *platformtest.Server {
+// startServer starts a server and registers it.
+func (s *site) startServer(id, service string, keyed bool) *platformtest.Server {
 	server := &platformtest.Server{ID: id, Keyed: keyed, Slots: 8, Work: time.Millisecond}
 	s.servers[id] = server
 	if keyed {
@@ -171,21 +171,21 @@
 			{"name":"free","path-prefix":"/free/","kind":"safe","timeout":"5000ms","target-latency":"1000ms","priority":1,"service":"free","max-attempts":2}]}]}`, version, perSecond))
 }
 
-// host starts a gateway and waits until it is ready.
-func (s *site) host(name string) *hostUnderTest {
+// startHost starts a gateway and waits until it is ready.
+func (s *site) startHost(name string) *hostUnderTest {
 	s.t.Helper()
-	h := s.unready(name)
+	h := s.startUnready(name)
 	s.eventually("the host is ready", h.gateway.Ready)
 	return h
 }
 
-// unready starts a gateway.
-func (s *site) unready(name string) *hostUnderTest {
-	return s.start(hostSetup{name: name, store: s.address})
+// startUnready starts a gateway.
+func (s *site) startUnready(name string) *hostUnderTest {
+	return s.start(hostOptions{name: name, store: s.address})
 }
 
-// hostSetup holds the options for starting a gateway.
-type hostSetup struct {
+// hostOptions holds the options for starting a gateway.
+type hostOptions struct {
 	name  string
 	store string // address of the store
 	seeds []string
@@ -195,14 +195,14 @@
 	peers *peerAddress
 }
 
-func (s *site) start(setup hostSetup) *hostUnderTest {
+func (s *site) start(setup hostOptions) *hostUnderTest {
 	s.t.Helper()
 	h := &hostUnderTest{peers: setup.peers}
 	if h.peers == nil {
 		h.peers = s.newPeerAddress()
 	}
 	store := platform.NewStore(setup.store)
-	identity := gateway.Identity{Host: setup.name, Domain: "a", Peers: h.peers.address, Seeds: setup.seeds, FirstStart: setup.firstStart, EvacuateWithin: 5 * time.Second, Incarnation: uint64(len(s.hosts) + 1)}
+	identity := gateway.Identity{Host: setup.name, Domain: "a", PeerAddress: h.peers.address, Seeds: setup.seeds, FirstStart: setup.firstStart, EvacuateWithin: 5 * time.Second, Incarnation: uint64(len(s.hosts) + 1)}
 	h.gateway = gateway.New(identity, gateway.Platform{Store: store, Registry: platform.Registry{}, Codec: platform.Codec{}, Keys: platform.NewKeys()}, logs.Discard())
 	h.peers.process.Store(h.gateway)
 	h.callers = httptest.NewServer(h.gateway)
@@ -234,7 +234,7 @@
 // eventually waits until a condition holds.
 func (s *site) eventually(what string, holds func() bool) {
 	s.t.Helper()
-	timeout := time.After(patience)
+	timeout := time.After(waitTimeout)
 	ticker := time.NewTicker(5 * time.Millisecond)
 	defer ticker.Stop()
 	for !holds() {
--- a/gateway/sources.go
+++ b/gateway/sources.go
@@ -56,7 +56,7 @@
 // whole system starts for the first time nobody knows more than the store tells
 // everybody at a tenth of the price, and hundreds of hosts would ask three.
 func newSources(identity Identity) *sources {
-	s := &sources{self: identity.Peers, turn: int(hashOf(identity.Host))}
+	s := &sources{self: identity.PeerAddress, turn: int(hashName(identity.Host))}
 	if !identity.FirstStart {
 		s.seeds = identity.Seeds
 	}
@@ -210,7 +210,7 @@
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, askEvery)
 		now := g.now()
-		if !g.fresh.needsSource(now) && (following == "" || !g.fresh.renewal(now, following)) {
+		if !g.freshness.needsSource(now) && (following == "" || !g.freshness.renewal(now, following)) {
 			continue
 		}
 		address := g.sources.relay()
@@ -219,7 +219,7 @@
 		}
 		answer, err := g.askSource(ctx, address)
 		age := time.Duration(answer.AgeMs) * time.Millisecond
-		if err != nil || age >= g.fresh.vouchedFor() {
+		if err != nil || age >= g.freshness.vouchedFor() {
 			following = ""
 			if g.sources.miss() {
 				g.log.Info("no relay has the store's word", "last", address, "age-ms", answer.AgeMs, "error", errorText(err))
@@ -228,8 +228,8 @@
 			continue
 		}
 		g.sources.found()
-		g.reach.back() // what this host can't read in the store it hears from the relay
-		behind := g.fresh.told(g.now(), word{confirmed: now - age, teller: address, source: address, revisions: answer.Revisions})
+		g.storeReach.back() // what this host can't read in the store it hears from the relay
+		behind := g.freshness.told(g.now(), word{confirmed: now - age, teller: address, source: address, revisions: answer.Revisions})
 		if following != address || len(behind) > 0 {
 			g.log.Info("relay vouches for the store's state", "relay", address, "age-ms", answer.AgeMs, "behind", behind)
 		}
@@ -239,16 +239,16 @@
 
 func (g *Gateway) askSource(ctx context.Context, address string) (sourceAnswer, error) {
 	var answer sourceAnswer
-	err := g.askPeer(ctx, askTimeout, address, pathSource, sourceQuestion{Host: g.identity.Host}, &answer)
+	err := g.callPeer(ctx, askTimeout, address, pathSource, sourceQuestion{Host: g.identity.Host}, &answer)
 	return answer, err
 }
 
 // answerSource answers a host that asks this one in a controller's place.
 func (g *Gateway) answerSource(w http.ResponseWriter, r *http.Request) {
 	var question sourceQuestion
-	if !g.readPeer(w, r, &question) {
+	if !g.decodePeerRequest(w, r, &question) {
 		return
 	}
-	age, revisions := g.fresh.question(g.now())
-	g.writePeer(w, r, sourceAnswer{AgeMs: age.Milliseconds(), Revisions: revisions})
+	age, revisions := g.freshness.question(g.now())
+	g.writePeerResponse(w, r, sourceAnswer{AgeMs: age.Milliseconds(), Revisions: revisions})
 }
--- a/gateway/sources_test.go
+++ b/gateway/sources_test.go
@@ -18,7 +18,7 @@
 	for _, domain := range []string{"a", "b"} {
 		for i := range 20 {
 			name := fmt.Sprintf("%s%02d", domain, i)
-			m.note(name, member{address: name + ":1", domain: domain, small: i >= 3})
+			m.add(name, member{address: name + ":1", domain: domain, small: i >= 3})
 		}
 	}
 	first := map[string]int{}
@@ -32,14 +32,14 @@
 		first[relays[0]]++
 	}
 	assert.Equal(t, len(first), relaysPerDomain)
-	assert.Equal(t, len(m.all), 2*relaysPerDomain)
+	assert.Equal(t, len(m.allRelays), 2*relaysPerDomain)
 
 	// Those that stop reporting are replaced, at last by small ones.
-	later := memberKept + namedEvery
+	later := memberTimeout + relaySelectInterval
 	for name, each := range m.hosts {
 		if each.small || each.domain == "b" {
-			each.seen = later
-			m.note(name, each)
+			each.lastSeen = later
+			m.add(name, each)
 		}
 	}
 	for _, near := range m.relaysFor("a10", "a", later)[:relaysPerDomain] {
@@ -51,7 +51,7 @@
 // assignment names, before that the seeds; never itself, and the next one after a
 // failure.
 func TestWhomAHostAsks(t *testing.T) {
-	s := newSources(Identity{Peers: "self", Seeds: []string{"self", "seed"}})
+	s := newSources(Identity{PeerAddress: "self", Seeds: []string{"self", "seed"}})
 	assert.Equal(t, s.current(), "seed")
 	s.read(keyspace.Controller{Address: "controller", Relays: []string{"written"}})
 	assert.Equal(t, s.current(), "written")
--- a/gateway/storecalls.go
+++ b/gateway/storecalls.go
@@ -97,15 +97,15 @@
 
 // noteStoreCall counts a call to the store.
 func (g *Gateway) noteStoreCall(call, kind string) {
-	g.calls.note(call, kind)
-	g.counts.set.GetOrCreateCounter(`cicada_store_calls_total{call="` + call + `",kind="` + kind + `"}`).Inc()
+	g.storeCalls.note(call, kind)
+	g.metrics.set.GetOrCreateCounter(`cicada_store_calls_total{call="` + call + `",kind="` + kind + `"}`).Inc()
 }
 
 // tellStoreCalls writes a line each while with the calls made in it.
 func (g *Gateway) tellStoreCalls(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, callsToldEvery)
-		made := g.calls.take()
+		made := g.storeCalls.take()
 		if len(made) == 0 {
 			continue
 		}
--- a/tools/mutants/era.go
+++ b/tools/mutants/era.go
@@ -22,7 +22,7 @@
 		entries("fleet.go", "drop servers that the store forgot", "		if len(d.entries) > 0 {\n			d.Away(now)\n		}\n", ""),
 		entries("evacuation.go", "take back an evacuation that the store forgot", "	if e.forget(now, domain, asOf) {\n", "	if false {\n"),
 		entries("evacuation.go", "keep a forgotten evacuation for good", "known.forgotten && now-known.forgottenAt >= forgottenKept", "false"),
-		host("keyview.go", "take an earlier record for the newest", "if v.forgotten && record.OlderThan(v.record) {", "if false {"),
+		host("keyview.go", "take an earlier record for the newest", "if v.storeRolledBack && record.OlderThan(v.record) {", "if false {"),
 		host("era.go", "leave the record to the store that forgot it", "	c.machine.Forgotten(era)\n", ""),
 		breaking("gateway", "RelayTellsNo")("relay.go", "pass differences on across eras", "if revision.Era(after) < revision.Era(known.revision) {", "if false {"),
 		host("follow.go", "list from a host that has not noticed", "revision.Era(listing.Revision) < g.era.Load()", "false"),
--- a/tools/mutants/gateway.go
+++ b/tools/mutants/gateway.go
@@ -5,7 +5,7 @@
 	in := breaking("gateway", "Relay|NewSource|LateReport|HostWaits|HostThatStarts|WhomAHostAsks|Silent|Behind|SecondStart|Claim|Stopping|UnderWay")
 	return []mutant{
 		in("freshness.go", "keep watching a source that is no longer followed", "state.source != w.source && state.source != w.teller {", "false {"),
-		in("calls.go", "accept a claim after a successor was told that the controller stopped", "if e.record.Term < c.yielded {", "if false {"),
+		in("calls.go", "accept a claim after a successor was told that the controller stopped", "if e.record.Term < c.yieldedTerm {", "if false {"),
 		in("peers.go", "take over from a host whose claim is in progress", "case e.answer.Incarnation == e.to.Incarnation && e.answer.Claiming:", "case false:"),
 		in("stop.go", "accept all requests during shutdown", "return now < sure || deadline <= p.end", "return now < sure || true"),
 		in("request.go", "drop requests at shutdown without an answer", "	if g.stop.over() {\n		return refusal(", "	if false {\n		return refusal("),
@@ -21,7 +21,7 @@
 		in("relay.go", "discard the history at each list", "	if complete && known.current == nil {", "	if complete {"),
 		in("relay.go", "ignore objects that are missing from a list", "		if !present[name] {\n", "		if false {\n"),
 		in("sources.go", "ask this host itself", "return address == s.self || address == \"\"", "return address == \"\""),
-		in("members.go", "select hosts as relays that no longer report", "		if now-each.seen > memberKept {\n", "		if now < each.seen-memberKept {\n"),
+		in("members.go", "select hosts as relays that no longer report", "		if now-each.lastSeen > memberTimeout {\n", "		if now < each.lastSeen-memberTimeout {\n"),
 		in("follow.go", "ask no other host while the store is unreachable", "	if err == nil || source == \"\" || ctx.Err() != nil {", "	if true {"),
 		in("follow.go", "read the first list at full cost", "	if known == 0 {\n		return g.firstList(ctx, kind)\n	}\n", "	if known == 0 {\n		return g.store.List(ctx, kind)\n	}\n"),
 	}
