--- a/gateway/columns.go
+++ b/gateway/columns.go
@@ -6,14 +6,14 @@
 	"cicadarouter/contract/objects"
 )
 
-// columns are the objects of a listing as they pass between hosts: column by column, since
-// thousands are decoded in a third of the time that it takes one by one.
+// columns is the form in which hosts exchange the objects of a listing: column by column,
+// since thousands of objects decode in a third of the time that they take one by one.
 type columns struct {
 	Kind      string            `json:"kind,omitempty"`
 	Names     []string          `json:"names,omitempty"`
 	Revisions []uint64          `json:"revisions,omitempty"`
 	Specs     []json.RawMessage `json:"specs,omitempty"`
-	// Deleted are the indexes of those that are deletions.
+	// Deleted holds the indexes of the objects that are deletions.
 	Deleted []int  `json:"deleted,omitempty"`
 	AsOf    uint64 `json:"asOf"`
 }
@@ -24,6 +24,7 @@
 // Error implements error.
 func (columnsError) Error() string { return "columns of a listing have different lengths" }
 
+// columnsOf returns the columns of a listing.
 func columnsOf(listing objects.Listing) columns {
 	c := columns{AsOf: listing.Revision}
 	for i, object := range listing.Objects {
@@ -40,7 +41,7 @@
 	return c
 }
 
-// listing returns what the columns hold. The error is a columnsError.
+// listing returns the listing that the columns hold. Its error is a columnsError.
 func (c *columns) listing() (objects.Listing, error) {
 	listing := objects.Listing{Revision: c.AsOf}
 	if len(c.Revisions) != len(c.Names) || len(c.Specs) != len(c.Names) {
--- a/gateway/deltas.go
+++ b/gateway/deltas.go
@@ -12,36 +12,35 @@
 	"cicadarouter/delta"
 )
 
-// Between hosts a long document (an assignment, a configuration of many routes)
-// travels as the difference to the version that the other host has: a change
-// touches a few of hundreds of ranges or routes, and bytes between failure
-// domains are dear. On 76 hosts and 170 servers a move is 0.2 to 2 KB a host in
-// place of 15.
+// Hosts send each other a large document (an assignment, a configuration with many routes)
+// as a delta to the version that the receiver has: a change affects a few of hundreds of
+// ranges or routes, and traffic between failure domains is expensive. With 76 hosts and 170
+// servers, moving keys takes 0.2 to 2 KB per host instead of 15 KB.
 
 const (
-	// longDocument is from how many bytes on a document travels as a delta.
+	// longDocument is the size in bytes from which on a document is sent as a delta.
 	longDocument = 1 << 10
-	// longAnswer is from how many bytes on a host is sent to the store for a
-	// document. A small controller that sent a configuration of 1,400 routes to 75
-	// others itself kept its link and processor busy for seconds, in which the
-	// others missed changes. Large hosts pass on what a body may hold.
+	// longAnswer is the size in bytes from which on a document or delta is not sent: the receiver
+	// reads the document from the store. A small controller that sent a configuration of 1,400
+	// routes to 75 other hosts kept its link and processor busy for seconds, in which these
+	// missed changes. Large hosts send what fits in a body.
 	longAnswer      = 64 << 10
 	largeLongAnswer = mostPeerBody / 2
-	// mostDeltas bounds the deltas that are kept: nearly all hosts have the
-	// version before the last and ask for the same.
+	// mostDeltas bounds the cached deltas: nearly all hosts have the version before the last
+	// and ask for the same delta.
 	mostDeltas = 8
 )
 
-// watchAnswer is what a controller passes on.
+// watchAnswer holds changes of a kind.
 type watchAnswer struct {
 	objects.Listing
-	// Deltas stand in place of documents that the host has an earlier version of.
+	// Deltas replace documents that the receiver has an earlier version of.
 	Deltas []documentDelta `json:"deltas,omitempty"`
-	// InStore names documents that the host is to read in the store.
+	// InStore names documents that the receiver has to read from the store.
 	InStore []string `json:"inStore,omitempty"`
 }
 
-// watchAnswerWire is a watchAnswer as it passes between hosts.
+// watchAnswerWire is the JSON form of a watchAnswer.
 type watchAnswerWire struct {
 	columns
 	Deltas  []documentDelta `json:"deltas,omitempty"`
@@ -64,7 +63,7 @@
 	return err
 }
 
-// documentDelta makes one version of a document into a later one.
+// documentDelta turns one version of a document into a later one.
 type documentDelta struct {
 	Name string `json:"name"`
 	// Base and Revision are the versions' revisions in the store.
@@ -73,8 +72,8 @@
 	Delta    *delta.Delta `json:"delta"`
 }
 
-// unfitError reports a delta of a version that this host does not have, or a
-// document that it could not read in the store.
+// unfitError reports a delta to a version that this host does not have, or a document that it
+// could not read from the store.
 type unfitError struct {
 	Name        string
 	Base, Known uint64
@@ -83,29 +82,29 @@
 
 // Error implements error.
 func (e *unfitError) Error() string {
-	return fmt.Sprintf("delta of %s is for revision %d, known is %d: %v", e.Name, e.Base, e.Known, e.Cause)
+	return fmt.Sprintf("document %s not available (delta base revision %d, known revision %d): %v", e.Name, e.Base, e.Known, e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e *unfitError) Unwrap() error { return e.Cause }
 
-var errOtherBase = errors.New("the host has another version")
+var errOtherBase = errors.New("delta applies to another version than the known one")
 
-// deltaKey names a delta.
+// deltaKey identifies a delta.
 type deltaKey struct {
 	kind, name     string
 	base, revision uint64
 }
 
-// madeDelta is a delta with its length in bytes as it is sent.
+// madeDelta is a delta with the length of its JSON form in bytes.
 type madeDelta struct {
 	delta *delta.Delta
 	bytes int
 }
 
-// deltas makes the deltas for other hosts, each once.
+// deltas makes deltas for other hosts and caches them, so that each is made once.
 type deltas struct {
-	// long is from how many bytes on a host is sent to the store for a document.
+	// long is the size in bytes from which on a host has to read a document from the store.
 	long int
 	mu   sync.Mutex
 	made map[deltaKey]madeDelta
@@ -118,8 +117,8 @@
 	return deltas{long: largeLongAnswer}
 }
 
-// shorten returns a listing for a host that knows the kind up to a revision,
-// with deltas in place of the long documents of which it has an earlier version.
+// shorten returns the answer for a host that knows the kind up to a revision. Deltas replace
+// the large documents of which the host has an earlier version.
 func (d *deltas) shorten(relay *relay, kind string, listing objects.Listing, known uint64) *watchAnswer {
 	answer := &watchAnswer{Listing: objects.Listing{Revision: listing.Revision}}
 	for _, object := range listing.Objects {
@@ -142,6 +141,7 @@
 	return answer
 }
 
+// whole adds a whole document, or only its name if it is too large to send.
 func (a *watchAnswer) whole(object objects.Object, long int) {
 	if len(object.Spec) >= long {
 		a.InStore = append(a.InStore, object.Name)
@@ -150,6 +150,7 @@
 	a.Objects = append(a.Objects, object)
 }
 
+// get returns the delta between two versions of an object.
 func (d *deltas) get(kind string, base, object objects.Object) madeDelta {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -168,8 +169,9 @@
 	return made
 }
 
-// unfold returns a controller's answer as a listing of whole documents. It fails
-// with an *unfitError if a document can't be had from what this host has.
+// unfold applies an answer's deltas, reads the documents it only names from the store, and
+// returns the changes with whole documents. It fails with an *unfitError if that is impossible
+// for one of them.
 func (g *Gateway) unfold(ctx context.Context, kind string, answer *watchAnswer) (objects.Listing, error) {
 	listing := answer.Listing
 	for _, each := range answer.Deltas {
--- a/gateway/deltas_test.go
+++ b/gateway/deltas_test.go
@@ -15,8 +15,8 @@
 	"cicadarouter/host/logs"
 )
 
-// document returns a configuration of many routes, spaced as a store may space
-// it, of which one was changed.
+// document returns a configuration with many routes of which one is changed, spaced in a way
+// that a store may use.
 func document(routes, changed int) []byte {
 	text := "{ \"routes\" : ["
 	for i := range routes {
@@ -36,7 +36,7 @@
 	return objects.Object{Kind: "documents", Name: "d", Revision: revision, Spec: spec}
 }
 
-// versions returns a relay that has seen three versions of a document.
+// versions returns a relay that has read three versions of a document.
 func versions(routes int) *relay {
 	r := &relay{}
 	r.note("documents", canonical(objects.Listing{Revision: 5, Objects: []objects.Object{stored(4, document(routes, 0))}}), true)
@@ -45,7 +45,7 @@
 	return r
 }
 
-// sent passes an answer to another host.
+// sent encodes and decodes an answer, as if it had been sent to another host.
 func sent(t *testing.T, answer *watchAnswer) *watchAnswer {
 	t.Helper()
 	encoded, err := json.Marshal(answer)
@@ -55,7 +55,7 @@
 	return &got
 }
 
-// hostKnowing returns a host that has listed one version from the store.
+// hostKnowing returns a host that has listed one version of a document from the store.
 func hostKnowing(object objects.Object, store objects.Store) *Gateway {
 	g := New(Identity{}, Platform{Store: store}, logs.Discard())
 	g.relay.note("documents", canonical(objects.Listing{Revision: object.Revision, Objects: []objects.Object{object}}), true)
@@ -70,8 +70,8 @@
 	assert.DeepEqual(t, a, b)
 }
 
-// A host that has an earlier version gets what differs, and comes to hold the
-// same document as one that gets it whole.
+// A host that has an earlier version of a large document is sent a delta, and gets the same
+// document as a host that is sent the whole.
 func TestLongDocumentsTravelAsDeltas(t *testing.T) {
 	const routes = 200
 	r := versions(routes)
@@ -91,13 +91,12 @@
 	_, ok := r.versionAt("documents", "d", 3)
 	assert.Assert(t, !ok)
 	listing := objects.Listing{Objects: []objects.Object{stored(9, document(routes, 2))}}
-	assert.Equal(t, len((&deltas{long: longAnswer}).shorten(r, "documents", listing, 3).Objects), 1, "a host without any version gets it whole")
+	assert.Equal(t, len((&deltas{long: longAnswer}).shorten(r, "documents", listing, 3).Objects), 1, "a host without any version is sent the whole document")
 }
 
-// Symptom: a host sends keys to servers that do not own them, for good.
-// Sequence: the host reads one version from the store while the controller
-// makes a delta of another; the delta is applied to the wrong one.
-// Cause: a delta was taken for any version.
+// Guards against a host that permanently sends keys to servers that do not own them. It reads
+// one version from the store while the controller sends a delta to another; the delta must not
+// be applied to the wrong version.
 func TestDeltaOfAVersionThatTheHostDoesNotHave(t *testing.T) {
 	r := versions(200)
 	listing, _, _ := r.since("documents", 5)
@@ -108,11 +107,10 @@
 	assert.Equal(t, unfit.Known, uint64(7))
 }
 
-// Symptom: hosts handle requests by a configuration that was replaced 5 s ago.
-// Sequence: the configuration grows to 1,400 routes; the controller sends it to
-// 75 hosts one by one; its link and processor are busy for seconds, in which the
-// others hear of no change.
-// Cause: long documents went through the controller.
+// Guards against hosts that handle requests by a configuration replaced 5 s ago. The
+// configuration has grown to 1,400 routes, and if the controller sent it to 75 hosts one by
+// one, its link and processor would be busy for seconds, in which the other hosts would learn
+// of no change.
 func TestVeryLongDocumentsAreReadInTheStore(t *testing.T) {
 	const routes = 5000
 	r := &relay{}
@@ -130,15 +128,15 @@
 	assert.NilError(t, err)
 	sameJSON(t, got.Objects[0].Spec, document(routes, 0))
 
-	// A host that does not reach the store asks for it whole.
+	// A host that can't read it from the store gets an error, and then requests it whole.
 	empty := hostKnowing(stored(4, document(200, 0)), memobjects.New())
 	_, err = empty.unfold(context.Background(), "documents", answer)
 	var unfit *unfitError
 	assert.Assert(t, errors.As(err, &unfit))
 }
 
-// What is kept for hosts that are behind is bounded in bytes, and the last
-// version of each long document stays known.
+// The versions kept for hosts that are behind are bounded in bytes, and the last version of
+// each large document is always kept.
 func TestKeptChangesAreBounded(t *testing.T) {
 	r := &relay{}
 	r.note("documents", objects.Listing{Revision: 1}, true)
@@ -157,6 +155,6 @@
 	assert.Assert(t, !ok)
 	listing, err := r.watch(context.Background(), "documents", 2, time.Second)
 	assert.NilError(t, err)
-	assert.Equal(t, len(listing.Objects), 1, "a host that is far behind gets the last version, whole")
+	assert.Equal(t, len(listing.Objects), 1, "a host that is far behind is sent the whole last version")
 	assert.Equal(t, listing.Objects[0].Revision, uint64(39))
 }
--- a/gateway/entries_bench_test.go
+++ b/gateway/entries_bench_test.go
@@ -9,8 +9,8 @@
 	"cicadarouter/platform"
 )
 
-// BenchmarkEntriesTaken is what a host spends on entries that another host passes on, a batch
-// at a time, until it knows 10,000 servers.
+// BenchmarkEntriesTaken measures the work of a host on entries that another host passes on in
+// batches, until it has 10,000 servers.
 func BenchmarkEntriesTaken(b *testing.B) {
 	const servers, batch = 10000, 500
 	var batches [][]byte
--- a/gateway/era.go
+++ b/gateway/era.go
@@ -9,20 +9,21 @@
 	"cicadarouter/revision"
 )
 
-// noteEra notes the era of the store that an answer told.
+// noteEra records the store's era as of an answer.
 func (g *Gateway) noteEra(kind string, era uint64) {
 	for before := g.era.Load(); era > before; before = g.era.Load() {
 		if !g.era.CompareAndSwap(before, era) {
 			continue
 		}
-		g.log.Warn("store tells another era: it has come back from a copy, or this is the first", "kind", kind, "era", era, "before", before)
+		g.log.Warn("store reports a new era: it was restored from a backup, or this is its first answer", "kind", kind, "era", era, "before", before)
 		return
 	}
 }
 
-// restore has a controller write its record again if the store, which has come back from a
-// copy, holds an earlier one or none, and reports whether that is so. A controller without
-// authority gives up: a successor that the store has forgotten as well may have moved keys.
+// restore handles a store that has been restored from a backup and holds an earlier version of
+// a controller's record or none. It reports whether that is so, and has the controller write
+// the record again. A controller whose authority has expired steps down instead: a successor,
+// of which the store has no record either, may have moved keys.
 func (g *Gateway) restore(c *controller, found objects.Object, now time.Duration) bool {
 	era := g.era.Load()
 	if found.Revision > 0 {
@@ -34,15 +35,15 @@
 		}
 	}
 	if c.writing {
-		return true // the write under way meets what the store holds, and tells
+		return true // the pending write will conflict with the store's record and report it
 	}
 	g.noteEra(Assignments, era)
-	g.log.Warn("store does not hold the assignment that it had acknowledged", "service", c.service.name, "revision", c.revision,
+	g.log.Warn("store has lost an assignment that it had acknowledged", "service", c.service.name, "revision", c.revision,
 		"found", found.Revision, "term", c.machine.Record().Term, "authority", c.machine.Authority(now))
 	c.revision, c.kept = found.Revision, keptQuarantine{}
 	if !c.machine.Authority(now) {
 		c.absent = found.Revision == 0
-		g.stepDown(c, "the store has forgotten it, and its authority has run out", "")
+		g.stepDown(c, "the store has lost its assignment, and its authority has expired", "")
 		return true
 	}
 	c.machine.Forgotten(era)
--- a/gateway/era_test.go
+++ b/gateway/era_test.go
@@ -13,14 +13,15 @@
 	"cicadarouter/platform/platformtest"
 )
 
-// drill lets the store lose what is written by lose, and come back from a copy made before. What
-// operators and servers wrote is written again when again is called.
+// drill makes a backup of the store, calls lose, and restores the store from the backup after
+// an outage, so that what lose wrote is lost. Calling again repeats those writes of operators
+// and servers.
 func (s *site) drill(lose func()) (again func()) {
 	s.t.Helper()
 	s.store.Copy()
 	lose()
 	s.store.SetFaults(platformtest.Faults{Refuse: true})
-	time.Sleep(400 * time.Millisecond) // for so long it is away
+	time.Sleep(400 * time.Millisecond) // the length of the outage
 	s.store.ReturnFromCopy()
 	s.store.SetFaults(platformtest.Faults{})
 	return func() {
@@ -28,29 +29,29 @@
 	}
 }
 
-// write lets the store's revisions grow by a number of changes that nobody writes again.
+// write makes a number of changes that are not repeated after the store is restored, so that
+// its revisions are far ahead of the backup's.
 func (s *site) write(changes int) {
 	s.t.Helper()
 	for i := range changes {
 		s.put("others", fmt.Sprint(i), "{}")
 	}
-	// All hosts are to know of the last revision.
+	// Changes of the followed kinds, so that all hosts know the last revision.
 	s.register("elsewhere", "elsewhere", "127.0.0.1:1", "ready")
 	s.configure(4, "")
 }
 
-// route is one more route of a configuration.
+// route is another route of a configuration.
 const route = `,{"name":"new","path-prefix":"/new/","kind":"safe","timeout":"5000ms","target-latency":"1000ms","priority":1,"service":"free","max-attempts":2}`
 
-// Guards against hosts that take what a store says which has come back from a copy for older
-// than what they know: a configuration that is not in force, a server that leaves and is not
-// known to.
+// Guards against hosts that take the revisions of a store restored from a backup for older
+// ones than they know, and so ignore a new configuration or a leaving server.
 func TestHostsHearAStoreThatCameBackFromACopy(t *testing.T) {
 	s := limitSite(t, 3)
 	s.drill(func() { s.write(60) })()
 	s.configure(5, route)
 	for _, h := range s.hosts {
-		s.eventually("a host has the configuration written after the return", func() bool {
+		s.eventually("a host has the configuration written after the restore", func() bool {
 			return s.call(h, http.MethodGet, "/new/x", "", "").status == http.StatusOK
 		})
 	}
@@ -60,7 +61,7 @@
 	s.unused("k1", "/keyed/x")
 }
 
-// unused waits until no request reaches a server any more.
+// unused waits until requests no longer reach a server.
 func (s *site) unused(id, path string) {
 	s.t.Helper()
 	s.eventually("no request reaches "+id, func() bool {
@@ -72,8 +73,8 @@
 	})
 }
 
-// Guards against a server that is used again because the store has lost its word that it
-// leaves.
+// Guards against a leaving server that is used again because the restored store does not hold
+// its entry that says so.
 func TestServerLeavesThoughTheStoreForgetsIt(t *testing.T) {
 	s := limitSite(t, 2)
 	var left int
@@ -91,8 +92,8 @@
 	assert.Equal(t, len(s.servers["f1"].Runs())+len(s.servers["k1"].Runs()), left)
 }
 
-// Guards against owners of keys that the store has forgotten: two servers would hold a key, or
-// a token would be given out twice, and callers would be turned away.
+// Guards against the loss of assignments that the restored store does not hold: two servers
+// could hold a key, a token could be issued twice, or requests could be rejected.
 func TestOwnersOfKeysOutlastAStoreThatForgetsThem(t *testing.T) {
 	for name, play := range map[string]struct{ controllerLost bool }{
 		"the controller goes on":                 {},
@@ -115,7 +116,7 @@
 			})
 			again()
 			if play.controllerLost {
-				// Its keys wait until whatever it may have granted has lapsed.
+				// Its keys stay unassigned until all leases that it may have granted have expired.
 				s.eventually("another controller has written the assignment", func() bool {
 					record, ok := s.record()
 					return ok && record.Era > before.Era
--- a/gateway/firstservers.go
+++ b/gateway/firstservers.go
@@ -9,31 +9,32 @@
 	"cicadarouter/host/clock"
 )
 
-// Thousands of servers have megabytes of entries. Hundreds of hosts that start within a second
-// and each read them in the store keep its link busy for longer than callers wait, so a host
-// that starts takes them from one that knows them.
+// The entries of thousands of servers are megabytes. Hundreds of hosts that start within a
+// second and all read them from the store keep its link busy for longer than callers wait, so
+// a host that starts lists them from a host that already has them.
 
 const (
-	// hostsWait is how long a host waits for one that knows the servers: for one that has
-	// claimed control while the whole system starts for the first time, for a relay that has
-	// read them if all hosts were lost.
+	// hostsWait is how long a host waits for another one that has the servers: while the whole
+	// system starts for the first time, a host that has claimed control; after the loss of all
+	// hosts, a relay that has read them.
 	hostsWait = 3 * time.Second
-	// assignmentsWait is how long a host that starts waits until it has read the assignments,
-	// which name the relays, or could not.
+	// assignmentsWait is how long a starting host waits until it has read the assignments,
+	// which name the relays, or the store has refused to list them.
 	assignmentsWait = 5 * time.Second
-	// storeSpread is over how long hosts that get no answer of others spread their reads of the
-	// store, for each host.
+	// storeSpread is the time per host over which hosts that get no list from others spread
+	// their reads of the store.
 	storeSpread = 5 * time.Millisecond
-	// sourceLook is how often it looks whether there is one.
+	// sourceLook is the interval at which a starting host checks whether it has read the
+	// assignments and whether there is another host to list from.
 	sourceLook = 20 * time.Millisecond
-	// sourceRetry is left after one that has nothing to tell yet.
+	// sourceRetry is the pause after a host that could not list the servers.
 	sourceRetry = 200 * time.Millisecond
 )
 
-var errOldList = errors.New("the host has not heard of the store for long")
+var errOldList = errors.New("the host's view of the store is too old")
 
-// firstServers lists the servers after the start of the process as another host knows them. ok
-// is false if the store is to be asked.
+// firstServers lists the servers from another host after the start of the process. ok is false
+// if they have to be read from the store.
 func (g *Gateway) firstServers(ctx context.Context) (listing objects.Listing, ok bool) {
 	if !g.asksHosts(ctx) {
 		return objects.Listing{}, false
@@ -50,20 +51,21 @@
 			return listing, true
 		}
 		g.sources.pass(source)
-		g.log.Info("host does not list the servers", "source", source, "error", err.Error())
+		g.log.Info("host did not list the servers", "source", source, "error", err.Error())
 		clock.Sleep(ctx, sourceRetry)
 	}
 	return objects.Listing{}, false
 }
 
-// storeTurn is how much later this host asks the store than the first one does that gets no
-// answer of others.
+// storeTurn returns how long this host delays its read of the store after it got no list from
+// others, so that the hosts' reads are spread.
 func (g *Gateway) storeTurn() time.Duration {
 	return turnWithin(time.Duration(g.sources.hostsNamed())*storeSpread, g.identity.Host)
 }
 
-// asksHosts reports whether other hosts are to be asked for the servers. While the whole
-// system starts for the first time nobody knows how many hosts there are.
+// asksHosts reports whether to list the servers from other hosts. While the whole system
+// starts for the first time nobody knows yet how many hosts there are, so all but the
+// controller do.
 func (g *Gateway) asksHosts(ctx context.Context) bool {
 	if g.identity.FirstStart {
 		return true
@@ -75,8 +77,8 @@
 	return g.sources.asksHosts()
 }
 
-// firstSource returns a host that may know the servers; empty if there is none yet. While the
-// whole system starts for the first time the relays learn of them from the controller.
+// firstSource returns a host that may have the servers; empty if there is none yet. While the
+// whole system starts for the first time, the relays list them from the controller.
 func (g *Gateway) firstSource() string {
 	switch {
 	case !g.identity.FirstStart:
@@ -87,6 +89,8 @@
 	return g.sources.upstream(g.sources.controllerAddress())
 }
 
+// serversOf lists the servers from a host. It fails if that host's view of the store is too
+// old.
 func (g *Gateway) serversOf(ctx context.Context, source string) (objects.Listing, error) {
 	listing, age, err := g.relayedList(ctx, source, g.registry.Servers())
 	if err == nil && age >= g.fresh.vouchedFor() {
--- a/gateway/firststart_test.go
+++ b/gateway/firststart_test.go
@@ -12,7 +12,7 @@
 	"cicadarouter/platform/platformtest"
 )
 
-// entryReads counts the calls by which a host reads servers' entries in the store.
+// entryReads is a proxy to the store that counts a host's reads of servers' entries.
 type entryReads struct {
 	store *platformtest.Store
 	calls atomic.Int64
@@ -26,8 +26,8 @@
 	e.store.ServeHTTP(w, r)
 }
 
-// Guards against hosts that all read the entries of all servers in the store as the whole
-// system starts: only the one that has claimed control does.
+// Guards against a first start of the whole system in which every host reads the entries of
+// all servers from the store: only the host that has claimed control does.
 func TestOneHostReadsTheEntriesAtTheFirstStart(t *testing.T) {
 	const hosts = 6
 	s := newSite(t)
@@ -53,7 +53,7 @@
 	assert.Equal(t, readers, 1)
 }
 
-// withoutEntries is a store that turns away reads of servers' entries.
+// withoutEntries is a proxy to the store that refuses reads of servers' entries.
 type withoutEntries struct{ store *platformtest.Store }
 
 // ServeHTTP implements http.Handler.
@@ -65,8 +65,8 @@
 	e.store.ServeHTTP(w, r)
 }
 
-// Guards against hosts that all wait for a controller to tell them of the servers, and for the
-// servers to claim control.
+// Guards against a deadlock: all hosts wait for a controller to list the servers from, and
+// none claims control because it has no servers yet.
 func TestHostThatKnowsNoServersYetClaimsControl(t *testing.T) {
 	s, first := calm(t)
 	s.eventually("all keys are served", func() bool { return s.allServed(first) })
@@ -78,8 +78,8 @@
 	assert.DeepEqual(t, s.assignment().Ranges, before.Ranges)
 }
 
-// Guards against a first assignment of the few servers that register first: those that come
-// later would have to be given keys of theirs, each by a move.
+// Guards against a first assignment to only the few servers that register first: each later
+// server would have to get its keys by moves.
 func TestFirstAssignmentWaitsForTheServers(t *testing.T) {
 	const servers = 12
 	s := newSite(t)
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -12,26 +12,26 @@
 	"cicadarouter/revision"
 )
 
-// Times of following the store.
+// Delays of the loops that follow the store.
 const (
-	// awayFirst and awayMost bound the pause after a failed call. A host that
-	// has lost the store must learn of its return within the time in which a
-	// configuration has to be in force.
+	// awayFirst and awayMost bound the delay between retries of a failed call. A host must
+	// notice that the store is back within the time in which a configuration has to take
+	// effect.
 	awayFirst = 100 * time.Millisecond
 	awayMost  = 800 * time.Millisecond
-	// awayWatch is how long a watch waits that asks whether the store is back:
-	// its answer, not a change, is what the host waits for.
+	// awayWatch is how long the prober's watch waits while the store is unavailable: any
+	// answer, not a change, shows that the store is back.
 	awayWatch = 50 * time.Millisecond
-	// gather is left between two watches of a kind that changes often, so that
-	// one call brings several changes. A tenth of the time to obey them.
+	// gather is the pause between two watches of a kind that changes often, so that one call
+	// returns several changes. It is a tenth of the time in which they have to take effect.
 	gather = 200 * time.Millisecond
-	// firstGather takes its place while the system starts for the first time and all
-	// servers register: each change wakes every host.
+	// firstGather replaces it while the system starts for the first time and all servers
+	// register: each change wakes every host.
 	firstGather = 800 * time.Millisecond
-	// gathered is how many changes a call must bring for the next one to be made at once:
-	// the store tells some hundreds at a time, and there may be thousands.
+	// gathered is the number of changes in an answer from which on the next call is made at
+	// once: the store returns some hundreds at a time, and there may be thousands.
 	gathered = 256
-	// Assignments is the kind of the records in which owners of keys lie.
+	// Assignments is the kind of the objects that record which servers own which keys.
 	Assignments = "cicada-assignments"
 )
 
@@ -39,16 +39,16 @@
 type follower struct {
 	kind   string
 	gather time.Duration
-	// prober marks the follower that goes on asking while the store is away.
+	// prober marks the follower that keeps calling the store while it is unavailable.
 	prober bool
-	// replace takes a complete listing, change takes later changes.
+	// replace handles a complete listing, change the later changes.
 	replace func(objects.Listing)
 	change  func(objects.Listing)
-	// away is told each time a call fails, and why.
+	// away handles the error of a failed call.
 	away func(error)
 }
 
-// follow runs until the context ends.
+// follow keeps a kind up to date until the context ends.
 func (g *Gateway) follow(ctx context.Context, f follower) {
 	pause := awayFirst
 	var known uint64
@@ -89,7 +89,7 @@
 	}
 }
 
-// gatherFor returns the pause after a call of a kind that changes often.
+// gatherFor returns the pause after a call for a kind that changes often.
 func (g *Gateway) gatherFor(usual time.Duration) time.Duration {
 	if g.identity.FirstStart && g.now() < firstWatches {
 		return max(usual, firstGather)
@@ -97,8 +97,8 @@
 	return usual
 }
 
-// next makes the next call. ended is set if the watch was ended because it may
-// be behind.
+// next makes the next call for a kind. ended is set if there is no answer to handle: the host
+// only waited for a confirmation, the watch was canceled, or its source failed.
 func (g *Gateway) next(ctx context.Context, f follower, connected bool, revision uint64) (listing objects.Listing, ended bool, err error) {
 	kind := f.kind
 	if !connected {
@@ -112,7 +112,7 @@
 		return listing, true, nil
 	}
 	if f.prober && g.reach.isAway() {
-		// Whoever answers: the others wait for it.
+		// The other followers wait until any host or the store answers.
 		plan.wait = min(plan.wait, awayWatch)
 	}
 	if plan.source == "" {
@@ -131,10 +131,9 @@
 	return listing, true, err
 }
 
-// list lists a kind that this host knows up to a revision, 0 if it has just
-// started. A later list comes from the host that this one follows; one that was
-// too far behind for its source's changes would otherwise read a page of the store
-// for each 500 entries.
+// list lists a kind that this host knows up to a revision; 0 if it has just started. A later
+// list comes from the source that this host follows. A host that was too far behind to get the
+// changes from its source would otherwise pay the store for a page per 500 entries.
 func (g *Gateway) list(ctx context.Context, kind string, known uint64) (objects.Listing, error) {
 	if known == 0 {
 		return g.firstList(ctx, kind)
@@ -147,7 +146,7 @@
 		if err == nil {
 			return listing, nil
 		}
-		g.log.Info("source does not list what the store holds; asking the store", "kind", kind, "source", source, "error", err.Error())
+		g.log.Info("source did not list the objects; listing them from the store", "kind", kind, "source", source, "error", err.Error())
 	}
 	began := g.now()
 	listing, err := g.store.List(ctx, kind)
@@ -157,11 +156,11 @@
 	return g.asPassedOn(kind, listing), err
 }
 
-// firstList lists a kind after the start of the process. It may be seconds old, at
-// a tenth of the price: the watch that follows brings what it lacks. A host that
-// starts while the store is away takes what another host knows, however old. Else
-// it would turn away every request until the store is back, though its servers
-// serve; a watch of the store brings what has changed as soon as there is one.
+// firstList lists a kind after the start of the process. A stale read, which costs a tenth, is
+// enough: the watch that follows returns what changed since. If the store is unavailable, the
+// host lists from another host, however old that list may be; else it would reject every
+// request until the store is back, although its servers work. A watch of the store brings
+// later changes as soon as one succeeds.
 func (g *Gateway) firstList(ctx context.Context, kind string) (objects.Listing, error) {
 	if kind == g.registry.Servers() {
 		if listing, ok := g.firstServers(ctx); ok {
@@ -181,10 +180,10 @@
 	return listing, nil
 }
 
-// watchStore watches the store itself. While the whole system starts for the first
-// time, every host hears of each server that registers: on 76 hosts that was two
-// thirds of the calls of a calm day. Before the first callers come nothing depends
-// on seconds, so these calls are made at the lower price.
+// watchStore watches the store itself. While the whole system starts for the first time, every
+// host hears of each server that registers: with 76 hosts that was two thirds of the calls of
+// a calm day. Changes aren't urgent before the first callers arrive, so the cheaper stale
+// reads are used.
 func (g *Gateway) watchStore(ctx context.Context, kind string, revision uint64, wait time.Duration) (objects.Listing, error) {
 	if g.identity.FirstStart && g.fresh.startingNow(g.now()) {
 		listing, err := g.store.Stale().Watch(ctx, kind, revision, wait)
@@ -198,8 +197,8 @@
 	return g.asPassedOn(kind, listing), err
 }
 
-// lost notes a failed call, and reports whether the watch may go on from its
-// revision. A watch that was cut or turned away loses nothing by going on.
+// lost handles a failed call, and reports whether the watch may continue from its revision. A
+// watch that was cut off or refused has lost nothing; one whose history was compacted has.
 func (g *Gateway) lost(f follower, err error, connected bool) bool {
 	g.counts.storeErrors.Inc()
 	var rewound *objects.RewoundError
@@ -226,17 +225,17 @@
 			}
 			offered, err := g.registry.Configuration(object)
 			if err != nil {
-				g.log.Error("configuration left aside", "revision", object.Revision, "error", err.Error())
+				g.log.Error("invalid configuration ignored", "revision", object.Revision, "error", err.Error())
 				continue
 			}
 			g.configure(offered)
 		}
 	}
-	// A configuration has the shortest time in which it must be in force.
+	// The configuration's follower is the prober: of all kinds, it has the shortest time to take effect.
 	g.follow(ctx, follower{prober: true, kind: g.registry.Configurations(), replace: take, change: take, away: g.registryAway})
 }
 
-// followAssignments follows who owns which keys.
+// followAssignments follows which servers own which keys.
 func (g *Gateway) followAssignments(ctx context.Context) {
 	take := func(listing objects.Listing) {
 		for _, object := range listing.Objects {
@@ -248,17 +247,18 @@
 	g.follow(ctx, follower{kind: Assignments, replace: take, change: take, away: g.noteAssignmentsAway})
 }
 
-// noteAssignmentsAway notes that the store turns this host away. One that is only slow to answer
-// may be busy with the lists of hundreds of hosts.
+// noteAssignmentsAway records that the store refuses this host's calls. A store that is only
+// slow to answer may be busy with the lists of hundreds of hosts, so other errors don't count.
 func (g *Gateway) noteAssignmentsAway(err error) {
 	if errors.Is(err, objects.ErrRefused) {
 		g.control.refused.Store(true)
 	}
 }
 
+// takeAssignment applies an assignment if it is valid and newer than the one known.
 func (g *Gateway) takeAssignment(object objects.Object) {
 	if object.Deleted {
-		g.log.Error("assignment deleted in the store; the last one stays in force", "service", object.Name)
+		g.log.Error("assignment was deleted from the store; the last one stays in force", "service", object.Name)
 		return
 	}
 	record := &keyspace.Record{}
@@ -267,16 +267,16 @@
 		err = record.Check()
 	}
 	if err != nil {
-		g.log.Error("assignment left aside", "service", object.Name, "revision", object.Revision, "error", err.Error())
+		g.log.Error("invalid assignment ignored", "service", object.Name, "revision", object.Revision, "error", err.Error())
 		return
 	}
 	if record.Keyless != (object.Name == coordination) {
-		g.log.Error("record left aside: only "+coordination+" has one without keys", "service", object.Name, "keyless", record.Keyless)
+		g.log.Error("assignment ignored: only "+coordination+" may have one without keys", "service", object.Name, "keyless", record.Keyless)
 		return
 	}
 	s := g.keyedService(object.Name)
 	if s.view == nil {
-		g.log.Error("assignment of a service without keys left aside", "service", object.Name)
+		g.log.Error("assignment ignored: the service has no keys", "service", object.Name)
 		return
 	}
 	g.sources.read(record.Controller)
@@ -287,7 +287,8 @@
 	}
 }
 
-// keyedService returns the service, which an assignment proves to have keys.
+// keyedService returns a service that has an assignment, and therefore keys; it is created if
+// it isn't known yet.
 func (g *Gateway) keyedService(name string) *service {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -20,8 +20,7 @@
 	"cicadarouter/routing"
 )
 
-// refusingStore is a store that turns calls away until it is told to serve, and
-// counts them by kind.
+// refusingStore is a store that refuses calls until serves is set, and counts them by kind.
 type refusingStore struct {
 	*memobjects.Store
 	mu     sync.Mutex
@@ -49,7 +48,7 @@
 	return s.Store.List(ctx, kind)
 }
 
-// Stale implements objects.Store: the first lists are refused like all others.
+// Stale implements objects.Store: stale reads are refused as well.
 func (s *refusingStore) Stale() objects.Reader { return s }
 
 func (s *refusingStore) count(kind string) int {
@@ -58,7 +57,7 @@
 	return s.calls[kind]
 }
 
-// kinds is a registry of which the test needs the names only.
+// kinds is a registry that has only the names of its kinds.
 type kinds struct{}
 
 func (kinds) Servers() string        { return "servers" }
@@ -75,10 +74,8 @@
 	return &routing.Configuration{}, nil
 }
 
-// Symptom: 65 hosts make 2,800 calls to a store that turns calls away for 8 s.
-// Sequence: the store turns all calls away; the followers of all kinds try again
-// and again.
-// Cause: each follower asked for itself whether the store was back.
+// Guards against 2,800 calls of 65 hosts to a store that refuses calls for 8 s: while the
+// store is unavailable, only one follower of a host calls it.
 func TestOnlyTheProberAsksWhileTheStoreIsAway(t *testing.T) {
 	store := &refusingStore{Store: memobjects.New(), calls: map[string]int{}, called: make(chan string, 64)}
 	g := New(Identity{}, Platform{Store: store, Registry: kinds{}}, logs.Discard())
@@ -107,31 +104,27 @@
 	following.Wait()
 }
 
-// Symptom: as the store comes back, 60 hosts claim control of the same keys.
-// Sequence: the store is away for all; the controller can't be confirmed; every
-// host wants to take over and makes calls that can't succeed.
-// Cause: hosts claimed without having the store themselves.
+// Guards against 60 hosts that claim control of the same keys as the store comes back. While
+// the store is unavailable to all, it can't confirm the controller, and each host would make
+// claims that can't succeed. Only hosts that can reach the store may claim.
 func TestNoClaimWhileTheStoreIsAway(t *testing.T) {
 	g := New(Identity{Host: "one"}, Platform{}, logs.Discard())
 	c := &controller{service: newService("s", Identity{Incarnation: 1}, true, g.now), wanted: time.Second}
 	g.reach.lost()
 	g.wantClaim(context.Background(), c, time.Hour, nil, 0, 0)
 	assert.Assert(t, !c.claiming)
-	assert.Equal(t, c.wanted, time.Duration(0), "the delay begins anew when the store is back")
+	assert.Equal(t, c.wanted, time.Duration(0), "the delay starts again when the store is back")
 }
 
-// Symptom: a host sends to servers that left seconds ago; it hears of no change
-// of servers or assignments for up to 25 s.
-// Sequence: the store is away; all followers fail, and wait for the prober; the
-// store is back; the controller vouches for itself again, and the prober's next
-// watch waits 25 s at the controller for a change that does not come.
-// Cause: only an answer to the prober's watch told that the store is back, and
-// that watch was a long one.
+// Guards against a host that learns of no change of servers or assignments for up to 25 s
+// after an outage. All followers fail and wait for the prober; the store comes back, and the
+// controller confirms freshness again. If the prober's next watch then waited 25 s at the
+// controller for a change, no answer would show until then that the store is back.
 func TestProberDoesNotWaitForAChange(t *testing.T) {
 	waited := make(chan watchRequest, 16)
 	controller := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var request watchRequest
-		_ = json.NewDecoder(r.Body).Decode(&request) // a zero wait then fails the test
+		_ = json.NewDecoder(r.Body).Decode(&request) // if it fails, the zero wait fails the test
 		waited <- request
 		_ = json.NewEncoder(w).Encode(watchAnswer{Listing: objects.Listing{Revision: request.Revision}})
 	}))
@@ -146,7 +139,7 @@
 	assert.Equal(t, time.Duration(asked.WaitMs)*time.Millisecond, awayWatch)
 }
 
-// A controller that answers and has the store brings the followers back at once.
+// The followers resume as soon as a controller that has the store answers a report.
 func TestControllersWordEndsTheWait(t *testing.T) {
 	g := New(Identity{}, Platform{}, logs.Discard())
 	g.reach.lost()
--- a/gateway/freshness.go
+++ b/gateway/freshness.go
@@ -9,89 +9,88 @@
 	"time"
 )
 
-// Times of watches.
+// How long watches wait, and how long confirmations of freshness count.
 const (
-	// longWatch is how long a watch waits while another host vouches for its
-	// freshness: long, since each call has a price.
+	// longWatch is how long a watch waits while another host confirms that this one is up to
+	// date. It is long because each call to the store is billed.
 	longWatch = 25 * time.Second
-	// firstWatch is how long it waits while the system starts for the first time
-	// and has no controller yet: hundreds of hosts would make short turns at once.
+	// firstWatch is how long a watch waits while the process starts and no controller is known
+	// yet: hundreds of hosts would make short watches at once.
 	firstWatch = 5 * time.Second
-	// firstWatches is how long after the start of the process that is.
+	// firstWatches is how long after its start a process uses firstWatch.
 	firstWatches = 8 * time.Second
-	// relayTurn is how long a watch of a relay waits that others rely on while no
-	// controller vouches: the relay's word is two turns and the pause between
-	// two watches old at most, 1 s.
+	// relayTurn is how long a relay's watch of the store waits while no controller confirms
+	// freshness. A relay's confirmation is then at most two such watches and the pause between
+	// them old: 1 s.
 	relayTurn = 400 * time.Millisecond
-	// relayFor is for how long a host is a relay after it was last asked: four
-	// questions.
+	// relayFor is how long a host acts as a relay after it was last queried: four queries.
 	relayFor = 2 * time.Second
-	// relayAfter is the age of a source's word from which on relays are asked, if it
-	// was also too old when it came (oldWord), or the next one is overdue (nextWord).
-	// While all is well a word is 0.6 s old when it comes, one confirmation by the
-	// store, and 1.1 s when the next one does, after a report. Age alone would ask
-	// relays for nothing each time that a report is a little late.
+	// relayAfter is the age of the last confirmation from which on relays are queried, if it
+	// was also older than oldWord when it arrived or the next one is later than nextWord. In
+	// normal operation a confirmation is 0.6 s old when it arrives (one confirmation by the
+	// store) and 1.1 s old when the next one does, after a report. Age alone would query
+	// relays needlessly each time that a report is a little late.
 	relayAfter = 1200 * time.Millisecond
 	oldWord    = time.Second
 	nextWord   = 700 * time.Millisecond
-	// firstSource is how long a host that has just started waits for a relay's
-	// word before it watches the store itself.
+	// firstSource is how long a host that has just started waits for a relay's confirmation
+	// before it watches the store itself.
 	firstSource = 1500 * time.Millisecond
-	// defaultObeyWithin is within which a change has to be obeyed where operators
-	// name no time.
+	// defaultObeyWithin is the time within which a change has to take effect if operators set
+	// none.
 	defaultObeyWithin = 2 * time.Second
-	// vouchedShare and shortShare are the parts of that time for which another
-	// host's word counts, from when the store had last confirmed it, and after which
-	// a watch that nobody vouches for is made anew. A watch can miss changes without
-	// an error, when its connection fell silent or the store dropped its history.
-	// What remains is the way of the news to the hosts.
+	// vouchedShare and shortShare are shares of the time within which a change has to take
+	// effect. The first gives how long a confirmation counts after the store's answer it is
+	// based on; the second how long a watch of the store waits without a confirmation. A watch
+	// can miss changes without an error, when its connection goes silent or the store drops
+	// its history. The remaining time is for the change to reach the hosts.
 	vouchedShare = 0.75
 	shortShare   = 0.6
 )
 
-// freshness tells whom a host's watches ask and how long they may wait, and ends
-// those that have missed something. One controller a service watches the store in
-// short turns and tells the others, with its answers to their reports, at which
-// revision each kind last changed; so one host pays for short turns. While its
-// word is missing, a few relays do so for the others, and only where none of
-// them answers does a host watch the store itself: with one host's word between
-// them and the store, 295 hosts made some 900 calls each time it was missed.
+// freshness decides where a host's watches go (the store or another host) and how long they
+// may wait, and cancels watches that have missed a change. The controller of a service watches
+// the store with short waits and tells the others, in its answers to their reports, at which
+// revision each kind last changed, so that only one host pays for frequent calls. While its
+// confirmation is missing, a few relays do this for the others, and a host watches the store
+// itself only if none of them answers. Without relays, 295 hosts made some 900 calls each time
+// the controller's confirmation was missed.
 type freshness struct {
-	// within is the time in which a change has to be obeyed.
+	// within is the time in which a change has to take effect.
 	within time.Duration
 
 	mu    sync.Mutex
 	leads bool // this host is a controller
-	// vouched is the latest moment as of which a source had the store's word;
-	// source is whom to follow, empty if that failed.
+	// vouched is the latest time as of which another host confirmed the state of the store.
+	// source is the host to follow; empty if it failed.
 	vouched time.Duration
 	heard   bool
-	toldAt  time.Duration // when the last word came
-	toldAge time.Duration // how old it was then
+	toldAt  time.Duration // when the last confirmation arrived
+	toldAge time.Duration // its age on arrival
 	source  string
-	teller  string // who gave the word: the source, or the controller that it follows
-	doubted bool   // a controller's word has been missed once: the system is under way
-	// askedAt is when another host last asked this one in a controller's place.
+	teller  string // who sent the confirmation: the source, or the controller that the source follows
+	doubted bool   // a controller or source has failed at least once, so the system is past its start
+	// askedAt is when another host last queried this one as a relay.
 	askedAt time.Duration
 	asked   bool
-	// confirmed is when the last call to the store by which it confirmed this
-	// controller began.
+	// confirmed is the start of the last call in which the store confirmed this host as
+	// the controller.
 	confirmed time.Duration
 	kinds     map[string]*kindState
-	news      chan struct{} // closed when a source has spoken
+	news      chan struct{} // closed when a confirmation arrives
 }
 
-// kindState is a watched kind.
+// kindState is what is known of a kind and of its current watch.
 type kindState struct {
-	revision uint64        // up to which this host knows the kind
-	changed  uint64        // of the listing that last brought a change
-	contact  time.Duration // when the last call to the store that brought it up to date began
-	touched  bool
+	revision uint64        // up to which this host knows the kind's objects
+	changed  uint64        // revision of the last listing that contained a change
+	contact  time.Duration // start of the last call to the store that brought the kind up to date
+	touched  bool          // there was such a call
 	cancel   context.CancelFunc
-	long     bool
-	source   string // whom it asks; empty for the store
-	behind   int    // words in a row by which the watch was behind
-	direct   bool   // the source was behind for long: the teller is asked
+	long     bool   // the watch was started as a long one
+	source   string // the host that the watch asks; empty for the store
+	behind   int    // consecutive confirmations that showed the watch to be behind
+	direct   bool   // the source was behind repeatedly; ask the sender of the confirmation instead
 }
 
 func newFreshness(within time.Duration) freshness {
@@ -101,14 +100,15 @@
 	return freshness{within: within, kinds: map[string]*kindState{}, news: make(chan struct{})}
 }
 
-// vouchedFor is how long another host's word counts.
+// vouchedFor returns how long another host's confirmation counts.
 func (f *freshness) vouchedFor() time.Duration {
 	return time.Duration(vouchedShare * float64(f.within))
 }
 
-// shortWatch is how long a watch of the store waits that nobody vouches for.
+// shortWatch returns how long a watch of the store waits without a confirmation.
 func (f *freshness) shortWatch() time.Duration { return time.Duration(shortShare * float64(f.within)) }
 
+// kind returns the state of a kind, which it creates if needed.
 func (f *freshness) kind(name string) *kindState {
 	state := f.kinds[name]
 	if state == nil {
@@ -118,12 +118,12 @@
 	return state
 }
 
-// relaying reports whether other hosts rely on this one.
+// relaying reports whether this host currently acts as a relay for others.
 func (f *freshness) relaying(now time.Duration) bool {
 	return !f.leads && f.asked && now-f.askedAt < relayFor
 }
 
-// wordAge returns how old the last source's word is.
+// wordAge returns the age of the last confirmation.
 func (f *freshness) wordAge(now time.Duration) time.Duration {
 	if !f.heard {
 		return math.MaxInt64
@@ -131,12 +131,12 @@
 	return now - f.vouched
 }
 
-// vouchedNow reports whether the last source's word counts.
+// vouchedNow reports whether the last confirmation still counts.
 func (f *freshness) vouchedNow(now time.Duration) bool { return f.wordAge(now) < f.vouchedFor() }
 
-// age returns how old this host's knowledge of the store may be: as old as what
-// the store last told it itself of the kind that it has not heard of for longest,
-// or as the word of the host that it follows.
+// age returns how old this host's view of the store may be: the smaller of the age of the
+// confirmation it has, and the time since the store itself last brought each kind up to date.
+// For a controller, it is the time since the store last confirmed its role.
 func (f *freshness) age(now time.Duration) time.Duration {
 	if f.leads {
 		return now - f.confirmed
@@ -144,7 +144,7 @@
 	return min(f.contactAge(now), f.wordAge(now))
 }
 
-// contactAge returns how long ago the store itself brought all kinds up to date.
+// contactAge returns the time since the store itself last brought every kind up to date.
 func (f *freshness) contactAge(now time.Duration) time.Duration {
 	oldest := now
 	for _, state := range f.kinds {
@@ -159,15 +159,15 @@
 	return now - oldest
 }
 
-// ageNow is age for callers without the lock.
+// ageNow is age for callers that don't hold the lock.
 func (f *freshness) ageNow(now time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.age(now)
 }
 
-// touch notes that a call to the store which began at a time has brought a kind up
-// to date.
+// touch records that a call to the store, started at the given time, brought a kind up to
+// date.
 func (f *freshness) touch(name string, began time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -175,15 +175,16 @@
 	state.contact, state.touched = max(state.contact, began), true
 }
 
-// confirm notes that the store confirmed this controller by a call that began at a
-// time.
+// confirm records that the store confirmed this host as the controller, by a call started at
+// the given time.
 func (f *freshness) confirm(began time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.confirmed = max(f.confirmed, began)
 }
 
-// follows returns the host whose word counts now; empty if none does.
+// follows returns the host that this one follows while its confirmation counts; else it is
+// empty.
 func (f *freshness) follows(now time.Duration) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -193,17 +194,17 @@
 	return f.source
 }
 
-// serves reports whether this host may pass on what it knows: it follows the store
-// in short turns itself, or a source whose word counts.
+// serves reports whether this host may pass on what it knows: as the controller, as a relay,
+// or while its view of the store is recent enough.
 func (f *freshness) serves(now time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.leads || f.relaying(now) || f.age(now) < f.vouchedFor()
 }
 
-// question notes that another host asks this one in a controller's place, and
-// returns the age of its knowledge and the revisions. A host that is asked follows
-// the store itself while no source vouches for it.
+// question records that another host queries this one as a relay, and returns the age of this
+// host's view of the store and the revisions at which the kinds last changed. From then on
+// this host watches the store itself while no controller confirms its freshness.
 func (f *freshness) question(now time.Duration) (age time.Duration, revisions map[string]uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -212,22 +213,22 @@
 	return f.age(now), f.changes()
 }
 
-// vouchedOnce reports whether a source has ever vouched.
+// vouchedOnce reports whether another host has ever confirmed freshness, or failed to.
 func (f *freshness) vouchedOnce() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.heard || f.doubted
 }
 
-// doubt notes that a controller failed to answer. What it vouched for before
-// counts until it is too old.
+// doubt records that a controller did not answer. Its last confirmation counts until it
+// expires.
 func (f *freshness) doubt() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.doubted = true
 }
 
-// failed notes that a source did not pass on what the store holds.
+// failed records that a source did not answer a watch.
 func (f *freshness) failed(source string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -237,8 +238,8 @@
 	}
 }
 
-// needsSource reports whether relays are to be asked: the last word is getting
-// old, or its host failed.
+// needsSource reports whether relays are to be queried: the last confirmation is overdue, or
+// its source failed.
 func (f *freshness) needsSource(now time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -251,8 +252,8 @@
 	return f.doubtful(now) && f.age(now) > relayAfter
 }
 
-// doubtful reports that the last source's word is getting old, and not only because
-// the next one is not due yet.
+// doubtful reports whether the last confirmation has expired or is being renewed late. One
+// that is old only because the next one isn't due yet doesn't count.
 func (f *freshness) doubtful(now time.Duration) bool {
 	if !f.vouchedNow(now) {
 		return true
@@ -260,16 +261,17 @@
 	return f.wordAge(now) > relayAfter && (f.toldAge > oldWord || now-f.toldAt > nextWord)
 }
 
-// renewal reports whether the word of a relay that this host follows is due again.
+// renewal reports whether the confirmation of a relay that this host follows is due for
+// renewal.
 func (f *freshness) renewal(now time.Duration, relay string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.leads && f.source == relay && f.wordAge(now) > reportEvery
 }
 
-// trusted reports whether a kind's watch may wait long. A controller reads its
-// own record again and again, and nobody else changes it while it leads. A relay
-// must not wait for others while hosts wait for it.
+// trusted reports whether a kind's watch may wait long. A controller reads its own record
+// regularly, and nobody else changes it while it is in control. A relay must not rely on
+// others while hosts rely on it.
 func (f *freshness) trusted(name string, now time.Duration) bool {
 	if f.leads {
 		return name == Assignments
@@ -280,20 +282,20 @@
 	return f.starting(now) || f.vouchedNow(now)
 }
 
-// starting reports whether the process has just started and has neither heard
-// of a controller nor missed one.
+// starting reports whether the process has just started, no confirmation has arrived yet and
+// no controller or source has failed.
 func (f *freshness) starting(now time.Duration) bool {
 	return !f.leads && !f.heard && !f.doubted && now < firstWatches
 }
 
-// startingNow is starting for callers without the lock.
+// startingNow is starting for callers that don't hold the lock.
 func (f *freshness) startingNow(now time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.starting(now)
 }
 
-// known notes up to which revision a kind is known, and whether it changed.
+// known records up to which revision a kind is known, and whether it changed.
 func (f *freshness) known(name string, revision uint64, changed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -305,13 +307,14 @@
 	}
 }
 
-// revisions returns at which revision each kind last changed, as this host knows.
+// revisions returns the revisions at which this host saw each kind change last.
 func (f *freshness) revisions() map[string]uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changes()
 }
 
+// changes is revisions for callers that hold the lock.
 func (f *freshness) changes() map[string]uint64 {
 	revisions := make(map[string]uint64, len(f.kinds))
 	for name, state := range f.kinds {
@@ -320,27 +323,28 @@
 	return revisions
 }
 
-// word is what a host says of the store.
+// word is a host's confirmation of the state of the store.
 type word struct {
-	// confirmed is when the store's word reached it, on this host's clock.
+	// confirmed is when the sender last knew the state of the store, on this host's clock.
 	confirmed time.Duration
 	teller    string
-	// source is whom to follow: the teller, or a relay that follows it.
+	// source is the host to follow: the sender, or a relay that follows the sender.
 	source    string
 	revisions map[string]uint64
 }
 
-// relayLag is how many words in a row a watch that asks a relay must be behind: what
-// the teller knows takes some milliseconds to get there.
+// relayLag is how many consecutive confirmations must show a watch at a relay to be behind:
+// what the controller knows takes some milliseconds to reach the relay.
 const relayLag = 2
 
-// told takes a word, and returns the kinds whose watches it ended because they are
-// behind. A word that is older than the last one says nothing new.
+// told records a confirmation, and returns the kinds whose watches it canceled because they
+// are behind. A confirmation that is older than the last one is ignored, unless the source has
+// failed since.
 //
-// It also ends watches of the store by which this host made do without a source: one
-// that the store leaves unanswered would keep a host ignorant for a second that its
-// source could tell. So would one that waits at a source which this host does not follow
-// any more: it hears of nothing there, and the next word that tells of it is 0.5 s away.
+// It also cancels the watches of the store that this host made for lack of a source: the store
+// may leave them unanswered for a second, while the source could answer. And it cancels
+// watches at a source that this host no longer follows: they would miss changes until the next
+// confirmation, 0.5 s later.
 func (f *freshness) told(now time.Duration, w word) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -376,8 +380,7 @@
 	return behind
 }
 
-// recheck ends a kind's watch if it is behind a revision, and reports whether
-// it was.
+// recheck cancels a kind's watch if it is behind a revision, and reports whether it was.
 func (f *freshness) recheck(name string, revision uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -397,8 +400,8 @@
 	return f.leads
 }
 
-// tend ends long watches that nobody vouches for any more. leads tells whether
-// this host is a controller.
+// tend records whether this host is a controller, and cancels long watches that are no longer
+// backed by a confirmation.
 func (f *freshness) tend(now time.Duration, leads bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -406,6 +409,7 @@
 	f.endUntrusted(now)
 }
 
+// endUntrusted cancels the long watches that are no longer backed by a confirmation.
 func (f *freshness) endUntrusted(now time.Duration) {
 	for name, state := range f.kinds {
 		if !f.trusted(name, now) && state.long && state.cancel != nil {
--- a/gateway/freshness_test.go
+++ b/gateway/freshness_test.go
@@ -17,15 +17,15 @@
 	return made, ctx
 }
 
-// wordOf is the word of a controller that is followed itself.
+// wordOf returns a controller's confirmation that names the controller itself as the source.
 func wordOf(confirmed time.Duration, teller string, revisions map[string]uint64) word {
 	return word{confirmed: confirmed, teller: teller, source: teller, revisions: revisions}
 }
 
-// Symptom: a host keeps an old configuration for more than 2 s.
-// Sequence: the controller, through which the host learns of changes, loses
-// power before it has passed a change on; nothing resets the connection.
-// Cause: the controller's word counted for longer than a change may take.
+// Guards against a host that keeps an old configuration for more than 2 s. The controller,
+// from which the host gets changes, loses power before it has passed one on, and nothing
+// resets the connection. The controller's confirmation must expire before a change has to take
+// effect.
 func TestSilentControllerIsDoubted(t *testing.T) {
 	f := newFreshness(0)
 	shortWatch, vouchedFor := f.shortWatch(), f.vouchedFor()
@@ -34,13 +34,13 @@
 	made, _ = plan(&f, "things", firstWatches)
 	assert.Equal(t, made, watchPlan{wait: shortWatch})
 
-	// Sequence: a host starts while the controller is cut off; the store drops
-	// its history; the host's first watch hears nothing.
+	// A host starts while the controller is cut off, and the store drops its history, so
+	// that the host's first watch never returns a change.
 	started := newFreshness(0)
 	_, first := plan(&started, "things", time.Second)
 	started.doubt()
 	started.tend(time.Second, false)
-	assert.Assert(t, first.Err() != nil, "the first watch outlives the doubt")
+	assert.Assert(t, first.Err() != nil, "the first watch was not canceled")
 	f.told(time.Second, wordOf(time.Second, "controller", nil))
 	made, watching := plan(&f, "things", time.Second)
 	assert.Equal(t, made, watchPlan{wait: longWatch, source: "controller"})
@@ -51,20 +51,20 @@
 	const mostForAChange = 2 * time.Second
 	assert.Assert(t, vouchedFor < mostForAChange-idleEvery)
 
-	// Sequence: the controller is cut off from the store, and still answers.
+	// The controller is cut off from the store but still answers.
 	f.told(time.Second, wordOf(time.Second, "controller", nil))
 	made, _ = plan(&f, "things", time.Second+vouchedFor)
-	assert.Equal(t, made, watchPlan{wait: shortWatch}, "the word of a controller counts though the store no longer confirms it")
+	assert.Equal(t, made, watchPlan{wait: shortWatch}, "a controller's confirmation counts although the store no longer answers the controller")
 
-	// Sequence: a report gets no answer, and nor do those that follow.
+	// A report gets no answer, and neither do the later ones.
 	f.told(3*time.Second, wordOf(3*time.Second, "controller", nil))
 	_, watching = plan(&f, "things", 3*time.Second)
 	f.doubt()
 	f.tend(3*time.Second+vouchedFor, false)
-	assert.Assert(t, watching.Err() != nil, "reports without an answer left the watch standing")
+	assert.Assert(t, watching.Err() != nil, "the watch was not canceled although reports got no answer")
 }
 
-// A watch that is behind what the controller knows ends at once.
+// A watch that is behind what the controller knows is canceled at once.
 func TestWatchThatIsBehindEnds(t *testing.T) {
 	f := newFreshness(0)
 	f.told(0, wordOf(0, "controller", nil))
@@ -76,10 +76,9 @@
 	assert.Assert(t, watching.Err() != nil)
 }
 
-// Symptom: hosts send to old owners for ten seconds.
-// Sequence: the controller's own watch is deaf; it moves keys; the others learn
-// of moves through that watch.
-// Cause: the controller did not miss what it had written itself.
+// Guards against hosts that send to old owners of keys for ten seconds. The controller moves
+// keys, but its own watch does not return the change, and the others learn of it only through
+// that watch. The controller must notice that its watch misses what it wrote itself.
 func TestControllerMissesItsOwnWrites(t *testing.T) {
 	g := New(Identity{}, Platform{}, logs.Discard())
 	g.fresh.tend(0, true)
@@ -123,7 +122,7 @@
 	assert.Assert(t, ok)
 	assert.DeepEqual(t, listed, objects.Listing{Revision: 12, Objects: []objects.Object{{Name: "a", Revision: 6}, {Name: "b", Revision: 12}}})
 
-	// A complete listing that follows an earlier one tells what differs.
+	// A complete listing that follows an earlier one is recorded as its differences.
 	r.note("things", objects.Listing{Revision: 20, Objects: []objects.Object{{Name: "b", Revision: 12}, {Name: "c", Revision: 17}}}, true)
 	changed, _, ok := r.since("things", 12)
 	assert.Assert(t, ok)
@@ -135,11 +134,9 @@
 	assert.Equal(t, listing.Revision, uint64(20))
 }
 
-// Symptom: a host keeps an old configuration for as long as a relay hangs.
-// Sequence: the host follows a relay, which falls silent; the controller, whom the
-// host reports to, knows of a change.
-// Cause: a relay is some milliseconds behind the controller as a rule, so to be
-// behind once says nothing; to be so twice does.
+// Guards against a host that keeps an old configuration for as long as the relay that it
+// follows hangs. A relay is usually some milliseconds behind the controller, so the host
+// leaves it only when two consecutive confirmations of the controller show it to be behind.
 func TestRelayThatIsBehind(t *testing.T) {
 	f := newFreshness(0)
 	vouch := func(revision uint64) []string {
@@ -151,7 +148,7 @@
 	assert.Equal(t, made.source, "relay")
 	assert.Equal(t, len(vouch(6)), 0)
 	f.known("things", 6, true)
-	assert.Equal(t, len(vouch(7)), 0, "the relay has caught up in between")
+	assert.Equal(t, len(vouch(7)), 0, "the relay caught up in between")
 	assert.NilError(t, watching.Err())
 	assert.DeepEqual(t, vouch(7), []string{"things"})
 	assert.Assert(t, watching.Err() != nil)
--- a/gateway/reach.go
+++ b/gateway/reach.go
@@ -5,18 +5,17 @@
 	"sync"
 )
 
-// reach is what this host knows of its contact with the store. While the store
-// is away, one follower alone, the prober, goes on asking whether it is back; the
-// others wait for it and then resume at once. A call that is turned away has its
-// price too: three followers on each of 65 hosts made 2,800 such calls in an
-// outage of 8 s.
+// reach tracks whether the store is available to this host. While it is not, only one
+// follower, the prober, keeps calling it; the others wait and resume as soon as it is back.
+// Refused calls are billed too: three followers on each of 65 hosts made 2,800 such calls in
+// an outage of 8 s.
 type reach struct {
 	mu      sync.Mutex
 	away    bool
-	resumed chan struct{} // closed when the store is back
+	resumed chan struct{} // closed when the store is available again
 }
 
-// lost notes that the prober's call failed.
+// lost records that the prober's call failed.
 func (r *reach) lost() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -25,7 +24,8 @@
 	}
 }
 
-// back notes that the prober's call succeeded.
+// back records that the store is available again: the prober's call succeeded, or another host
+// passes on what the store holds.
 func (r *reach) back() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -35,14 +35,14 @@
 	}
 }
 
-// isAway reports whether the prober's last call failed.
+// isAway reports whether the store is unavailable.
 func (r *reach) isAway() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.away
 }
 
-// wait returns when the store is not away, or the context ends.
+// wait blocks until the store is available or the context ends.
 func (r *reach) wait(ctx context.Context) {
 	r.mu.Lock()
 	away, resumed := r.away, r.resumed
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -19,62 +19,63 @@
 )
 
 const (
-	// relayKept and relayBytes bound the earlier versions of long documents that are kept
-	// to make deltas from. A host that has none of them gets the document whole.
+	// relayKept and relayBytes bound the past changes of large documents that are kept to make
+	// deltas from. A host whose version is older gets the whole document.
 	relayKept  = 32
 	relayBytes = 512 << 10
 	// mostGone bounds the deletions that are kept. A host that is further behind lists the
-	// kind anew.
+	// kind again.
 	mostGone = 4096
-	// mostTold is after how many changes an answer to a watch ends.
+	// mostTold is the number of changes after which an answer to a watch ends.
 	mostTold = 2000
-	// listTimeout bounds a page of a list between hosts.
+	// listTimeout bounds the call for one page of a list from another host.
 	listTimeout = 2 * time.Second
 	// listPage is the number of objects in a page: some 500 KB of servers' entries.
 	listPage = 2000
 )
 
-// relay passes what a host learns of the store on to others: each call to the
-// store has a price, a call between hosts has none. A host uses it only while the
-// other vouches for its knowledge of the store.
+// relay caches what this host has read of the store so that other hosts can list and watch it
+// here: calls to the store are billed, calls between hosts are not. Other hosts use it only
+// while this host confirms that it is up to date.
 type relay struct {
 	mu    sync.Mutex
 	kinds map[string]*relayed
 }
 
-// relayed is what is known of one kind.
+// relayed is the cache of one kind.
 type relayed struct {
 	revision uint64
-	// current are the objects as of the revision; nil before the first listing.
+	// current holds the objects as of the revision; nil before the first listing.
 	current map[string]objects.Object
-	// sorted are the names of current in order; nil if they are to be sorted again.
+	// sorted holds the names of current in order; nil if they have to be sorted again.
 	sorted []string
-	// steps tell which objects changed when, the earliest first, and floor as of which
-	// revision that is complete.
+	// steps is the history of changes, the earliest first. It is complete for changes after
+	// the revision floor.
 	steps []relayedStep
 	floor uint64
-	gone  int // steps that are deletions
-	// first holds the long documents as they were before the kept changes.
+	gone  int // number of steps that are deletions
+	// first holds the large documents as they were before the changes in kept.
 	first   map[string]objects.Object
 	kept    []relayedChange
 	changed chan struct{}
 }
 
-// relayedStep is a change of one object, of which the host learned with a listing.
+// relayedStep is a change of one object, read with one listing.
 type relayedStep struct {
-	listed   uint64 // the listing's revision
-	revision uint64 // the object's
+	listed   uint64 // revision of the listing
+	revision uint64 // revision of the object
 	name     string
-	deletion *objects.Object // as it was told; nil for a change
+	deletion *objects.Object // as it was listed; nil unless the object was deleted
 }
 
-// relayedChange holds the long documents that changed after one revision, up to that of
+// relayedChange holds the large documents that changed after a revision, up to the revision of
 // the listing.
 type relayedChange struct {
 	after   uint64
 	listing objects.Listing
 }
 
+// kind returns the cache of a kind, which it creates if needed.
 func (r *relay) kind(name string) *relayed {
 	if r.kinds == nil {
 		r.kinds = map[string]*relayed{}
@@ -87,11 +88,11 @@
 	return known
 }
 
-// note takes a listing as this host's follower got it. A complete listing that
-// follows an earlier one is passed on as what differs: when a store dropped its
-// history, one host lists it anew, and those that follow this host need not.
+// note adds a listing that this host has read. A complete listing that follows an earlier one
+// is recorded as its differences from that one: if the store drops its history, this host
+// lists the kind again, and those that follow it need not.
 //
-// Long documents come in their canonical form: see canonical.
+// Large documents are expected in their canonical form: see canonical.
 func (r *relay) note(name string, listing objects.Listing, complete bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -102,7 +103,7 @@
 		return
 	}
 	if listing.Revision < known.revision {
-		return // a list that was made before what is known
+		return // older than what is known
 	}
 	if complete {
 		listing.Objects = known.differences(listing)
@@ -116,7 +117,7 @@
 	known.revision = listing.Revision
 }
 
-// begin takes the first complete listing.
+// begin stores the first complete listing.
 func (k *relayed) begin(listing objects.Listing) {
 	k.current, k.first = make(map[string]objects.Object, len(listing.Objects)), map[string]objects.Object{}
 	k.revision, k.floor = listing.Revision, listing.Revision
@@ -126,8 +127,8 @@
 	k.fold(listing.Objects)
 }
 
-// take makes the changes part of the current objects. A source that is behind may
-// tell of a version before the one known.
+// take applies changes to the current objects and adds them to the history. It skips a version
+// older than the one known, which a source that is behind may send.
 func (k *relayed) take(listing objects.Listing) {
 	for _, object := range listing.Objects {
 		before, known := k.current[object.Name]
@@ -151,13 +152,13 @@
 	}
 }
 
-// announce wakes those that wait for a change.
+// announce wakes the watchers of the kind.
 func (k *relayed) announce() {
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
 
-// differences returns how a complete listing differs from the current objects.
+// differences returns the changes between the current objects and a complete listing.
 func (k *relayed) differences(listing objects.Listing) []objects.Object {
 	var changes []objects.Object
 	present := make(map[string]bool, len(listing.Objects))
@@ -184,8 +185,9 @@
 	return k.sorted
 }
 
-// page returns objects of a kind as this host knows it, at most some and those whose names
-// follow a given one, and whether there are more. ok is false before the host knows the kind.
+// page returns at most a number of the known objects of a kind, in order of names and
+// beginning after a name, and whether there are more. ok is false if the kind has not been
+// listed yet.
 func (r *relay) page(name, after string, most int) (listing objects.Listing, more, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -203,10 +205,10 @@
 	return listing, to < len(names), known.current != nil
 }
 
-// canonical returns a listing of the store with its long documents in the one form
-// in which they pass between hosts. A delta is made of bytes, and the store may space
-// the same document differently. What comes from a host has that form already; to
-// make it again took a quarter of what a host spends on a change of an assignment.
+// canonical returns a listing of the store with its large documents in the one encoding that
+// hosts exchange. Deltas are made from bytes, and the store may space the same document
+// differently. What comes from another host already is in this form; encoding it again took a
+// quarter of the processor time that a host spends on a change of an assignment.
 func canonical(listing objects.Listing) objects.Listing {
 	listing.Objects = slices.Clone(listing.Objects)
 	for i := range listing.Objects {
@@ -215,8 +217,8 @@
 	return listing
 }
 
-// asPassedOn returns a listing of the store in the form in which it passes between hosts. An
-// entry of a server is read once, by the hosts that follow the store.
+// asPassedOn returns a listing of the store in the form that hosts exchange. Only the hosts
+// that follow the store itself decode a server's entry from the registry's format.
 func (g *Gateway) asPassedOn(kind string, listing objects.Listing) objects.Listing {
 	listing = canonical(listing)
 	if kind == g.registry.Servers() {
@@ -227,8 +229,9 @@
 	return listing
 }
 
-// canonicalEntry returns an entry that can't be read as it is, for each host to tell; a text in
-// a list, lest it be taken for one of a host.
+// canonicalEntry converts a server's entry to the text that hosts exchange. An entry that
+// can't be decoded stays as it is, so that every host reports it. If it is a JSON string, it
+// is wrapped in an array so that nobody takes it for the text of a host.
 func (g *Gateway) canonicalEntry(object objects.Object) objects.Object {
 	if object.Deleted {
 		return object
@@ -248,7 +251,7 @@
 	return object
 }
 
-// isEntryText reports whether an object is an entry as hosts tell it to each other.
+// isEntryText reports whether an object is an entry in the text form that hosts exchange.
 func isEntryText(object objects.Object) bool { return len(object.Spec) > 0 && object.Spec[0] == '"' }
 
 // canonicalObject is canonical for one object.
@@ -257,12 +260,13 @@
 		return object
 	}
 	if encoded, err := json.Marshal(object.Spec); err == nil {
-		object.Spec = encoded // else it is left for whoever decodes it to report
+		object.Spec = encoded // an invalid document is reported by whoever decodes it
 	}
 	return object
 }
 
-// keep keeps the long documents of a change.
+// keep records the large documents of a listing's changes, so that deltas can be made from
+// their versions.
 func (k *relayed) keep(listing objects.Listing) {
 	long := objects.Listing{Revision: listing.Revision}
 	for _, object := range listing.Objects {
@@ -275,7 +279,7 @@
 	}
 }
 
-// fold takes the long documents of changes that are not kept any more.
+// fold moves the large documents of changes that are no longer kept into first.
 func (k *relayed) fold(changes []objects.Object) {
 	for _, object := range changes {
 		if object.Deleted {
@@ -286,7 +290,7 @@
 	}
 }
 
-// trim holds what is kept of earlier changes within its bounds.
+// trim drops the oldest changes beyond the bounds.
 func (k *relayed) trim() {
 	size := 0
 	for _, change := range k.kept {
@@ -302,8 +306,8 @@
 	}
 }
 
-// compact drops the steps that later ones of the same objects have replaced, and the earliest
-// deletions.
+// compact drops the steps that later steps of the same object replace, and the oldest
+// deletions beyond the bound.
 func (k *relayed) compact() {
 	last := make(map[string]int, len(k.steps))
 	for i, step := range k.steps {
@@ -329,6 +333,7 @@
 	k.steps = steps
 }
 
+// bytes returns the size of the documents in bytes.
 func (c *relayedChange) bytes() int {
 	n := 0
 	for _, object := range c.listing.Objects {
@@ -337,8 +342,9 @@
 	return n
 }
 
-// since returns what changed after a revision, and what is closed when more
-// does. ok is false if that is not known any more.
+// since returns the changes after a revision, and a channel that is closed at the next change.
+// ok is false if the history does not reach back that far, or the revision belongs to an
+// earlier era of the store.
 func (r *relay) since(name string, after uint64) (listing objects.Listing, more <-chan struct{}, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -348,14 +354,14 @@
 		return listing, known.changed, true
 	}
 	if revision.Era(after) < revision.Era(known.revision) {
-		return listing, known.changed, false // whoever asks may know what this host never did
+		return listing, known.changed, false // the caller may know objects that the store has lost and this host never knew
 	}
 	listing.Objects, listing.Revision = known.changedSince(after)
 	return listing, known.changed, after >= known.floor
 }
 
-// changedSince returns the objects that changed after a revision, as they are now, and up to
-// which revision: as many as one answer may tell of.
+// changedSince returns the objects that changed after a revision in their present state, and
+// the revision up to which the changes are complete: as many as fit in one answer.
 func (k *relayed) changedSince(after uint64) (changes []objects.Object, upTo uint64) {
 	from, _ := slices.BinarySearchFunc(k.steps, after+1, func(step relayedStep, want uint64) int { return cmp.Compare(step.listed, want) })
 	for i, step := range k.steps[from:] {
@@ -367,14 +373,14 @@
 		case step.deletion != nil:
 			object = *step.deletion
 		case !present || object.Revision != step.revision:
-			continue // a later step tells what became of it
+			continue // a later step has the object's present state
 		}
 		changes = append(changes, object)
 	}
 	return latest(changes), k.revision
 }
 
-// latest leaves the last of the changes of each object.
+// latest keeps only the last change of each object.
 func latest(changes []objects.Object) []objects.Object {
 	last := make(map[string]int, len(changes))
 	for i, object := range changes {
@@ -389,8 +395,8 @@
 	return kept
 }
 
-// versionAt returns a long document as a host knows it that is up to date with
-// its kind at a revision; ok is false if that version is not kept.
+// versionAt returns the version of a large document that a host has which is up to date with
+// the kind at a revision; ok is false if that version is not kept.
 func (r *relay) versionAt(kind, name string, revision uint64) (found objects.Object, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -434,23 +440,23 @@
 // listRequest asks a host for a page of the objects of a kind.
 type listRequest struct {
 	Kind string `json:"kind"`
-	// After is the last name of the page before; empty for the first page.
+	// After is the last name of the previous page; empty for the first page.
 	After string `json:"after,omitempty"`
-	// Columns is set by hosts that take objects column by column. Earlier ones are to ask
-	// the store.
+	// Columns is set by hosts that can decode objects column by column. Hosts of earlier
+	// versions don't set it and are refused, so that they list from the store.
 	Columns bool `json:"columns"`
 }
 
-// listAnswer is what a host knows of a kind.
+// listAnswer is a page of the objects of a kind.
 type listAnswer struct {
 	objects.Listing
 	// More is set if another page follows.
 	More bool
-	// AgeMs is how old the host's knowledge of the store may be, in milliseconds.
+	// AgeMs is how old the host's view of the store may be, in milliseconds.
 	AgeMs int64
 }
 
-// listAnswerWire is a listAnswer as it passes between hosts.
+// listAnswerWire is the JSON form of a listAnswer.
 type listAnswerWire struct {
 	columns
 	More  bool  `json:"more,omitempty"`
@@ -473,9 +479,9 @@
 	return err
 }
 
-// relayedList asks another host in place of the store. The revision is that of the first page,
-// so that a watch from it misses nothing that changed between two pages. age is how old the
-// host's knowledge of the store may be.
+// relayedList lists a kind from another host in place of the store. The listing's revision is
+// that of the first page, so that a watch from it misses nothing that changed between two
+// pages. age is how old that host's view of the store may be.
 func (g *Gateway) relayedList(ctx context.Context, source, kind string) (listing objects.Listing, age time.Duration, err error) {
 	request := listRequest{Kind: kind, Columns: true}
 	for first := true; ; first = false {
@@ -498,7 +504,8 @@
 	return listing, age, nil
 }
 
-// answerList answers another host's list, if this host knows the kind.
+// answerList handles another host's list request. It refuses if this host has not listed the
+// kind yet.
 func (g *Gateway) answerList(w http.ResponseWriter, r *http.Request) {
 	var request listRequest
 	if !g.readPeer(w, r, &request) {
@@ -512,7 +519,7 @@
 	g.writePeer(w, r, listAnswer{Listing: listing, More: more, AgeMs: g.fresh.ageNow(g.now()).Milliseconds()})
 }
 
-// watchRequest asks a host for the changes of a kind.
+// watchRequest asks a host for the changes of a kind after a revision.
 type watchRequest struct {
 	Kind     string `json:"kind"`
 	Revision uint64 `json:"revision"`
@@ -523,13 +530,14 @@
 	Columns bool `json:"columns"`
 }
 
-// relayedWatch asks another host in place of the store.
+// relayedWatch watches a kind at another host in place of the store. If a delta in the answer
+// can't be applied, it asks again for whole documents.
 func (g *Gateway) relayedWatch(ctx context.Context, source, kind string, revision uint64, wait time.Duration) (objects.Listing, error) {
 	request := watchRequest{Kind: kind, Revision: revision, WaitMs: wait.Milliseconds(), Columns: true}
 	listing, err := g.askRelay(ctx, source, request)
 	var unfit *unfitError
 	if errors.As(err, &unfit) {
-		g.log.Info("document asked for whole", "kind", kind, "name", unfit.Name, "base", unfit.Base, "known", unfit.Known,
+		g.log.Info("answer to a watch can't be decoded; requesting whole documents", "kind", kind, "name", unfit.Name, "base", unfit.Base, "known", unfit.Known,
 			"source", source, "why", eris.ToString(unfit.Cause, false))
 		request.Whole = true
 		return g.askRelay(ctx, source, request)
@@ -551,8 +559,8 @@
 	return g.unfold(ctx, request.Kind, &answer)
 }
 
-// answerWatch answers another host's watch, as long as this host's knowledge of
-// the store counts.
+// answerWatch handles another host's watch request. It refuses if this host's view of the
+// store is too old.
 func (g *Gateway) answerWatch(w http.ResponseWriter, r *http.Request) {
 	var request watchRequest
 	if !g.readPeer(w, r, &request) {
@@ -568,7 +576,7 @@
 		return
 	}
 	if err != nil {
-		return // the other host has gone
+		return // the other host closed the connection
 	}
 	answer := &watchAnswer{Listing: listing}
 	if !request.Whole {
--- a/gateway/relay_test.go
+++ b/gateway/relay_test.go
@@ -10,8 +10,8 @@
 	"cicadarouter/revision"
 )
 
-// Guards against a host that keeps what the store has forgotten: the relay that it follows had
-// not heard of it, and can't tell that it is gone.
+// Guards against a host that keeps objects which the restored store has lost: the relay that
+// it follows never knew them, so its changes can't show that they are gone.
 func TestRelayTellsNoDifferencesAcrossEras(t *testing.T) {
 	listing := func(era, number uint64) objects.Listing {
 		return objects.Listing{Revision: revision.In(era, number), Objects: []objects.Object{{Name: "a", Revision: revision.In(era, 40)}}}
@@ -19,10 +19,10 @@
 	var r relay
 	r.note("servers", listing(1, 50), true)
 	_, _, ok := r.since("servers", revision.In(1, 55))
-	assert.Assert(t, ok, "ahead of the relay")
+	assert.Assert(t, ok, "the host is ahead of the relay")
 	r.note("servers", listing(2, 45), true)
 	_, _, ok = r.since("servers", revision.In(1, 55))
-	assert.Assert(t, !ok, "it is to list again")
+	assert.Assert(t, !ok, "the host has to list again")
 	again, _, ok := r.since("servers", revision.In(2, 45))
 	assert.Assert(t, ok && len(again.Objects) == 0)
 	all, ok := r.list("servers")
@@ -30,7 +30,7 @@
 	assert.Equal(t, all.Revision, revision.In(2, 45))
 }
 
-// list returns all that a relay knows of a kind.
+// list returns all objects of a kind that a relay has.
 func (r *relay) list(name string) (objects.Listing, bool) {
 	listing, _, ok := r.page(name, "", math.MaxInt32)
 	return listing, ok
--- a/gateway/relays_test.go
+++ b/gateway/relays_test.go
@@ -11,8 +11,8 @@
 	"cicadarouter/platform/platformtest"
 )
 
-// storeFront is one host's way to the store. It counts the host's calls at the full
-// price, and can be made to turn them away.
+// storeFront is a proxy through which one host calls the store. It counts the calls that are
+// not stale reads, and can refuse all calls.
 type storeFront struct {
 	store *platformtest.Store
 
@@ -48,13 +48,13 @@
 	return f.calls
 }
 
-// fronted starts a host with a way to the store of its own.
+// fronted starts a host that calls the store through a storeFront.
 func (s *site) fronted(name string, seeds ...string) (*hostUnderTest, *storeFront) {
 	front := &storeFront{store: s.store}
 	return s.start(hostSetup{name: name, store: s.listen(front), seeds: seeds}), front
 }
 
-// newRoute adds a route to the configuration, and has tells whether a host knows it.
+// newRoute adds a route to the configuration. has reports whether a host uses it.
 func (s *site) newRoute(version int, name string) (has func(h *hostUnderTest) bool) {
 	s.configure(version, fmt.Sprintf(`,{"name":%q,"path-prefix":"/%s/","kind":"safe","timeout":"5000ms","service":"free","max-attempts":1}`, name, name))
 	return func(h *hostUnderTest) bool {
@@ -62,18 +62,17 @@
 	}
 }
 
-// Symptom: hosts that the store turns away keep an old configuration for as long
-// as it does, though other hosts know the new one.
-// Sequence: the store turns some hosts away; the controller is lost; another host
-// takes over, of which those that are turned away never hear.
-// Cause: the controller was the only host that passed on what the store holds.
+// Guards against hosts that keep an old configuration for as long as the store refuses their
+// calls, although other hosts have the new one. The controller is lost while the store refuses
+// some hosts; these never learn of the next controller, so they need relays that pass on what
+// the store holds.
 func TestRefusedHostFollowsARelay(t *testing.T) {
 	s, controller := calm(t)
 	s.eventually("all keys are served", func() bool { return s.allServed(controller) })
 	others := []*hostUnderTest{s.host("two"), s.host("three")}
 	refused, front := s.fronted("refused")
 	s.eventually("the refused host serves keys", func() bool { return refused.gateway.Ready() && s.allServed(refused) })
-	// Relays are named with the answers to reports, of which each host gets one each
+	// Relays are named in the answers to reports, of which each host sends one every
 	// half second.
 	const rounds, hosts = 3, 3
 	enough := controller.peers.reports.Load() + rounds*hosts
@@ -89,10 +88,8 @@
 	s.eventually("the refused host knows the route", func() bool { return last(refused) })
 }
 
-// Symptom: a host that starts while the store is away answers every request with
-// 503, though its peers serve.
-// Sequence: the store is away; a host starts.
-// Cause: it knew of no other host.
+// Guards against a host that answers every request with 503 because it started while the store
+// is unavailable, although its peers serve: it has to learn of them from its seeds.
 func TestHostThatStartsWhileTheStoreIsAwayAsksASeed(t *testing.T) {
 	s, h := calm(t)
 	s.eventually("all keys are served", func() bool { return s.allServed(h) })
@@ -104,10 +101,9 @@
 	s.eventually("it follows what changes later", func() bool { return more(late) })
 }
 
-// Symptom: a start of all hosts costs a call for each kind, page of entries and
-// host, and again each second until there is a controller: some 11 calls a host.
-// Sequence: all hosts are killed and start again.
-// Cause: every host listed the store at the full price, and watched it.
+// Guards against a restart of all hosts in which each host makes some 11 calls at the full
+// price: one for each kind and page of entries, and more each second until there is a
+// controller. Hosts have to use stale reads, which cost less, and then follow other hosts.
 func TestSecondStartOfAllHosts(t *testing.T) {
 	s, first := calm(t)
 	s.eventually("all keys are served", func() bool { return s.allServed(first) })
@@ -137,13 +133,13 @@
 		}
 		return true
 	})
-	// The relays, the hosts that the record names and a new controller ask the store;
-	// the others list it at the lower price, and then follow one of them.
+	// The relays, the controller that the record names and a new controller call the store;
+	// the others use stale reads, and then follow one of these.
 	relays = append(relays, s.assignment().Controller.Address)
-	const mostCalls = 3 // one watch a kind
+	const mostCalls = 3 // one watch per kind
 	for i, front := range fronts {
 		if calls := front.count(); !slices.Contains(relays, again[i].peers.address) && calls > mostCalls {
-			t.Errorf("host %d made %d calls at the full price", i, calls)
+			t.Errorf("host %d made %d calls that were not stale reads", i, calls)
 		}
 	}
 }
--- a/gateway/scale_test.go
+++ b/gateway/scale_test.go
@@ -22,7 +22,7 @@
 	"cicadarouter/platform"
 )
 
-// Guards against a change of one server that costs each host a look at all servers.
+// Guards against a change of one server that makes each host go through all servers.
 func TestCostOfAChangeDoesNotGrowWithTheServers(t *testing.T) {
 	cost := func(servers int) float64 {
 		g := New(Identity{Domain: "d"}, Platform{}, logs.Discard())
@@ -47,7 +47,7 @@
 	assert.Assert(t, many <= few+2, "%v allocations with 100 servers, %v with 10,000", few, many)
 }
 
-// Guards against a service that goes on using a server which has become one of another service.
+// Guards against a service that keeps using a server which has moved to another service.
 func TestServerOfAnotherServiceIsGone(t *testing.T) {
 	g := New(Identity{Domain: "d"}, Platform{}, logs.Discard())
 	g.services["s"], g.services["t"] = g.newService("s", true), g.newService("t", false)
@@ -77,8 +77,8 @@
 	return listing
 }
 
-// Guards against hosts that list thousands of servers anew because they were some hundreds of
-// changes behind, while all servers register.
+// Guards against hosts that list thousands of servers again because they are some hundreds of
+// changes behind while all servers register.
 func TestHostFarBehindIsToldTheChanges(t *testing.T) {
 	const servers, batch = 10000, 500
 	var r relay
@@ -86,7 +86,7 @@
 	for from := 1; from < servers; from += batch {
 		r.note("servers", entries(from, min(from+batch, servers)), false)
 	}
-	assert.Equal(t, len(r.kind("servers").kept), 0, "versions of entries that nobody makes deltas from")
+	assert.Equal(t, len(r.kind("servers").kept), 0, "versions of entries are kept although no deltas are made from them")
 	known := map[string]bool{}
 	for after := uint64(1); after < servers; {
 		listing, _, ok := r.since("servers", after)
@@ -100,7 +100,7 @@
 	assert.Equal(t, len(known), servers-1)
 }
 
-// Guards against deletions that a host is not told of, or that are kept without bound.
+// Guards against deletions that a host does not learn of, or that are kept without bound.
 func TestRelayTellsDeletions(t *testing.T) {
 	var r relay
 	r.note("servers", entries(0, 100), true)
@@ -112,7 +112,7 @@
 		r.note("servers", objects.Listing{Revision: revision, Objects: []objects.Object{object}}, false)
 	}
 	_, _, ok := r.since("servers", 100)
-	assert.Assert(t, !ok, "it is to list again")
+	assert.Assert(t, !ok, "the host has to list again")
 	assert.Assert(t, len(r.kind("servers").steps) <= 2*100+2*mostGone)
 	listing, _, ok := r.since("servers", revision-200)
 	assert.Assert(t, ok)
@@ -127,7 +127,7 @@
 	assert.Equal(t, len(last), 50)
 }
 
-// A list of thousands of servers passes between hosts in pages, compressed.
+// A list of thousands of servers is sent between hosts in compressed pages.
 func TestListsPassInPages(t *testing.T) {
 	const servers = 2*listPage + 10
 	source := New(Identity{Host: "source"}, Platform{}, logs.Discard())
@@ -153,8 +153,8 @@
 	assert.Assert(t, bodies < 100<<10, "%d bytes of a page", bodies)
 }
 
-// Guards against hosts of an earlier version that take nothing from what they can't read: they
-// are to ask the store.
+// Guards against hosts of an earlier version that can't decode columns and would take an
+// answer for an empty one: they are refused, so that they call the store.
 func TestEarlierHostsAreNotTold(t *testing.T) {
 	g := New(Identity{Host: "h"}, Platform{}, logs.Discard())
 	g.relay.note("servers", entries(0, 3), true)
@@ -166,7 +166,7 @@
 	}
 }
 
-// A host that does not say that it takes compressed answers gets others.
+// A host that does not accept compressed answers gets uncompressed ones.
 func TestAnswersAreCompressedForThoseWhoTakeIt(t *testing.T) {
 	g := New(Identity{}, Platform{}, logs.Discard())
 	for _, accepted := range []string{"", "gzip"} {
@@ -190,18 +190,19 @@
 	}
 }
 
-// Guards against an entry of another writer that is taken for what a host has read.
+// Guards against a forged entry that is taken for one that another host has decoded.
 func TestTextInTheRegistryIsNoEntry(t *testing.T) {
 	g := New(Identity{}, Platform{Registry: platform.Registry{}}, logs.Discard())
 	forged := objects.Object{Kind: "servers", Name: "i-1", Revision: 1, Spec: []byte(`"s\t10.0.0.1:80\ta\t4\tready\t0\t0"`)}
 	reader := &entryReader{gateway: g, reported: map[string]uint64{}}
-	assert.Assert(t, !reader.read(forged).Unreadable, "as a host tells it")
+	assert.Assert(t, !reader.read(forged).Unreadable, "as another host sends it")
 	listing := g.asPassedOn("servers", objects.Listing{Objects: []objects.Object{forged, entryOf(1)}})
 	assert.Assert(t, reader.read(listing.Objects[0]).Unreadable, "as the registry holds it")
 	assert.Equal(t, reader.read(listing.Objects[1]).Service, "s")
 }
 
-// Guards against relays, or a controller, that as many hosts follow as there are hosts.
+// Guards against a number of followers of a relay or controller that grows in proportion to
+// the number of hosts.
 func TestFollowersGrowWithTheRootOfTheHosts(t *testing.T) {
 	for _, hosts := range []int{100, 400, 1000, 4000} {
 		m := newMembers()
@@ -222,8 +223,8 @@
 	}
 }
 
-// Guards against relays that are named while the first few hosts report, and that all hosts
-// then follow.
+// Guards against relays that are chosen while only the first few hosts report, and that all
+// hosts then follow.
 func TestRelaysAreNamedAnewAsHostsCome(t *testing.T) {
 	const hosts = 1000
 	m := newMembers()
@@ -235,14 +236,15 @@
 			named[relays[0]]++
 		}
 	}
-	// Each time that the hosts double, a relay is named to as many as may follow it.
+	// Each time that the number of hosts doubles, new relays are chosen, each for as many
+	// hosts as may follow it.
 	most := int(mostFollowers * math.Ceil(math.Log2(hosts/mostFollowers)))
 	for relay, n := range named {
 		assert.Assert(t, n <= most, "%s is named to %d of %d hosts", relay, n, hosts)
 	}
 }
 
-// Guards against first reports that all reach a new controller within the same milliseconds.
+// Guards against first reports that all reach a new controller within a few milliseconds.
 func TestFirstReportsAreSpread(t *testing.T) {
 	within := map[time.Duration]int{}
 	for i := range 1000 {
--- a/gateway/servers.go
+++ b/gateway/servers.go
@@ -8,7 +8,7 @@
 	"cicadarouter/fleet"
 )
 
-// followServers follows the entries of backend servers.
+// followServers follows the registry's entries of backend servers.
 func (g *Gateway) followServers(ctx context.Context) {
 	reader := &entryReader{gateway: g, reported: map[string]uint64{}}
 	g.follow(ctx, follower{
@@ -39,16 +39,16 @@
 	})
 }
 
-// registryAway notes that entries which are missing now may only not have been
-// renewed. It is told by the prober as well, which goes on asking while the
-// store is away.
+// registryAway records that entries which are missing now may only not have been renewed,
+// since the store is unavailable. The prober calls it as well, since only the prober keeps
+// calling the store in that time.
 func (g *Gateway) registryAway(error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.directory.Away(g.now())
 }
 
-// changeServer takes one change of an entry.
+// changeServer applies one change of an entry.
 func (g *Gateway) changeServer(reader *entryReader, object objects.Object) {
 	if object.Deleted {
 		g.mu.Lock()
@@ -70,43 +70,44 @@
 		"unreadable", version.Unreadable, "revision", object.Revision, "verdict", verdict.String())
 }
 
-// tellsEntries reports whether this host writes a line for each entry. One that
-// follows another host writes one a change of several, with the revision by which
-// the lines are found in the logs of those that follow the store: with a line an
-// entry on every host, 295 hosts and 1,080 servers wrote four fifths of all lines,
-// 216 MB in 27 s. An entry that is not taken is told by every host that refuses it.
+// tellsEntries reports whether this host logs a line for each entry. A host that follows
+// another one logs one line for several changes, with the revision by which the lines are
+// found in the logs of the hosts that follow the store: with a line for each entry on every
+// host, 295 hosts and 1,080 servers wrote four fifths of all lines, 216 MB in 27 s. An entry
+// that a host refuses is always logged.
 func (g *Gateway) tellsEntries() bool { return g.fresh.follows(g.now()) == "" }
 
-// directoryChanged hands on what the directory holds now.
+// directoryChanged passes the directory's changes to the services and wakes the controller.
 func (g *Gateway) directoryChanged() {
 	g.distribute()
 	g.nudge()
 }
 
-// expireServers drops servers whose entries did not come back.
+// expireServers drops servers whose entries are still missing some time after an outage of the
+// store.
 func (g *Gateway) expireServers() {
 	g.mu.Lock()
 	changed := g.directory.Expire(g.now())
 	g.mu.Unlock()
 	if changed {
-		g.log.Info("servers dropped whose entries did not return")
+		g.log.Info("dropped servers whose entries did not come back")
 		g.directoryChanged()
 	}
 }
 
-// mostReported bounds the unreadable entries that are remembered as reported.
-// Anyone may write any number of them.
+// mostReported bounds the unreadable entries that are remembered as reported: any number of
+// them may be written to the store.
 const mostReported = 1024
 
-// entryReader decodes entries. Whoever may write to the store may write what is
-// no server's entry; each version of such an entry is reported once, however
-// often it is listed.
+// entryReader decodes entries. Others may write to the store what is not a valid entry; each
+// version of such an entry is reported once, however often it is listed.
 type entryReader struct {
 	gateway  *Gateway
-	reported map[string]uint64 // revisions by name
+	reported map[string]uint64 // revision by name of the entry
 }
 
-// read returns what an entry says.
+// read returns the version of a server that an entry describes. A version that can't be
+// decoded is marked as unreadable.
 func (e *entryReader) read(object objects.Object) fleet.Version {
 	server, err := e.server(object)
 	if err == nil {
@@ -116,7 +117,7 @@
 	return fleet.Version{Server: fleet.Server{ID: object.Name}, Revision: object.Revision, Unreadable: true}
 }
 
-// server reads an entry as the registry holds it, or as another host has read it.
+// server decodes an entry in the registry's format or in the text form that hosts exchange.
 func (e *entryReader) server(object objects.Object) (fleet.Server, error) {
 	if !isEntryText(object) {
 		return e.gateway.registry.Server(object)
@@ -128,6 +129,7 @@
 	return fleet.ReadEntryText(object.Name, text)
 }
 
+// report counts and logs an entry that can't be decoded, once for each version.
 func (e *entryReader) report(object objects.Object, cause error) {
 	if revision, known := e.reported[object.Name]; known && revision == object.Revision {
 		return
@@ -138,6 +140,6 @@
 	e.reported[object.Name] = object.Revision
 	e.gateway.counts.unreadable.Inc()
 	if e.gateway.entryLines.take() {
-		e.gateway.log.Error("server entry names no server", "server", object.Name, "revision", object.Revision, "error", cause.Error())
+		e.gateway.log.Error("invalid server entry", "server", object.Name, "revision", object.Revision, "error", cause.Error())
 	}
 }
--- a/gateway/sources.go
+++ b/gateway/sources.go
@@ -11,50 +11,49 @@
 	"cicadarouter/keyspace"
 )
 
-// Times of asking relays.
+// Times and bounds of queries to relays.
 const (
-	// askEvery is how often a host without a source's word asks a relay.
+	// askEvery is the interval at which a host checks whether it has to query a relay.
 	askEvery = 100 * time.Millisecond
-	// askTimeout bounds the question: hosts answer within milliseconds.
+	// askTimeout bounds a query: hosts answer within milliseconds.
 	askTimeout = 300 * time.Millisecond
-	// fewHosts is how many hosts may read the entries of all servers in the store at once.
+	// fewHosts is how many hosts may read the entries of all servers from the store at once.
 	fewHosts = 64
-	// askPause is left when no relay had the store's word: all of them may be cut
-	// off together, or the store is away for all.
+	// askPause is the pause after no relay could confirm the state of the store: all of them
+	// may be cut off together, or the store is unavailable for all.
 	askPause = 400 * time.Millisecond
 )
 
-// sources are the hosts that this one may ask in a controller's place.
+// sources are the hosts that this one may follow or query when the controller does not answer.
 type sources struct {
 	self string // this host's address
-	// turn differs between hosts, so that they do not all begin with the same relay.
+	// turn differs between hosts, so that they don't all start with the same relay.
 	turn int
 
 	mu sync.Mutex
-	// named are those that the last answer of a controller named, written those
-	// that an assignment in the store names. A host that has just started knows
-	// the latter only.
+	// named are the relays that a controller named last, written the controller and relays
+	// that an assignment in the store names. A host that has just started knows only the
+	// latter.
 	named, written []string
-	// hosts is how many hosts an assignment names, and serves is set if this one is a relay
-	// by it or was its controller.
+	// hosts is how many hosts an assignment names, and serves is set if this host is a relay
+	// by that assignment or its controller.
 	hosts  int
 	serves bool
-	// controller is the one that an assignment names. All hosts report to it, so it is not
-	// asked in its own place.
+	// controller is the address of the controller that an assignment names. It is not queried
+	// as a relay, since all hosts report to it.
 	controller string
-	// follow is set if this host is to follow a relay in the controller's place also
-	// while that vouches.
+	// follow is set if this host should follow a relay even while the controller answers.
 	follow bool
-	// seeds are those of the settings, for a host that has just started and does not
+	// seeds are the addresses from the settings, for a host that has just started and can't
 	// reach the store.
 	seeds  []string
-	next   int // index of the one to ask
-	missed int // that had nothing to tell, one after the other
+	next   int // index of the current candidate
+	missed int // consecutive candidates that could not help
 }
 
-// newSources returns the hosts that one which has just started may ask. While the
-// whole system starts for the first time nobody knows more than the store tells
-// everybody at a tenth of the price, and hundreds of hosts would ask three.
+// newSources returns the hosts that a host that has just started may ask: its seeds. While the
+// whole system starts for the first time there are none: no host knows more than stale reads
+// of the store return at a tenth of the cost, and hundreds of hosts would ask three seeds.
 func newSources(identity Identity) *sources {
 	s := &sources{self: identity.Peers, turn: int(hashOf(identity.Host))}
 	if !identity.FirstStart {
@@ -63,7 +62,7 @@
 	return s
 }
 
-// name takes the relays that a controller names.
+// name sets the relays that a controller named, and whether to follow one of them.
 func (s *sources) name(relays []string, follow bool) {
 	if len(relays) == 0 {
 		return
@@ -76,8 +75,8 @@
 	}
 }
 
-// upstream returns whom to follow while a controller vouches: a relay in a large
-// fleet, else the controller itself.
+// upstream returns the host to follow while a controller answers: a relay in a large fleet,
+// else the controller itself.
 func (s *sources) upstream(controller string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +86,7 @@
 	return controller
 }
 
-// read takes the hosts that an assignment names: its controller and the relays.
+// read takes the relays and the controller from an assignment.
 func (s *sources) read(controller keyspace.Controller) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,8 +99,8 @@
 	s.written, s.controller = append(relays, controller.Address), controller.Address
 }
 
-// asksHosts reports whether this host is to learn of the servers from others when it starts:
-// there are many hosts, and it is not one of those that the others ask.
+// asksHosts reports whether this host should list the servers from other hosts when it starts:
+// there are many hosts, and it is neither a relay nor the controller.
 func (s *sources) asksHosts() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,17 +120,17 @@
 	return s.hosts
 }
 
-// known reports whether there is anybody to ask.
+// known reports whether there is a host to ask.
 func (s *sources) known() bool { return s.current() != "" }
 
-// current returns whom to ask; empty if nobody is known.
+// current returns the host to ask; empty if none is known.
 func (s *sources) current() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.pick()
 }
 
-// pick is current for callers with the lock.
+// pick is current for callers that hold the lock.
 func (s *sources) pick() string {
 	candidates := s.candidates()
 	if len(candidates) == 0 {
@@ -140,7 +139,7 @@
 	return candidates[s.next%len(candidates)]
 }
 
-// relay returns whom to ask in the controller's place; empty if nobody is known.
+// relay returns the relay to query; empty if none is known.
 func (s *sources) relay() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,6 +150,8 @@
 	return candidates[s.next%len(candidates)]
 }
 
+// candidates returns the hosts to ask: those that a controller named, else those of an
+// assignment, else the seeds. The caller holds the lock.
 func (s *sources) candidates() []string {
 	candidates := s.named
 	if len(candidates) == 0 {
@@ -162,7 +163,8 @@
 	return slices.DeleteFunc(slices.Clone(candidates), func(address string) bool { return address == s.self || address == "" })
 }
 
-// miss notes that a host had nothing to tell, and reports whether none has.
+// miss records that the current host could not help and moves on to the next. It reports
+// whether none of the candidates could.
 func (s *sources) miss() (all bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -175,7 +177,7 @@
 	return true
 }
 
-// pass goes on to the next host if a host that failed is the current one.
+// pass moves on to the next host if the host that failed is the current one.
 func (s *sources) pass(failed string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -184,27 +186,28 @@
 	}
 }
 
-// found notes that the current host had the store's word.
+// found records that the current host confirmed the state of the store.
 func (s *sources) found() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.missed = 0
 }
 
-// sourceQuestion asks a host whether it has the store's word.
+// sourceQuestion asks a relay how recent its view of the store is.
 type sourceQuestion struct {
 	Host string `json:"host"`
 }
 
-// sourceAnswer tells how old a host's knowledge of the store may be.
+// sourceAnswer tells how old a host's view of the store may be.
 type sourceAnswer struct {
 	// AgeMs is that age in milliseconds.
 	AgeMs int64 `json:"ageMs"`
-	// Revisions tells at which revision each watched kind last changed.
+	// Revisions are the revisions at which each watched kind last changed.
 	Revisions map[string]uint64 `json:"revisions"`
 }
 
-// followSources asks relays for the store's word while no controller gives it.
+// followSources queries relays for a confirmation of the state of the store while no
+// controller sends one.
 func (g *Gateway) followSources(ctx context.Context) {
 	following := ""
 	for ctx.Err() == nil {
@@ -228,7 +231,7 @@
 			continue
 		}
 		g.sources.found()
-		g.reach.back() // what this host can't read in the store it hears from the relay
+		g.reach.back() // the relay passes on what this host can't read from the store
 		behind := g.fresh.told(g.now(), word{confirmed: now - age, teller: address, source: address, revisions: answer.Revisions})
 		if following != address || len(behind) > 0 {
 			g.log.Info("relay vouches for the store's state", "relay", address, "age-ms", answer.AgeMs, "behind", behind)
@@ -243,7 +246,7 @@
 	return answer, err
 }
 
-// answerSource answers a host that asks this one in a controller's place.
+// answerSource handles a query to this host as a relay.
 func (g *Gateway) answerSource(w http.ResponseWriter, r *http.Request) {
 	var question sourceQuestion
 	if !g.readPeer(w, r, &question) {
--- a/gateway/sources_test.go
+++ b/gateway/sources_test.go
@@ -10,8 +10,8 @@
 	"cicadarouter/keyspace"
 )
 
-// A controller names two large hosts of each failure domain as relays, those that
-// have reported lately; a host is told its own domain's first, and hosts of a domain
+// A controller names two large hosts of each failure domain as relays, chosen from those that
+// reported lately. A host is given its own domain's relays first, and the hosts of a domain
 // are spread over them.
 func TestRelaysAreLargeHostsThatReport(t *testing.T) {
 	m := newMembers()
@@ -34,7 +34,7 @@
 	assert.Equal(t, len(first), relaysPerDomain)
 	assert.Equal(t, len(m.all), 2*relaysPerDomain)
 
-	// Those that stop reporting are replaced, at last by small ones.
+	// Relays that stop reporting are replaced, if necessary by small hosts.
 	later := memberKept + namedEvery
 	for name, each := range m.hosts {
 		if each.small || each.domain == "b" {
@@ -47,9 +47,9 @@
 	}
 }
 
-// A host asks those that the controller named last, before that those that the
-// assignment names, before that the seeds; never itself, and the next one after a
-// failure.
+// A host asks the relays that the controller named last; without any, those that the
+// assignment names; without these, the seeds. It never asks itself, and after a failure it
+// asks the next one.
 func TestWhomAHostAsks(t *testing.T) {
 	s := newSources(Identity{Peers: "self", Seeds: []string{"self", "seed"}})
 	assert.Equal(t, s.current(), "seed")
@@ -73,11 +73,10 @@
 	assert.Equal(t, newSources(Identity{Seeds: []string{"seed"}, FirstStart: true}).current(), "")
 }
 
-// Symptom: each time the controller's word is missed, 295 hosts make some 900 calls
-// to the store.
-// Sequence: the controller falls silent; its word is too old after some time.
-// Cause: nobody else could vouch. A relay that is asked follows the store in short
-// turns, and its word counts as the controller's did.
+// Guards against some 900 calls of 295 hosts to the store each time that the controller's
+// confirmation is missed. When the controller goes silent and its confirmation grows old, a
+// queried relay watches the store with short waits, and its confirmation counts like the
+// controller's.
 func TestRelayTakesTheControllersPlace(t *testing.T) {
 	const silent = 10 * time.Second
 	relay, host := newFreshness(0), newFreshness(0)
@@ -90,7 +89,7 @@
 	now := silent + 10*time.Millisecond
 	assert.Assert(t, host.needsSource(now))
 
-	// The relay is asked. It ends its watch of the controller and watches the store.
+	// The relay is queried. It cancels its watch of the controller and watches the store.
 	age, _ := relay.question(now)
 	assert.Assert(t, age > relayAfter)
 	assert.Assert(t, watching.Err() != nil)
@@ -100,7 +99,7 @@
 	made, _ = plan(&relay, "things", now+awayWatch)
 	assert.Equal(t, made, watchPlan{wait: relayTurn})
 
-	// It is asked again, and vouches.
+	// It is queried again, and confirms the state of the store.
 	now += askEvery
 	age, revisions := relay.question(now)
 	assert.Equal(t, age, askEvery)
@@ -109,14 +108,14 @@
 	made, _ = plan(&host, "things", silent+time.Second)
 	assert.Equal(t, made, watchPlan{wait: longWatch, source: "relay"})
 
-	// Nobody asks it any more: it asks others itself.
+	// When nobody queries it any more, it queries others itself.
 	now += relayFor + askEvery
 	assert.Assert(t, relay.needsSource(now))
 	assert.Assert(t, !relay.serves(now))
 }
 
-// A host whose source fails waits for another as long as the last word counts, and
-// then asks the store.
+// A host whose source fails waits for another source while the last confirmation counts, and
+// then watches the store.
 func TestHostWaitsForASourceWhileTheLastWordCounts(t *testing.T) {
 	f := newFreshness(0)
 	f.told(0, wordOf(0, "controller", nil))
@@ -130,32 +129,30 @@
 	made := begin(time.Second, true)
 	assert.Assert(t, made.news != nil)
 	assert.Equal(t, made.wait, f.vouchedFor()-time.Second)
-	assert.Equal(t, begin(time.Second, false), watchPlan{wait: f.shortWatch()}, "there is nobody to ask")
+	assert.Equal(t, begin(time.Second, false), watchPlan{wait: f.shortWatch()}, "there is no host to ask")
 	assert.Equal(t, begin(f.vouchedFor(), true), watchPlan{wait: f.shortWatch()})
 	f.told(time.Second, wordOf(time.Second, "relay", nil))
 	<-made.news
 	assert.Equal(t, begin(time.Second, true), watchPlan{wait: longWatch, source: "relay"})
 }
 
-// Symptom: hosts that the store turns away without an answer keep old owners of keys
-// for seconds, though the controller has the store and answers them.
-// Sequence: a report is a little late, so the controller's word is 1.2 s old for some
-// milliseconds; hosts ask their relays; relays that are cut off from the store leave
-// the controller for it, and wait there for an answer that does not come.
-// Cause: the age alone was taken for doubt, and a watch of the store went on although
-// the controller had spoken since.
+// Guards against hosts that keep old owners of keys for seconds although the controller has
+// the store and answers them. A report is a little late, so the controller's confirmation is
+// 1.2 s old for some milliseconds. If that age alone made hosts query relays, relays that are
+// cut off from the store would leave the controller to watch the store, and wait there for an
+// answer that does not come, even after the controller's next confirmation.
 func TestLateReportMakesNobodyLeaveTheController(t *testing.T) {
 	const told = 5 * time.Second
 	f := newFreshness(0)
 	f.known("things", 5, true)
 	f.told(told, wordOf(told-600*time.Millisecond, "controller", nil))
 	_, watching := plan(&f, "things", told)
-	late := told + 610*time.Millisecond // 10 ms after the word is 1.2 s old
+	late := told + 610*time.Millisecond // 10 ms after the confirmation is 1.2 s old
 	assert.Assert(t, !f.needsSource(late))
 	f.question(late)
 	assert.NilError(t, watching.Err())
 
-	// The next word is overdue, and the relay goes to the store.
+	// The next confirmation is overdue, and the relay watches the store.
 	overdue := told + nextWord + time.Millisecond
 	assert.Assert(t, f.needsSource(overdue))
 	f.question(overdue)
@@ -163,17 +160,15 @@
 	made, watching := plan(&f, "things", overdue)
 	assert.Equal(t, made, watchPlan{wait: awayWatch})
 	f.told(overdue+time.Millisecond, wordOf(overdue, "controller", nil))
-	assert.Assert(t, watching.Err() != nil, "the watch of the store goes on")
+	assert.Assert(t, watching.Err() != nil, "the watch of the store was not canceled")
 	made, _ = plan(&f, "things", overdue+time.Millisecond)
 	assert.Equal(t, made, watchPlan{wait: longWatch, source: "controller"})
 }
 
-// Symptom: a request reaches a server 2.1 s after the store knew that it leaves.
-// Sequence: a server leaves just as the store turns the controller away; the controller's
-// word grows old, and a host takes that of a relay, which does not know of the leaving
-// yet; the relay learns of it 6 ms later.
-// Cause: the host's watch went on waiting at the controller, until the relay's next word,
-// 0.5 s later, told that it was behind.
+// Guards against a request that reaches a server 2.1 s after the store knew that it leaves.
+// The store refuses the controller's calls, whose confirmation grows old, and a host follows a
+// relay instead, which learns of the leaving server 6 ms later. If the host's watch stayed at
+// the controller, it would learn of it only with the relay's next confirmation, 0.5 s later.
 func TestWatchMovesToTheNewSource(t *testing.T) {
 	f := newFreshness(0)
 	f.told(0, wordOf(0, "controller", nil))
@@ -182,7 +177,7 @@
 	f.told(time.Second, wordOf(time.Second, "controller", nil))
 	assert.NilError(t, watching.Err())
 	f.told(2*time.Second, word{confirmed: 2 * time.Second, teller: "controller", source: "relay"})
-	assert.NilError(t, watching.Err(), "the controller is as good as who follows it")
+	assert.NilError(t, watching.Err(), "a watch at the controller is as good as one at a relay that follows it")
 	f.told(3*time.Second, wordOf(3*time.Second, "relay", nil))
 	assert.Assert(t, watching.Err() != nil)
 	made, _ = plan(&f, "things", 3*time.Second)
--- a/gateway/storecalls.go
+++ b/gateway/storecalls.go
@@ -11,14 +11,14 @@
 	"cicadarouter/host/clock"
 )
 
-// callsToldEvery is how often a host writes how many calls it has made to the store.
+// callsToldEvery is the interval at which a host logs how many calls it has made to the store.
 const callsToldEvery = 10 * time.Second
 
-// storeCalls counts a host's calls to the store. Each has a price, and which host
-// makes them, and of what kind, tells whether it follows another host as it should.
+// storeCalls counts a host's calls to the store. Each call is billed, and which host makes
+// which calls shows whether it follows another host as it should.
 type storeCalls struct {
 	mu   sync.Mutex
-	made map[string]int // since they were last told, by call and kind
+	made map[string]int // since they were last logged, by call and kind
 }
 
 // note counts a call.
@@ -31,7 +31,7 @@
 	c.made[call+" "+kind]++
 }
 
-// take returns the calls since it was last called.
+// take returns the counts since its last call.
 func (c *storeCalls) take() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,8 +40,7 @@
 	return made
 }
 
-// countedReader is a reader whose calls are counted. suffix tells them from those of
-// the store itself.
+// countedReader is a reader that counts its calls. suffix marks the calls of a stale reader.
 type countedReader struct {
 	objects.Reader
 	note   func(call, kind string)
@@ -60,7 +59,7 @@
 	return r.Reader.Watch(ctx, kind, revision, wait)
 }
 
-// countedStore is a store whose calls are counted.
+// countedStore is a store that counts its calls.
 type countedStore struct {
 	countedReader
 	store objects.Store
@@ -101,7 +100,7 @@
 	g.counts.set.GetOrCreateCounter(`cicada_store_calls_total{call="` + call + `",kind="` + kind + `"}`).Inc()
 }
 
-// tellStoreCalls writes a line each while with the calls made in it.
+// tellStoreCalls regularly logs the number of calls made to the store since the last time.
 func (g *Gateway) tellStoreCalls(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, callsToldEvery)
--- a/gateway/watchplan.go
+++ b/gateway/watchplan.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// watchPlan says how the next watch of a kind is made.
+// watchPlan describes the next watch of a kind.
 type watchPlan struct {
 	wait time.Duration
-	// source is the host to ask in place of the store; empty for the store.
+	// source is the host to watch; empty for the store.
 	source string
-	// news is set if the host is not to watch now, but to wait for a source's
-	// word; it is closed when there is one.
+	// news is set if the host should wait for a confirmation in place of watching; it is
+	// closed when one arrives.
 	news <-chan struct{}
 }
 
-// begin returns the context and the plan for the next watch of a kind. hasRelays
-// tells whether there are hosts to ask in a controller's place.
+// begin returns the context and the plan for the next watch of a kind. hasRelays tells whether
+// there are relays that could be queried.
 func (f *freshness) begin(ctx context.Context, name string, now time.Duration, hasRelays bool) (context.Context, context.CancelFunc, watchPlan) {
 	ctx, cancel := context.WithCancel(ctx)
 	f.mu.Lock()
@@ -28,6 +28,7 @@
 	return ctx, cancel, plan
 }
 
+// plan chooses the source and the wait of a watch. The caller holds the lock.
 func (f *freshness) plan(state *kindState, name string, now time.Duration, hasRelays bool) watchPlan {
 	switch {
 	case f.leads && name == Assignments:
@@ -36,7 +37,7 @@
 		return watchPlan{wait: f.shortWatch()}
 	case f.relaying(now) && f.doubtful(now):
 		if now-state.contact > 2*relayTurn {
-			return watchPlan{wait: awayWatch} // others wait for its word
+			return watchPlan{wait: awayWatch} // other hosts wait for this relay's confirmation
 		}
 		return watchPlan{wait: relayTurn}
 	case f.starting(now) && hasRelays && now < firstSource:
--- a/tools/mutants/era.go
+++ b/tools/mutants/era.go
@@ -1,6 +1,6 @@
 package main
 
-// eraMutants break the rules by which hosts outlast a store that comes back from a copy.
+// eraMutants break the rules by which hosts survive a store that was restored from a backup.
 func eraMutants() []mutant {
 	keys := breaking("keyspace", "NoKey|Forg")
 	wire := breaking("platform", ".")
@@ -8,23 +8,23 @@
 	host := breaking("gateway", "CameBack|ForgetsIt|ForgetsThem|KeyView")
 	return []mutant{
 		keys("era.go", "trust a record of an earlier era", "return r.Era == 0 || r.Era > era", "return true"),
-		keys("era.go", "know all holders after the store forgot some", "		at.Former = append(at.Former, Holder{Server: unknownServer, Token: r.LastToken})\n", ""),
-		keys("era.go", "give out tokens again", "	r.LastToken += tokensPerEra\n", ""),
-		keys("era.go", "begin terms again in another era", "	next.Term += termsPerEra\n", ""),
-		keys("era.go", "take all records of a term for the same", "return r.Writes < other.Writes", "return false"),
-		keys("machine.go", "free the keys of unknown holders by the word of known controllers", "if key.holder.Server == unknownServer {", `if key.holder.Server == "" {`),
-		wire("store.go", "go on watching from a revision of an earlier era", "	if s.rewound(since) {\n", "	if false {\n"),
+		keys("era.go", "take the holders as complete after the store lost some", "		at.Former = append(at.Former, Holder{Server: unknownServer, Token: r.LastToken})\n", ""),
+		keys("era.go", "issue tokens again", "	r.LastToken += tokensPerEra\n", ""),
+		keys("era.go", "start terms again in another era", "	next.Term += termsPerEra\n", ""),
+		keys("era.go", "take all records of a term as equal", "return r.Writes < other.Writes", "return false"),
+		keys("machine.go", "free the keys of unknown holders when known controllers have stopped", "if key.holder.Server == unknownServer {", `if key.holder.Server == "" {`),
+		wire("store.go", "continue a watch from a revision of an earlier era", "	if s.rewound(since) {\n", "	if false {\n"),
 		wire("store.go", "trust the first changes of another era", "	if era != revision.Era(since) {\n", "	if false {\n"),
-		wire("store.go", "write under a revision of an earlier era", "} else if s.rewound(object.Revision) {", "} else if false {"),
-		wire("store.go", "take a write of another era for done", "if object.Revision != 0 && era != revision.Era(object.Revision) || era < s.era.Load() {", "if false {"),
-		wire("store.go", "forget the era when none is told", "		return s.era.Load(), nil\n", "		return 0, nil\n"),
-		entries("fleet.go", "let a server come back from leaving", "era > e.leftIn {", "false {"),
-		entries("fleet.go", "drop servers that the store forgot", "		if len(d.entries) > 0 {\n			d.Away(now)\n		}\n", ""),
-		entries("evacuation.go", "take back an evacuation that the store forgot", "	if e.forget(now, domain, asOf) {\n", "	if false {\n"),
-		entries("evacuation.go", "keep a forgotten evacuation for good", "known.forgotten && now-known.forgottenAt >= forgottenKept", "false"),
-		host("keyview.go", "take an earlier record for the newest", "if v.forgotten && record.OlderThan(v.record) {", "if false {"),
-		host("era.go", "leave the record to the store that forgot it", "	c.machine.Forgotten(era)\n", ""),
-		breaking("gateway", "RelayTellsNo")("relay.go", "pass differences on across eras", "if revision.Era(after) < revision.Era(known.revision) {", "if false {"),
-		host("follow.go", "list from a host that has not noticed", "revision.Era(listing.Revision) < g.era.Load()", "false"),
+		wire("store.go", "write with a revision of an earlier era as the condition", "} else if s.rewound(object.Revision) {", "} else if false {"),
+		wire("store.go", "take a write answered in another era as done", "if object.Revision != 0 && era != revision.Era(object.Revision) || era < s.era.Load() {", "if false {"),
+		wire("store.go", "reset the era when an answer has none", "		return s.era.Load(), nil\n", "		return 0, nil\n"),
+		entries("fleet.go", "use a leaving server again", "era > e.leftIn {", "false {"),
+		entries("fleet.go", "drop servers that the store lost", "		if len(d.entries) > 0 {\n			d.Away(now)\n		}\n", ""),
+		entries("evacuation.go", "end an evacuation that the store lost", "	if e.forget(now, domain, asOf) {\n", "	if false {\n"),
+		entries("evacuation.go", "keep a lost evacuation forever", "known.forgotten && now-known.forgottenAt >= forgottenKept", "false"),
+		host("keyview.go", "take an earlier record as the newest", "if v.forgotten && record.OlderThan(v.record) {", "if false {"),
+		host("era.go", "do not write a lost record again", "	c.machine.Forgotten(era)\n", ""),
+		breaking("gateway", "RelayTellsNo")("relay.go", "send changes since a revision of an earlier era", "if revision.Era(after) < revision.Era(known.revision) {", "if false {"),
+		host("follow.go", "list from a host that is in an earlier era", "revision.Era(listing.Revision) < g.era.Load()", "false"),
 	}
 }
