--- a/gateway/assignment_bench_test.go
+++ b/gateway/assignment_bench_test.go
@@ -37,26 +37,26 @@
 	object := func(version int) objects.Object {
 		return objects.Object{Kind: Assignments, Name: "s", Revision: uint64(version), Spec: largeRecord(version)}
 	}
-	source := &relay{}
-	source.note(Assignments, objects.Listing{Revision: 1, Objects: []objects.Object{object(1)}}, true)
+	source := &relayCache{}
+	source.update(Assignments, objects.Listing{Revision: 1, Objects: []objects.Object{object(1)}}, true)
 	g := New(Identity{}, Platform{}, logs.Discard())
-	g.relay.note(Assignments, objects.Listing{Revision: 1, Objects: []objects.Object{object(1)}}, true)
-	made := &deltas{}
+	g.relay.update(Assignments, objects.Listing{Revision: 1, Objects: []objects.Object{object(1)}}, true)
+	made := &deltaCache{}
 	version := 1
 	for b.Loop() {
 		b.StopTimer()
 		version++
-		source.note(Assignments, objects.Listing{Revision: uint64(version), Objects: []objects.Object{object(version)}}, false)
-		changed, _, _ := source.since(Assignments, uint64(version-1))
-		answer := made.shorten(source, Assignments, changed, uint64(version-1))
+		source.update(Assignments, objects.Listing{Revision: uint64(version), Objects: []objects.Object{object(version)}}, false)
+		changed, _, _ := source.changesSince(Assignments, uint64(version-1))
+		answer := made.encode(source, Assignments, changed, uint64(version-1))
 		b.StartTimer()
-		listing, err := g.unfold(context.Background(), Assignments, answer)
+		listing, err := g.expandDeltas(context.Background(), Assignments, answer)
 		if err != nil {
 			b.Fatal(err)
 		}
 		for _, each := range listing.Objects {
-			g.takeAssignment(each)
+			g.applyAssignment(each)
 		}
-		g.relay.note(Assignments, listing, false)
+		g.relay.update(Assignments, listing, false)
 	}
 }
--- a/gateway/calls.go
+++ b/gateway/calls.go
@@ -184,14 +184,14 @@
 	c.writing = false
 	var conflict *objects.ConflictError
 	if errors.As(e.err, &conflict) {
-		if g.restore(c, conflict.Current, now) {
+		if g.rewriteLostAssignment(c, conflict.Current, now) {
 			return
 		}
-		g.takeAssignment(conflict.Current)
+		g.applyAssignment(conflict.Current)
 		g.stepDown(c, "a write met another record", "")
 		return
 	}
-	if errors.Is(e.err, objects.ErrNotFound) && g.restore(c, objects.Object{}, now) {
+	if errors.Is(e.err, objects.ErrNotFound) && g.rewriteLostAssignment(c, objects.Object{}, now) {
 		return
 	}
 	if e.err != nil {
@@ -233,7 +233,7 @@
 		return
 	}
 	c.reading = false
-	if (e.err == nil || errors.Is(e.err, objects.ErrNotFound)) && g.restore(c, e.object, now) {
+	if (e.err == nil || errors.Is(e.err, objects.ErrNotFound)) && g.rewriteLostAssignment(c, e.object, now) {
 		return
 	}
 	if e.err != nil {
@@ -246,12 +246,12 @@
 		return
 	}
 	if !g.own(&stored) {
-		g.takeAssignment(e.object)
+		g.applyAssignment(e.object)
 		g.stepDown(c, "another controller took over", stored.Controller.Host)
 		return
 	}
 	c.machine.Confirm(e.began)
-	g.fresh.confirm(e.asked)
+	g.fresh.noteRoleConfirmed(e.asked)
 }
 
 // claimEnded is the end of an attempt to become the controller.
@@ -281,7 +281,7 @@
 	c.heard = now
 	var conflict *objects.ConflictError
 	if errors.As(e.err, &conflict) {
-		g.takeAssignment(conflict.Current)
+		g.applyAssignment(conflict.Current)
 		return
 	}
 	c.absent = errors.Is(e.err, objects.ErrNotFound)
--- a/gateway/control.go
+++ b/gateway/control.go
@@ -176,7 +176,7 @@
 func (g *Gateway) stepControl(ctx context.Context) {
 	g.expireServers()
 	g.checkLeaving(ctx, g.boot.Now())
-	g.fresh.tend(g.now(), g.controls())
+	g.fresh.setControlling(g.now(), g.controls())
 	if g.stop.stopping() {
 		g.resignAll(ctx)
 		return
@@ -274,7 +274,7 @@
 
 // wantClaim claims once the claim has seemed due for the delay.
 func (g *Gateway) wantClaim(ctx context.Context, c *controller, now time.Duration, record *keyspace.Record, revision uint64, delay time.Duration) {
-	if g.reach.isAway() {
+	if g.reach.isUnavailable() {
 		// The claim would fail like the last call did. When the store is back,
 		// its controller has the time of the delay to show that it lives.
 		c.wanted = 0
@@ -309,7 +309,7 @@
 // keys yet. Servers take seconds to register, and thousands of hosts that each read all
 // entries meanwhile would keep the store's link busy for longer than that.
 func (g *Gateway) claimFirst(ctx context.Context, c *controller, now time.Duration) {
-	if now-c.firstAt < g.claimDelay(c, 0) || g.reach.isAway() || !g.mayClaim() {
+	if now-c.firstAt < g.claimDelay(c, 0) || g.reach.isUnavailable() || !g.mayClaim() {
 		return
 	}
 	record := keyspace.FirstUnassigned(g.self(), g.era.Load())
@@ -414,7 +414,7 @@
 // watch that the store has forgotten brings nothing, and the other hosts, who
 // learn of assignments through this one, would go on sending to old owners.
 func (g *Gateway) hearOwnWrites(c *controller, now time.Duration) {
-	if now-c.written < ownWriteWait || !g.fresh.recheck(Assignments, c.revision) {
+	if now-c.written < ownWriteWait || !g.fresh.cancelIfBehind(Assignments, c.revision) {
 		return
 	}
 	g.log.Warn("own write not heard of; watching anew", "service", c.service.name, "revision", c.revision)
--- a/gateway/deltas.go
+++ b/gateway/deltas.go
@@ -18,21 +18,21 @@
 // servers, moving keys takes 0.2 to 2 KB per host instead of 15 KB.
 
 const (
-	// longDocument is the size in bytes from which on a document is sent as a delta.
-	longDocument = 1 << 10
-	// longAnswer is the size in bytes from which on a document or delta is not sent: the receiver
+	// minDeltaDocument is the size in bytes from which on a document is sent as a delta.
+	minDeltaDocument = 1 << 10
+	// maxDocumentSmallHost is the size in bytes from which on a document or delta is not sent: the receiver
 	// reads the document from the store. A small controller that sent a configuration of 1,400
 	// routes to 75 other hosts kept its link and processor busy for seconds, in which these
 	// missed changes. Large hosts send what fits in a body.
-	longAnswer      = 64 << 10
-	largeLongAnswer = mostPeerBody / 2
-	// mostDeltas bounds the cached deltas: nearly all hosts have the version before the last
+	maxDocumentSmallHost = 64 << 10
+	maxDocumentLargeHost = mostPeerBody / 2
+	// maxCachedDeltas bounds the cached deltas: nearly all hosts have the version before the last
 	// and ask for the same delta.
-	mostDeltas = 8
+	maxCachedDeltas = 8
 )
 
-// watchAnswer holds changes of a kind.
-type watchAnswer struct {
+// watchResponse holds changes of a kind.
+type watchResponse struct {
 	objects.Listing
 	// Deltas replace documents that the receiver has an earlier version of.
 	Deltas []documentDelta `json:"deltas,omitempty"`
@@ -40,21 +40,21 @@
 	InStore []string `json:"inStore,omitempty"`
 }
 
-// watchAnswerWire is the JSON form of a watchAnswer.
-type watchAnswerWire struct {
+// watchResponseWire is the JSON form of a watchAnswer.
+type watchResponseWire struct {
 	columns
 	Deltas  []documentDelta `json:"deltas,omitempty"`
 	InStore []string        `json:"inStore,omitempty"`
 }
 
 // MarshalJSON implements json.Marshaler.
-func (a watchAnswer) MarshalJSON() ([]byte, error) {
-	return json.Marshal(watchAnswerWire{columns: columnsOf(a.Listing), Deltas: a.Deltas, InStore: a.InStore})
+func (a watchResponse) MarshalJSON() ([]byte, error) {
+	return json.Marshal(watchResponseWire{columns: columnsOf(a.Listing), Deltas: a.Deltas, InStore: a.InStore})
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (a *watchAnswer) UnmarshalJSON(data []byte) error {
-	var wire watchAnswerWire
+func (a *watchResponse) UnmarshalJSON(data []byte) error {
+	var wire watchResponseWire
 	err := json.Unmarshal(data, &wire)
 	if err == nil {
 		a.Listing, err = wire.listing()
@@ -72,23 +72,23 @@
 	Delta    *delta.Delta `json:"delta"`
 }
 
-// unfitError reports a delta to a version that this host does not have, or a document that it
+// documentError reports a delta to a version that this host does not have, or a document that it
 // could not read from the store.
-type unfitError struct {
+type documentError struct {
 	Name        string
 	Base, Known uint64
 	Cause       error
 }
 
 // Error implements error.
-func (e *unfitError) Error() string {
+func (e *documentError) Error() string {
 	return fmt.Sprintf("document %s not available (delta base revision %d, known revision %d): %v", e.Name, e.Base, e.Known, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *unfitError) Unwrap() error { return e.Cause }
+func (e *documentError) Unwrap() error { return e.Cause }
 
-var errOtherBase = errors.New("delta applies to another version than the known one")
+var errBaseMismatch = errors.New("delta applies to another version than the known one")
 
 // deltaKey identifies a delta.
 type deltaKey struct {
@@ -96,44 +96,44 @@
 	base, revision uint64
 }
 
-// madeDelta is a delta with the length of its JSON form in bytes.
-type madeDelta struct {
-	delta *delta.Delta
-	bytes int
+// cachedDelta is a delta with the length of its JSON form in bytes.
+type cachedDelta struct {
+	delta        *delta.Delta
+	encodedBytes int
 }
 
-// deltas makes deltas for other hosts and caches them, so that each is made once.
-type deltas struct {
-	// long is the size in bytes from which on a host has to read a document from the store.
-	long int
-	mu   sync.Mutex
-	made map[deltaKey]madeDelta
+// deltaCache makes deltas for other hosts and caches them, so that each is made once.
+type deltaCache struct {
+	// maxDocument is the size in bytes from which on a host has to read a document from the store.
+	maxDocument int
+	mu          sync.Mutex
+	cached      map[deltaKey]cachedDelta
 }
 
-func newDeltas(identity Identity) deltas {
+func newDeltaCache(identity Identity) deltaCache {
 	if identity.Small {
-		return deltas{long: longAnswer}
+		return deltaCache{maxDocument: maxDocumentSmallHost}
 	}
-	return deltas{long: largeLongAnswer}
+	return deltaCache{maxDocument: maxDocumentLargeHost}
 }
 
-// shorten returns the answer for a host that knows the kind up to a revision. Deltas replace
+// encode returns the answer for a host that knows the kind up to a revision. Deltas replace
 // the large documents of which the host has an earlier version.
-func (d *deltas) shorten(relay *relay, kind string, listing objects.Listing, known uint64) *watchAnswer {
-	answer := &watchAnswer{Listing: objects.Listing{Revision: listing.Revision}}
+func (d *deltaCache) encode(relay *relayCache, kind string, listing objects.Listing, known uint64) *watchResponse {
+	answer := &watchResponse{Listing: objects.Listing{Revision: listing.Revision}}
 	for _, object := range listing.Objects {
-		if object.Deleted || len(object.Spec) < longDocument {
+		if object.Deleted || len(object.Spec) < minDeltaDocument {
 			answer.Objects = append(answer.Objects, object)
 			continue
 		}
 		base, ok := relay.versionAt(kind, object.Name, known)
 		if !ok {
-			answer.whole(object, d.long)
+			answer.addWhole(object, d.maxDocument)
 			continue
 		}
 		made := d.get(kind, base, object)
-		if made.bytes >= min(d.long, len(object.Spec)) {
-			answer.whole(object, d.long)
+		if made.encodedBytes >= min(d.maxDocument, len(object.Spec)) {
+			answer.addWhole(object, d.maxDocument)
 			continue
 		}
 		answer.Deltas = append(answer.Deltas, documentDelta{Name: object.Name, Base: base.Revision, Revision: object.Revision, Delta: made.delta})
@@ -141,8 +141,8 @@
 	return answer
 }
 
-// whole adds a whole document, or only its name if it is too large to send.
-func (a *watchAnswer) whole(object objects.Object, long int) {
+// addWhole adds a whole document, or only its name if it is too large to send.
+func (a *watchResponse) addWhole(object objects.Object, long int) {
 	if len(object.Spec) >= long {
 		a.InStore = append(a.InStore, object.Name)
 		return
@@ -151,44 +151,44 @@
 }
 
 // get returns the delta between two versions of an object.
-func (d *deltas) get(kind string, base, object objects.Object) madeDelta {
+func (d *deltaCache) get(kind string, base, object objects.Object) cachedDelta {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	key := deltaKey{kind: kind, name: object.Name, base: base.Revision, revision: object.Revision}
-	if made, known := d.made[key]; known {
+	if made, known := d.cached[key]; known {
 		return made
 	}
-	if d.made == nil || len(d.made) >= mostDeltas {
-		d.made = map[deltaKey]madeDelta{}
+	if d.cached == nil || len(d.cached) >= maxCachedDeltas {
+		d.cached = map[deltaKey]cachedDelta{}
 	}
-	made := madeDelta{delta: delta.Make(base.Spec, object.Spec), bytes: math.MaxInt}
+	made := cachedDelta{delta: delta.Make(base.Spec, object.Spec), encodedBytes: math.MaxInt}
 	if encoded, err := json.Marshal(made.delta); err == nil {
-		made.bytes = len(encoded)
+		made.encodedBytes = len(encoded)
 	}
-	d.made[key] = made
+	d.cached[key] = made
 	return made
 }
 
-// unfold applies an answer's deltas, reads the documents it only names from the store, and
+// expandDeltas applies an answer's deltas, reads the documents it only names from the store, and
 // returns the changes with whole documents. It fails with an *unfitError if that is impossible
 // for one of them.
-func (g *Gateway) unfold(ctx context.Context, kind string, answer *watchAnswer) (objects.Listing, error) {
+func (g *Gateway) expandDeltas(ctx context.Context, kind string, answer *watchResponse) (objects.Listing, error) {
 	listing := answer.Listing
 	for _, each := range answer.Deltas {
 		base, _ := g.relay.versionAt(kind, each.Name, math.MaxUint64)
 		if base.Revision != each.Base || each.Delta == nil {
-			return objects.Listing{}, &unfitError{Name: each.Name, Base: each.Base, Known: base.Revision, Cause: errOtherBase}
+			return objects.Listing{}, &documentError{Name: each.Name, Base: each.Base, Known: base.Revision, Cause: errBaseMismatch}
 		}
 		spec, err := each.Delta.Apply(base.Spec)
 		if err != nil {
-			return objects.Listing{}, &unfitError{Name: each.Name, Base: each.Base, Known: base.Revision, Cause: err}
+			return objects.Listing{}, &documentError{Name: each.Name, Base: each.Base, Known: base.Revision, Cause: err}
 		}
 		listing.Objects = append(listing.Objects, objects.Object{Kind: kind, Name: each.Name, Revision: each.Revision, Spec: spec})
 	}
 	for _, name := range answer.InStore {
 		object, err := g.store.Get(ctx, kind, name)
 		if err != nil {
-			return objects.Listing{}, &unfitError{Name: name, Cause: err}
+			return objects.Listing{}, &documentError{Name: name, Cause: err}
 		}
 		listing.Objects = append(listing.Objects, canonicalObject(object))
 	}
--- a/gateway/deltas_test.go
+++ b/gateway/deltas_test.go
@@ -36,21 +36,21 @@
 	return objects.Object{Kind: "documents", Name: "d", Revision: revision, Spec: spec}
 }
 
-// versions returns a relay that has read three versions of a document.
-func versions(routes int) *relay {
-	r := &relay{}
-	r.note("documents", canonical(objects.Listing{Revision: 5, Objects: []objects.Object{stored(4, document(routes, 0))}}), true)
-	r.note("documents", canonical(objects.Listing{Revision: 7, Objects: []objects.Object{stored(7, document(routes, 1))}}), false)
-	r.note("documents", canonical(objects.Listing{Revision: 9, Objects: []objects.Object{stored(9, document(routes, 2))}}), false)
+// relayWithVersions returns a relay that has read three versions of a document.
+func relayWithVersions(routes int) *relayCache {
+	r := &relayCache{}
+	r.update("documents", canonicalListing(objects.Listing{Revision: 5, Objects: []objects.Object{stored(4, document(routes, 0))}}), true)
+	r.update("documents", canonicalListing(objects.Listing{Revision: 7, Objects: []objects.Object{stored(7, document(routes, 1))}}), false)
+	r.update("documents", canonicalListing(objects.Listing{Revision: 9, Objects: []objects.Object{stored(9, document(routes, 2))}}), false)
 	return r
 }
 
-// sent encodes and decodes an answer, as if it had been sent to another host.
-func sent(t *testing.T, answer *watchAnswer) *watchAnswer {
+// roundTrip encodes and decodes an answer, as if it had been sent to another host.
+func roundTrip(t *testing.T, answer *watchResponse) *watchResponse {
 	t.Helper()
 	encoded, err := json.Marshal(answer)
 	assert.NilError(t, err)
-	var got watchAnswer
+	var got watchResponse
 	assert.NilError(t, json.Unmarshal(encoded, &got))
 	return &got
 }
@@ -58,7 +58,7 @@
 // hostKnowing returns a host that has listed one version of a document from the store.
 func hostKnowing(object objects.Object, store objects.Store) *Gateway {
 	g := New(Identity{}, Platform{Store: store}, logs.Discard())
-	g.relay.note("documents", canonical(objects.Listing{Revision: object.Revision, Objects: []objects.Object{object}}), true)
+	g.relay.update("documents", canonicalListing(objects.Listing{Revision: object.Revision, Objects: []objects.Object{object}}), true)
 	return g
 }
 
@@ -74,16 +74,16 @@
 // document as a host that is sent the whole.
 func TestLongDocumentsTravelAsDeltas(t *testing.T) {
 	const routes = 200
-	r := versions(routes)
+	r := relayWithVersions(routes)
 	for _, known := range []uint64{5, 6, 7, 8} {
 		base, ok := r.versionAt("documents", "d", known)
 		assert.Assert(t, ok)
-		listing, _, ok := r.since("documents", known)
+		listing, _, ok := r.changesSince("documents", known)
 		assert.Assert(t, ok)
-		answer := sent(t, (&deltas{long: longAnswer}).shorten(r, "documents", listing, known))
+		answer := roundTrip(t, (&deltaCache{maxDocument: maxDocumentSmallHost}).encode(r, "documents", listing, known))
 		assert.Equal(t, len(answer.Objects), 0)
 		host := hostKnowing(stored(base.Revision, document(routes, int(base.Revision)/7)), nil)
-		got, err := host.unfold(context.Background(), "documents", answer)
+		got, err := host.expandDeltas(context.Background(), "documents", answer)
 		assert.NilError(t, err)
 		assert.Equal(t, got.Objects[0].Revision, uint64(9))
 		sameJSON(t, got.Objects[0].Spec, document(routes, 2))
@@ -91,18 +91,18 @@
 	_, ok := r.versionAt("documents", "d", 3)
 	assert.Assert(t, !ok)
 	listing := objects.Listing{Objects: []objects.Object{stored(9, document(routes, 2))}}
-	assert.Equal(t, len((&deltas{long: longAnswer}).shorten(r, "documents", listing, 3).Objects), 1, "a host without any version is sent the whole document")
+	assert.Equal(t, len((&deltaCache{maxDocument: maxDocumentSmallHost}).encode(r, "documents", listing, 3).Objects), 1, "a host without any version is sent the whole document")
 }
 
 // Guards against a host that permanently sends keys to servers that do not own them. It reads
 // one version from the store while the controller sends a delta to another; the delta must not
 // be applied to the wrong version.
 func TestDeltaOfAVersionThatTheHostDoesNotHave(t *testing.T) {
-	r := versions(200)
-	listing, _, _ := r.since("documents", 5)
-	answer := sent(t, (&deltas{long: longAnswer}).shorten(r, "documents", listing, 5))
-	_, err := hostKnowing(stored(7, document(200, 1)), nil).unfold(context.Background(), "documents", answer)
-	var unfit *unfitError
+	r := relayWithVersions(200)
+	listing, _, _ := r.changesSince("documents", 5)
+	answer := roundTrip(t, (&deltaCache{maxDocument: maxDocumentSmallHost}).encode(r, "documents", listing, 5))
+	_, err := hostKnowing(stored(7, document(200, 1)), nil).expandDeltas(context.Background(), "documents", answer)
+	var unfit *documentError
 	assert.Assert(t, errors.As(err, &unfit))
 	assert.Equal(t, unfit.Known, uint64(7))
 }
@@ -113,41 +113,41 @@
 // of no change.
 func TestVeryLongDocumentsAreReadInTheStore(t *testing.T) {
 	const routes = 5000
-	r := &relay{}
-	r.note("documents", canonical(objects.Listing{Revision: 5, Objects: []objects.Object{stored(4, document(200, 0))}}), true)
-	r.note("documents", canonical(objects.Listing{Revision: 9, Objects: []objects.Object{stored(9, document(routes, 0))}}), false)
-	listing, _, _ := r.since("documents", 5)
-	answer := sent(t, (&deltas{long: longAnswer}).shorten(r, "documents", listing, 5))
+	r := &relayCache{}
+	r.update("documents", canonicalListing(objects.Listing{Revision: 5, Objects: []objects.Object{stored(4, document(200, 0))}}), true)
+	r.update("documents", canonicalListing(objects.Listing{Revision: 9, Objects: []objects.Object{stored(9, document(routes, 0))}}), false)
+	listing, _, _ := r.changesSince("documents", 5)
+	answer := roundTrip(t, (&deltaCache{maxDocument: maxDocumentSmallHost}).encode(r, "documents", listing, 5))
 	assert.DeepEqual(t, answer.InStore, []string{"d"})
 	assert.Equal(t, len(answer.Objects)+len(answer.Deltas), 0)
 
 	store := memobjects.New()
 	_, err := store.Put(context.Background(), objects.Object{Kind: "documents", Name: "d", Spec: document(routes, 0)})
 	assert.NilError(t, err)
-	got, err := hostKnowing(stored(4, document(200, 0)), store).unfold(context.Background(), "documents", answer)
+	got, err := hostKnowing(stored(4, document(200, 0)), store).expandDeltas(context.Background(), "documents", answer)
 	assert.NilError(t, err)
 	sameJSON(t, got.Objects[0].Spec, document(routes, 0))
 
 	// A host that can't read it from the store gets an error, and then requests it whole.
 	empty := hostKnowing(stored(4, document(200, 0)), memobjects.New())
-	_, err = empty.unfold(context.Background(), "documents", answer)
-	var unfit *unfitError
+	_, err = empty.expandDeltas(context.Background(), "documents", answer)
+	var unfit *documentError
 	assert.Assert(t, errors.As(err, &unfit))
 }
 
 // The versions kept for hosts that are behind are bounded in bytes, and the last version of
 // each large document is always kept.
 func TestKeptChangesAreBounded(t *testing.T) {
-	r := &relay{}
-	r.note("documents", objects.Listing{Revision: 1}, true)
+	r := &relayCache{}
+	r.update("documents", objects.Listing{Revision: 1}, true)
 	for revision := uint64(2); revision < 40; revision++ {
-		r.note("documents", canonical(objects.Listing{Revision: revision, Objects: []objects.Object{stored(revision, document(1400, int(revision)))}}), false)
+		r.update("documents", canonicalListing(objects.Listing{Revision: revision, Objects: []objects.Object{stored(revision, document(1400, int(revision)))}}), false)
 	}
 	size := 0
-	for _, change := range r.kind("documents").kept {
+	for _, change := range r.kind("documents").documentChanges {
 		size += change.bytes()
 	}
-	assert.Assert(t, size <= relayBytes)
+	assert.Assert(t, size <= maxDocumentChangeBytes)
 	last, ok := r.versionAt("documents", "d", 39)
 	assert.Assert(t, ok)
 	assert.Equal(t, last.Revision, uint64(39))
--- a/gateway/entries_bench_test.go
+++ b/gateway/entries_bench_test.go
@@ -16,7 +16,7 @@
 	var batches [][]byte
 	source := New(Identity{}, Platform{Registry: platform.Registry{}}, logs.Discard())
 	for from := 0; from < servers; from += batch {
-		encoded, err := json.Marshal(watchAnswer{Listing: source.asPassedOn("servers", entries(from, from+batch))})
+		encoded, err := json.Marshal(watchResponse{Listing: source.peerListing("servers", serverEntries(from, from+batch))})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -26,17 +26,17 @@
 		g := New(Identity{Host: "h", Domain: "a"}, Platform{Registry: platform.Registry{}}, logs.Discard())
 		g.services["s"] = g.newService("s", true)
 		reader := &entryReader{gateway: g, reported: map[string]uint64{}}
-		g.relay.note("servers", objects.Listing{}, true)
+		g.relay.update("servers", objects.Listing{}, true)
 		for _, encoded := range batches {
-			var answer watchAnswer
+			var answer watchResponse
 			if err := json.Unmarshal(encoded, &answer); err != nil {
 				b.Fatal(err)
 			}
 			for _, object := range answer.Objects {
-				g.changeServer(reader, object)
+				g.applyServerChange(reader, object)
 			}
 			g.directoryChanged()
-			g.relay.note("servers", answer.Listing, false)
+			g.relay.update("servers", answer.Listing, false)
 		}
 	}
 	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*servers), "us/entry")
--- a/gateway/era_test.go
+++ b/gateway/era_test.go
@@ -13,10 +13,10 @@
 	"cicadarouter/platform/platformtest"
 )
 
-// drill makes a backup of the store, calls lose, and restores the store from the backup after
+// restoreFromBackup makes a backup of the store, calls lose, and restores the store from the backup after
 // an outage, so that what lose wrote is lost. Calling again repeats those writes of operators
 // and servers.
-func (s *site) drill(lose func()) (again func()) {
+func (s *site) restoreFromBackup(lose func()) (again func()) {
 	s.t.Helper()
 	s.store.Copy()
 	lose()
@@ -29,9 +29,9 @@
 	}
 }
 
-// write makes a number of changes that are not repeated after the store is restored, so that
+// advanceRevisions makes a number of changes that are not repeated after the store is restored, so that
 // its revisions are far ahead of the backup's.
-func (s *site) write(changes int) {
+func (s *site) advanceRevisions(changes int) {
 	s.t.Helper()
 	for i := range changes {
 		s.put("others", fmt.Sprint(i), "{}")
@@ -41,15 +41,15 @@
 	s.configure(4, "")
 }
 
-// route is another route of a configuration.
-const route = `,{"name":"new","path-prefix":"/new/","kind":"safe","timeout":"5000ms","target-latency":"1000ms","priority":1,"service":"free","max-attempts":2}`
+// extraRoute is another route of a configuration.
+const extraRoute = `,{"name":"new","path-prefix":"/new/","kind":"safe","timeout":"5000ms","target-latency":"1000ms","priority":1,"service":"free","max-attempts":2}`
 
 // Guards against hosts that take the revisions of a store restored from a backup for older
 // ones than they know, and so ignore a new configuration or a leaving server.
-func TestHostsHearAStoreThatCameBackFromACopy(t *testing.T) {
+func TestHostsFollowRestoredStore(t *testing.T) {
 	s := limitSite(t, 3)
-	s.drill(func() { s.write(60) })()
-	s.configure(5, route)
+	s.restoreFromBackup(func() { s.advanceRevisions(60) })()
+	s.configure(5, extraRoute)
 	for _, h := range s.hosts {
 		s.eventually("a host has the configuration written after the restore", func() bool {
 			return s.call(h, http.MethodGet, "/new/x", "", "").status == http.StatusOK
@@ -57,12 +57,12 @@
 	}
 	s.register("f1", "free", s.addresses["f1"], "draining")
 	s.register("k1", "owned", s.addresses["k1"], "draining")
-	s.unused("f1", "/free/x")
-	s.unused("k1", "/keyed/x")
+	s.waitUnused("f1", "/free/x")
+	s.waitUnused("k1", "/keyed/x")
 }
 
-// unused waits until requests no longer reach a server.
-func (s *site) unused(id, path string) {
+// waitUnused waits until requests no longer reach a server.
+func (s *site) waitUnused(id, path string) {
 	s.t.Helper()
 	s.eventually("no request reaches "+id, func() bool {
 		before := len(s.servers[id].Runs())
@@ -75,14 +75,14 @@
 
 // Guards against a leaving server that is used again because the restored store does not hold
 // its entry that says so.
-func TestServerLeavesThoughTheStoreForgetsIt(t *testing.T) {
+func TestLeavingServerStaysUnusedAfterStoreRestore(t *testing.T) {
 	s := limitSite(t, 2)
 	var left int
-	again := s.drill(func() {
+	again := s.restoreFromBackup(func() {
 		s.register("f1", "free", s.addresses["f1"], "draining")
 		s.register("k1", "owned", s.addresses["k1"], "draining")
-		s.unused("f1", "/free/x")
-		s.unused("k1", "/keyed/x")
+		s.waitUnused("f1", "/free/x")
+		s.waitUnused("k1", "/keyed/x")
 		left = len(s.servers["f1"].Runs()) + len(s.servers["k1"].Runs())
 	})
 	s.play(limitedLoad{path: "/free/", callers: 4, length: time.Second})
@@ -94,7 +94,7 @@
 
 // Guards against the loss of assignments that the restored store does not hold: two servers
 // could hold a key, a token could be issued twice, or requests could be rejected.
-func TestOwnersOfKeysOutlastAStoreThatForgetsThem(t *testing.T) {
+func TestAssignmentsSurviveStoreRestore(t *testing.T) {
 	for name, play := range map[string]struct{ controllerLost bool }{
 		"the controller goes on":                 {},
 		"the controller is lost with the record": {controllerLost: true},
@@ -102,10 +102,10 @@
 		t.Run(name, func(t *testing.T) {
 			s := limitSite(t, 3)
 			before, _ := s.record()
-			again := s.drill(func() {
+			again := s.restoreFromBackup(func() {
 				s.serve("k4", "owned", true)
 				s.register("k1", "owned", s.addresses["k1"], "draining")
-				s.unused("k1", "/keyed/x")
+				s.waitUnused("k1", "/keyed/x")
 				s.eventually("the new server owns keys", func() bool {
 					s.play(limitedLoad{path: "/keyed/", callers: 4, length: 200 * time.Millisecond})
 					return len(s.servers["k4"].Runs()) > 0
--- a/gateway/evacuations.go
+++ b/gateway/evacuations.go
@@ -9,7 +9,7 @@
 // followEvacuations follows the operators' requests that a failure domain's servers
 // get nothing.
 func (g *Gateway) followEvacuations(ctx context.Context) {
-	g.follow(ctx, follower{kind: g.registry.Evacuations(), replace: g.replaceEvacuations, change: g.changeEvacuations, away: func(error) {}})
+	g.follow(ctx, follower{kind: g.registry.Evacuations(), onListing: g.replaceEvacuations, onChanges: g.changeEvacuations, onError: func(error) {}})
 }
 
 // replaceEvacuations takes all that are asked for.
@@ -72,6 +72,6 @@
 	g.directory.TouchAll()
 	g.mu.Unlock()
 	g.log.Info("evacuations changed", "revision", listing.Revision, "domains", changed, "evacuated", evacuated,
-		"store-age-ms", g.fresh.ageNow(g.now()).Milliseconds())
+		"store-age-ms", g.fresh.currentAge(g.now()).Milliseconds())
 	g.directoryChanged()
 }
--- a/gateway/firstservers.go
+++ b/gateway/firstservers.go
@@ -14,87 +14,87 @@
 // a host that starts lists them from a host that already has them.
 
 const (
-	// hostsWait is how long a host waits for another one that has the servers: while the whole
+	// peerListWait is how long a host waits for another one that has the servers: while the whole
 	// system starts for the first time, a host that has claimed control; after the loss of all
 	// hosts, a relay that has read them.
-	hostsWait = 3 * time.Second
+	peerListWait = 3 * time.Second
 	// assignmentsWait is how long a starting host waits until it has read the assignments,
 	// which name the relays, or the store has refused to list them.
 	assignmentsWait = 5 * time.Second
-	// storeSpread is the time per host over which hosts that get no list from others spread
+	// storeReadSpacing is the time per host over which hosts that get no list from others spread
 	// their reads of the store.
-	storeSpread = 5 * time.Millisecond
-	// sourceLook is the interval at which a starting host checks whether it has read the
+	storeReadSpacing = 5 * time.Millisecond
+	// sourcePollInterval is the interval at which a starting host checks whether it has read the
 	// assignments and whether there is another host to list from.
-	sourceLook = 20 * time.Millisecond
-	// sourceRetry is the pause after a host that could not list the servers.
-	sourceRetry = 200 * time.Millisecond
+	sourcePollInterval = 20 * time.Millisecond
+	// sourceRetryDelay is the pause after a host that could not list the servers.
+	sourceRetryDelay = 200 * time.Millisecond
 )
 
-var errOldList = errors.New("the host's view of the store is too old")
+var errStaleList = errors.New("the host's view of the store is too old")
 
-// firstServers lists the servers from another host after the start of the process. ok is false
+// listServersAtStartup lists the servers from another host after the start of the process. ok is false
 // if they have to be read from the store.
-func (g *Gateway) firstServers(ctx context.Context) (listing objects.Listing, ok bool) {
-	if !g.asksHosts(ctx) {
+func (g *Gateway) listServersAtStartup(ctx context.Context) (listing objects.Listing, ok bool) {
+	if !g.listsServersFromPeers(ctx) {
 		return objects.Listing{}, false
 	}
-	until := g.now() + hostsWait + g.storeTurn()
-	for g.now() < until && ctx.Err() == nil && !g.fresh.leading() {
-		source := g.firstSource()
+	until := g.now() + peerListWait + g.storeReadDelay()
+	for g.now() < until && ctx.Err() == nil && !g.fresh.isController() {
+		source := g.startupServerSource()
 		if source == "" {
-			clock.Sleep(ctx, sourceLook)
+			clock.Sleep(ctx, sourcePollInterval)
 			continue
 		}
-		listing, err := g.serversOf(ctx, source)
+		listing, err := g.listServersFrom(ctx, source)
 		if err == nil {
 			return listing, true
 		}
-		g.sources.pass(source)
+		g.sources.skip(source)
 		g.log.Info("host did not list the servers", "source", source, "error", err.Error())
-		clock.Sleep(ctx, sourceRetry)
+		clock.Sleep(ctx, sourceRetryDelay)
 	}
 	return objects.Listing{}, false
 }
 
-// storeTurn returns how long this host delays its read of the store after it got no list from
+// storeReadDelay returns how long this host delays its read of the store after it got no list from
 // others, so that the hosts' reads are spread.
-func (g *Gateway) storeTurn() time.Duration {
-	return turnWithin(time.Duration(g.sources.hostsNamed())*storeSpread, g.identity.Host)
+func (g *Gateway) storeReadDelay() time.Duration {
+	return turnWithin(time.Duration(g.sources.hostCount())*storeReadSpacing, g.identity.Host)
 }
 
-// asksHosts reports whether to list the servers from other hosts. While the whole system
+// listsServersFromPeers reports whether to list the servers from other hosts. While the whole system
 // starts for the first time nobody knows yet how many hosts there are, so all but the
 // controller do.
-func (g *Gateway) asksHosts(ctx context.Context) bool {
+func (g *Gateway) listsServersFromPeers(ctx context.Context) bool {
 	if g.identity.FirstStart {
 		return true
 	}
 	until := g.now() + assignmentsWait
 	for !g.control.listed.Load() && !g.control.refused.Load() && g.now() < until && ctx.Err() == nil {
-		clock.Sleep(ctx, sourceLook)
+		clock.Sleep(ctx, sourcePollInterval)
 	}
-	return g.sources.asksHosts()
+	return g.sources.listsFromHosts()
 }
 
-// firstSource returns a host that may have the servers; empty if there is none yet. While the
+// startupServerSource returns a host that may have the servers; empty if there is none yet. While the
 // whole system starts for the first time, the relays list them from the controller.
-func (g *Gateway) firstSource() string {
+func (g *Gateway) startupServerSource() string {
 	switch {
 	case !g.identity.FirstStart:
 		return g.sources.current()
-	case !g.fresh.vouchedOnce():
+	case !g.fresh.sourceTried():
 		return ""
 	}
 	return g.sources.upstream(g.sources.controllerAddress())
 }
 
-// serversOf lists the servers from a host. It fails if that host's view of the store is too
+// listServersFrom lists the servers from a host. It fails if that host's view of the store is too
 // old.
-func (g *Gateway) serversOf(ctx context.Context, source string) (objects.Listing, error) {
-	listing, age, err := g.relayedList(ctx, source, g.registry.Servers())
-	if err == nil && age >= g.fresh.vouchedFor() {
-		err = errOldList
+func (g *Gateway) listServersFrom(ctx context.Context, source string) (objects.Listing, error) {
+	listing, age, err := g.listFromPeer(ctx, source, g.registry.Servers())
+	if err == nil && age >= g.fresh.validFor() {
+		err = errStaleList
 	}
 	return listing, err
 }
--- a/gateway/firststart_test.go
+++ b/gateway/firststart_test.go
@@ -12,14 +12,14 @@
 	"cicadarouter/platform/platformtest"
 )
 
-// entryReads is a proxy to the store that counts a host's reads of servers' entries.
-type entryReads struct {
+// entryReadProxy is a proxy to the store that counts a host's reads of servers' entries.
+type entryReadProxy struct {
 	store *platformtest.Store
 	calls atomic.Int64
 }
 
 // ServeHTTP implements http.Handler.
-func (e *entryReads) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *entryReadProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if strings.HasSuffix(r.URL.Path, "/servers") {
 		e.calls.Add(1)
 	}
@@ -34,9 +34,9 @@
 	s.configure(1, "")
 	s.serve("owned-1", "owned", true)
 	s.serve("free-1", "free", false)
-	var reads []*entryReads
+	var reads []*entryReadProxy
 	for i := range hosts {
-		front := &entryReads{store: s.store}
+		front := &entryReadProxy{store: s.store}
 		reads = append(reads, front)
 		s.start(hostSetup{name: fmt.Sprintf("h%d", i), store: s.listen(front), firstStart: true})
 	}
@@ -53,11 +53,11 @@
 	assert.Equal(t, readers, 1)
 }
 
-// withoutEntries is a proxy to the store that refuses reads of servers' entries.
-type withoutEntries struct{ store *platformtest.Store }
+// entryRefusingProxy is a proxy to the store that refuses reads of servers' entries.
+type entryRefusingProxy struct{ store *platformtest.Store }
 
 // ServeHTTP implements http.Handler.
-func (e withoutEntries) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e entryRefusingProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if strings.HasSuffix(r.URL.Path, "/servers") {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -72,7 +72,7 @@
 	s.eventually("all keys are served", func() bool { return s.allServed(first) })
 	before := s.assignment()
 	first.kill()
-	late := s.start(hostSetup{name: "late", store: s.listen(withoutEntries{s.store})})
+	late := s.start(hostSetup{name: "late", store: s.listen(entryRefusingProxy{s.store})})
 	s.eventually("control is claimed", func() bool { return s.assignment().Controller.Address == late.peers.address })
 	assert.Assert(t, !late.gateway.Ready())
 	assert.DeepEqual(t, s.assignment().Ranges, before.Ranges)
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -14,47 +14,47 @@
 
 // Delays of the loops that follow the store.
 const (
-	// awayFirst and awayMost bound the delay between retries of a failed call. A host must
+	// minRetryDelay and awayMost bound the delay between retries of a failed call. A host must
 	// notice that the store is back within the time in which a configuration has to take
 	// effect.
-	awayFirst = 100 * time.Millisecond
-	awayMost  = 800 * time.Millisecond
-	// awayWatch is how long the prober's watch waits while the store is unavailable: any
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 800 * time.Millisecond
+	// probeWatchWait is how long the prober's watch waits while the store is unavailable: any
 	// answer, not a change, shows that the store is back.
-	awayWatch = 50 * time.Millisecond
-	// gather is the pause between two watches of a kind that changes often, so that one call
+	probeWatchWait = 50 * time.Millisecond
+	// batchDelay is the pause between two watches of a kind that changes often, so that one call
 	// returns several changes. It is a tenth of the time in which they have to take effect.
-	gather = 200 * time.Millisecond
-	// firstGather replaces it while the system starts for the first time and all servers
+	batchDelay = 200 * time.Millisecond
+	// startupBatchDelay replaces it while the system starts for the first time and all servers
 	// register: each change wakes every host.
-	firstGather = 800 * time.Millisecond
-	// gathered is the number of changes in an answer from which on the next call is made at
+	startupBatchDelay = 800 * time.Millisecond
+	// fullBatch is the number of changes in an answer from which on the next call is made at
 	// once: the store returns some hundreds at a time, and there may be thousands.
-	gathered = 256
+	fullBatch = 256
 	// Assignments is the kind of the objects that record which servers own which keys.
 	Assignments = "cicada-assignments"
 )
 
 // follower keeps this host's copy of one kind up to date.
 type follower struct {
-	kind   string
-	gather time.Duration
+	kind       string
+	batchDelay time.Duration
 	// prober marks the follower that keeps calling the store while it is unavailable.
 	prober bool
-	// replace handles a complete listing, change the later changes.
-	replace func(objects.Listing)
-	change  func(objects.Listing)
-	// away handles the error of a failed call.
-	away func(error)
+	// onListing handles a complete listing, change the later changes.
+	onListing func(objects.Listing)
+	onChanges func(objects.Listing)
+	// onError handles the error of a failed call.
+	onError func(error)
 }
 
 // follow keeps a kind up to date until the context ends.
 func (g *Gateway) follow(ctx context.Context, f follower) {
-	pause := awayFirst
+	pause := minRetryDelay
 	var known uint64
 	connected := false
 	for ctx.Err() == nil {
-		listing, ended, err := g.next(ctx, f, connected, known)
+		listing, ended, err := g.fetchNext(ctx, f, connected, known)
 		if ended {
 			continue
 		}
@@ -62,70 +62,70 @@
 			if ctx.Err() != nil {
 				return
 			}
-			connected = g.lost(f, err, connected)
+			connected = g.handleFollowError(f, err, connected)
 			clock.Sleep(ctx, pause)
-			pause = min(2*pause, awayMost)
+			pause = min(2*pause, maxRetryDelay)
 			if !f.prober {
-				g.reach.wait(ctx)
+				g.reach.waitAvailable(ctx)
 			}
 			continue
 		}
 		if f.prober {
-			g.reach.back()
+			g.reach.markAvailable()
 		}
 		g.noteEra(f.kind, revision.Era(listing.Revision))
 		if !connected {
 			g.log.Info("store followed", "kind", f.kind, "revision", listing.Revision, "objects", len(listing.Objects))
-			f.replace(listing)
+			f.onListing(listing)
 		} else if len(listing.Objects) > 0 {
-			f.change(listing)
+			f.onChanges(listing)
 		}
-		g.relay.note(f.kind, listing, !connected)
-		g.fresh.known(f.kind, listing.Revision, !connected || len(listing.Objects) > 0)
-		connected, pause, known = true, awayFirst, max(known, listing.Revision)
-		if f.gather > 0 && len(listing.Objects) < gathered {
-			clock.Sleep(ctx, g.gatherFor(f.gather))
+		g.relay.update(f.kind, listing, !connected)
+		g.fresh.noteRevision(f.kind, listing.Revision, !connected || len(listing.Objects) > 0)
+		connected, pause, known = true, minRetryDelay, max(known, listing.Revision)
+		if f.batchDelay > 0 && len(listing.Objects) < fullBatch {
+			clock.Sleep(ctx, g.batchDelayFor(f.batchDelay))
 		}
 	}
 }
 
-// gatherFor returns the pause after a call for a kind that changes often.
-func (g *Gateway) gatherFor(usual time.Duration) time.Duration {
-	if g.identity.FirstStart && g.now() < firstWatches {
-		return max(usual, firstGather)
+// batchDelayFor returns the pause after a call for a kind that changes often.
+func (g *Gateway) batchDelayFor(usual time.Duration) time.Duration {
+	if g.identity.FirstStart && g.now() < startupPeriod {
+		return max(usual, startupBatchDelay)
 	}
 	return usual
 }
 
-// next makes the next call for a kind. ended is set if there is no answer to handle: the host
+// fetchNext makes the next call for a kind. ended is set if there is no answer to handle: the host
 // only waited for a confirmation, the watch was canceled, or its source failed.
-func (g *Gateway) next(ctx context.Context, f follower, connected bool, revision uint64) (listing objects.Listing, ended bool, err error) {
+func (g *Gateway) fetchNext(ctx context.Context, f follower, connected bool, revision uint64) (listing objects.Listing, ended bool, err error) {
 	kind := f.kind
 	if !connected {
 		listing, err = g.list(ctx, kind, revision)
 		return listing, false, err
 	}
-	watching, cancel, plan := g.fresh.begin(ctx, kind, g.now(), g.sources.known())
+	watching, cancel, plan := g.fresh.beginWatch(ctx, kind, g.now(), g.sources.hasCandidate())
 	defer cancel()
-	if plan.news != nil {
-		clock.Await(watching, plan.news, plan.wait)
+	if plan.confirmationArrived != nil {
+		clock.Await(watching, plan.confirmationArrived, plan.wait)
 		return listing, true, nil
 	}
-	if f.prober && g.reach.isAway() {
+	if f.prober && g.reach.isUnavailable() {
 		// The other followers wait until any host or the store answers.
-		plan.wait = min(plan.wait, awayWatch)
+		plan.wait = min(plan.wait, probeWatchWait)
 	}
 	if plan.source == "" {
 		listing, err = g.watchStore(watching, kind, revision, plan.wait)
 		return listing, err != nil && watching.Err() != nil && ctx.Err() == nil, err
 	}
-	listing, err = g.relayedWatch(watching, plan.source, kind, revision, plan.wait)
+	listing, err = g.watchFromPeer(watching, plan.source, kind, revision, plan.wait)
 	if err == nil || errors.Is(err, objects.ErrCompacted) || ctx.Err() != nil {
 		return listing, false, err
 	}
 	if watching.Err() == nil {
-		g.fresh.failed(plan.source)
-		g.sources.pass(plan.source)
+		g.fresh.noteSourceFailure(plan.source)
+		g.sources.skip(plan.source)
 		g.log.Info("source does not pass on what the store holds", "kind", kind, "source", plan.source, "error", err.Error())
 	}
 	return listing, true, err
@@ -136,10 +136,10 @@
 // changes from its source would otherwise pay the store for a page per 500 entries.
 func (g *Gateway) list(ctx context.Context, kind string, known uint64) (objects.Listing, error) {
 	if known == 0 {
-		return g.firstList(ctx, kind)
+		return g.listAtStartup(ctx, kind)
 	}
-	if source := g.fresh.follows(g.now()); source != "" {
-		listing, _, err := g.relayedList(ctx, source, kind)
+	if source := g.fresh.currentSource(g.now()); source != "" {
+		listing, _, err := g.listFromPeer(ctx, source, kind)
 		if err == nil && revision.Era(listing.Revision) < g.era.Load() {
 			err = &objects.RewoundError{Given: listing.Revision, Era: g.era.Load()}
 		}
@@ -151,30 +151,30 @@
 	began := g.now()
 	listing, err := g.store.List(ctx, kind)
 	if err == nil {
-		g.fresh.touch(kind, began)
+		g.fresh.noteStoreRead(kind, began)
 	}
-	return g.asPassedOn(kind, listing), err
+	return g.peerListing(kind, listing), err
 }
 
-// firstList lists a kind after the start of the process. A stale read, which costs a tenth, is
+// listAtStartup lists a kind after the start of the process. A stale read, which costs a tenth, is
 // enough: the watch that follows returns what changed since. If the store is unavailable, the
 // host lists from another host, however old that list may be; else it would reject every
 // request until the store is back, although its servers work. A watch of the store brings
 // later changes as soon as one succeeds.
-func (g *Gateway) firstList(ctx context.Context, kind string) (objects.Listing, error) {
+func (g *Gateway) listAtStartup(ctx context.Context, kind string) (objects.Listing, error) {
 	if kind == g.registry.Servers() {
-		if listing, ok := g.firstServers(ctx); ok {
+		if listing, ok := g.listServersAtStartup(ctx); ok {
 			return listing, nil
 		}
 	}
 	listing, err := g.store.Stale().List(ctx, kind)
 	source := g.sources.current()
 	if err == nil || source == "" || ctx.Err() != nil {
-		return g.asPassedOn(kind, listing), err
+		return g.peerListing(kind, listing), err
 	}
-	listing, _, peerErr := g.relayedList(ctx, source, kind)
+	listing, _, peerErr := g.listFromPeer(ctx, source, kind)
 	if peerErr != nil {
-		g.sources.miss()
+		g.sources.noteMiss()
 		return listing, errors.Join(err, peerErr)
 	}
 	return listing, nil
@@ -185,21 +185,21 @@
 // a calm day. Changes aren't urgent before the first callers arrive, so the cheaper stale
 // reads are used.
 func (g *Gateway) watchStore(ctx context.Context, kind string, revision uint64, wait time.Duration) (objects.Listing, error) {
-	if g.identity.FirstStart && g.fresh.startingNow(g.now()) {
+	if g.identity.FirstStart && g.fresh.isStartingUp(g.now()) {
 		listing, err := g.store.Stale().Watch(ctx, kind, revision, wait)
-		return g.asPassedOn(kind, listing), err
+		return g.peerListing(kind, listing), err
 	}
 	began := g.now()
 	listing, err := g.store.Watch(ctx, kind, revision, wait)
 	if err == nil {
-		g.fresh.touch(kind, began)
+		g.fresh.noteStoreRead(kind, began)
 	}
-	return g.asPassedOn(kind, listing), err
+	return g.peerListing(kind, listing), err
 }
 
-// lost handles a failed call, and reports whether the watch may continue from its revision. A
+// handleFollowError handles a failed call, and reports whether the watch may continue from its revision. A
 // watch that was cut off or refused has lost nothing; one whose history was compacted has.
-func (g *Gateway) lost(f follower, err error, connected bool) bool {
+func (g *Gateway) handleFollowError(f follower, err error, connected bool) bool {
 	g.counts.storeErrors.Inc()
 	var rewound *objects.RewoundError
 	if errors.As(err, &rewound) {
@@ -208,10 +208,10 @@
 	compacted := errors.Is(err, objects.ErrCompacted)
 	g.log.Warn("store not followed", "kind", f.kind, "error", err.Error(), "list-again", compacted || !connected)
 	if !compacted {
-		f.away(err)
+		f.onError(err)
 	}
 	if f.prober && !compacted {
-		g.reach.lost()
+		g.reach.markUnavailable()
 	}
 	return connected && !compacted
 }
@@ -232,31 +232,31 @@
 		}
 	}
 	// The configuration's follower is the prober: of all kinds, it has the shortest time to take effect.
-	g.follow(ctx, follower{prober: true, kind: g.registry.Configurations(), replace: take, change: take, away: g.registryAway})
+	g.follow(ctx, follower{prober: true, kind: g.registry.Configurations(), onListing: take, onChanges: take, onError: g.noteRegistryUnavailable})
 }
 
 // followAssignments follows which servers own which keys.
 func (g *Gateway) followAssignments(ctx context.Context) {
 	take := func(listing objects.Listing) {
 		for _, object := range listing.Objects {
-			g.takeAssignment(object)
+			g.applyAssignment(object)
 		}
 		g.control.listed.Store(true)
 		g.nudge()
 	}
-	g.follow(ctx, follower{kind: Assignments, replace: take, change: take, away: g.noteAssignmentsAway})
+	g.follow(ctx, follower{kind: Assignments, onListing: take, onChanges: take, onError: g.noteAssignmentsRefused})
 }
 
-// noteAssignmentsAway records that the store refuses this host's calls. A store that is only
+// noteAssignmentsRefused records that the store refuses this host's calls. A store that is only
 // slow to answer may be busy with the lists of hundreds of hosts, so other errors don't count.
-func (g *Gateway) noteAssignmentsAway(err error) {
+func (g *Gateway) noteAssignmentsRefused(err error) {
 	if errors.Is(err, objects.ErrRefused) {
 		g.control.refused.Store(true)
 	}
 }
 
-// takeAssignment applies an assignment if it is valid and newer than the one known.
-func (g *Gateway) takeAssignment(object objects.Object) {
+// applyAssignment applies an assignment if it is valid and newer than the one known.
+func (g *Gateway) applyAssignment(object objects.Object) {
 	if object.Deleted {
 		g.log.Error("assignment was deleted from the store; the last one stays in force", "service", object.Name)
 		return
@@ -279,7 +279,7 @@
 		g.log.Error("assignment ignored: the service has no keys", "service", object.Name)
 		return
 	}
-	g.sources.read(record.Controller)
+	g.sources.updateFromAssignment(record.Controller)
 	if s.view.offer(object.Revision, record) {
 		g.log.Info("assignment known", "service", object.Name, "revision", object.Revision, "term", record.Term,
 			"controller", record.Controller.Host, "ranges", len(record.Ranges))
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -23,16 +23,16 @@
 // refusingStore is a store that refuses calls until serves is set, and counts them by kind.
 type refusingStore struct {
 	*memobjects.Store
-	mu     sync.Mutex
-	calls  map[string]int
-	serves bool
-	called chan string
+	mu        sync.Mutex
+	calls     map[string]int
+	available bool
+	called    chan string
 }
 
-func (s *refusingStore) note(kind string) error {
+func (s *refusingStore) countCall(kind string) error {
 	s.mu.Lock()
 	s.calls[kind]++
-	serves := s.serves
+	serves := s.available
 	s.mu.Unlock()
 	s.called <- kind
 	if !serves {
@@ -42,7 +42,7 @@
 }
 
 func (s *refusingStore) List(ctx context.Context, kind string) (objects.Listing, error) {
-	if err := s.note(kind); err != nil {
+	if err := s.countCall(kind); err != nil {
 		return objects.Listing{}, err
 	}
 	return s.Store.List(ctx, kind)
@@ -57,28 +57,28 @@
 	return s.calls[kind]
 }
 
-// kinds is a registry that has only the names of its kinds.
-type kinds struct{}
+// kindNames is a registry that has only the names of its kinds.
+type kindNames struct{}
 
-func (kinds) Servers() string        { return "servers" }
-func (kinds) Configurations() string { return "configurations" }
-func (kinds) Current() string        { return "main" }
-func (kinds) Evacuations() string    { return "evacuations" }
-func (kinds) Evacuation(object objects.Object) (string, error) {
+func (kindNames) Servers() string        { return "servers" }
+func (kindNames) Configurations() string { return "configurations" }
+func (kindNames) Current() string        { return "main" }
+func (kindNames) Evacuations() string    { return "evacuations" }
+func (kindNames) Evacuation(object objects.Object) (string, error) {
 	return object.Name, nil
 }
-func (kinds) Server(objects.Object) (fleet.Server, error) {
+func (kindNames) Server(objects.Object) (fleet.Server, error) {
 	return fleet.Server{}, nil
 }
-func (kinds) Configuration(objects.Object) (*routing.Configuration, error) {
+func (kindNames) Configuration(objects.Object) (*routing.Configuration, error) {
 	return &routing.Configuration{}, nil
 }
 
 // Guards against 2,800 calls of 65 hosts to a store that refuses calls for 8 s: while the
 // store is unavailable, only one follower of a host calls it.
-func TestOnlyTheProberAsksWhileTheStoreIsAway(t *testing.T) {
+func TestOnlyProberCallsUnavailableStore(t *testing.T) {
 	store := &refusingStore{Store: memobjects.New(), calls: map[string]int{}, called: make(chan string, 64)}
-	g := New(Identity{}, Platform{Store: store, Registry: kinds{}}, logs.Discard())
+	g := New(Identity{}, Platform{Store: store, Registry: kindNames{}}, logs.Discard())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var following sync.WaitGroup
@@ -92,7 +92,7 @@
 	assert.Assert(t, store.count(Assignments) <= 2, "%d calls", store.count(Assignments))
 
 	store.mu.Lock()
-	store.serves = true
+	store.available = true
 	store.mu.Unlock()
 	for !g.listed.Load() || !g.control.listed.Load() {
 		select {
@@ -107,10 +107,10 @@
 // Guards against 60 hosts that claim control of the same keys as the store comes back. While
 // the store is unavailable to all, it can't confirm the controller, and each host would make
 // claims that can't succeed. Only hosts that can reach the store may claim.
-func TestNoClaimWhileTheStoreIsAway(t *testing.T) {
+func TestNoClaimWhileStoreUnavailable(t *testing.T) {
 	g := New(Identity{Host: "one"}, Platform{}, logs.Discard())
 	c := &controller{service: newService("s", Identity{Incarnation: 1}, true, g.now), wanted: time.Second}
-	g.reach.lost()
+	g.reach.markUnavailable()
 	g.wantClaim(context.Background(), c, time.Hour, nil, 0, 0)
 	assert.Assert(t, !c.claiming)
 	assert.Equal(t, c.wanted, time.Duration(0), "the delay starts again when the store is back")
@@ -126,25 +126,25 @@
 		var request watchRequest
 		_ = json.NewDecoder(r.Body).Decode(&request) // if it fails, the zero wait fails the test
 		waited <- request
-		_ = json.NewEncoder(w).Encode(watchAnswer{Listing: objects.Listing{Revision: request.Revision}})
+		_ = json.NewEncoder(w).Encode(watchResponse{Listing: objects.Listing{Revision: request.Revision}})
 	}))
 	defer controller.Close()
-	g := New(Identity{}, Platform{Store: memobjects.New(), Registry: kinds{}}, logs.Discard())
-	g.fresh.told(g.now(), wordOf(g.now(), strings.TrimPrefix(controller.URL, "http://"), nil))
-	g.reach.lost()
-	listing, _, err := g.next(context.Background(), follower{prober: true, kind: "configurations"}, true, 5)
+	g := New(Identity{}, Platform{Store: memobjects.New(), Registry: kindNames{}}, logs.Discard())
+	g.fresh.acceptConfirmation(g.now(), confirmationFrom(g.now(), strings.TrimPrefix(controller.URL, "http://"), nil))
+	g.reach.markUnavailable()
+	listing, _, err := g.fetchNext(context.Background(), follower{prober: true, kind: "configurations"}, true, 5)
 	assert.NilError(t, err)
 	assert.Equal(t, listing.Revision, uint64(5))
 	asked := <-waited
-	assert.Equal(t, time.Duration(asked.WaitMs)*time.Millisecond, awayWatch)
+	assert.Equal(t, time.Duration(asked.WaitMs)*time.Millisecond, probeWatchWait)
 }
 
 // The followers resume as soon as a controller that has the store answers a report.
-func TestControllersWordEndsTheWait(t *testing.T) {
+func TestControllerAnswerResumesFollowers(t *testing.T) {
 	g := New(Identity{}, Platform{}, logs.Discard())
-	g.reach.lost()
+	g.reach.markUnavailable()
 	c := &controller{service: newService("s", Identity{Incarnation: 1}, true, g.now)}
 	ended := &reportEnded{controller: c, to: keyspace.Controller{Incarnation: 7}, answer: loadAnswer{Incarnation: 7, Controls: true}}
 	ended.apply(g, g.boot.Now())
-	assert.Assert(t, !g.reach.isAway())
+	assert.Assert(t, !g.reach.isUnavailable())
 }
--- a/gateway/freshness_test.go
+++ b/gateway/freshness_test.go
@@ -12,67 +12,67 @@
 	"cicadarouter/host/logs"
 )
 
-func plan(f *freshness, kind string, now time.Duration) (watchPlan, context.Context) {
-	ctx, _, made := f.begin(context.Background(), kind, now, false)
+func beginTestWatch(f *freshness, kind string, now time.Duration) (watchPlan, context.Context) {
+	ctx, _, made := f.beginWatch(context.Background(), kind, now, false)
 	return made, ctx
 }
 
-// wordOf returns a controller's confirmation that names the controller itself as the source.
-func wordOf(confirmed time.Duration, teller string, revisions map[string]uint64) word {
-	return word{confirmed: confirmed, teller: teller, source: teller, revisions: revisions}
+// confirmationFrom returns a controller's confirmation that names the controller itself as the source.
+func confirmationFrom(confirmed time.Duration, teller string, revisions map[string]uint64) confirmation {
+	return confirmation{confirmedAt: confirmed, sender: teller, source: teller, revisions: revisions}
 }
 
 // Guards against a host that keeps an old configuration for more than 2 s. The controller,
 // from which the host gets changes, loses power before it has passed one on, and nothing
 // resets the connection. The controller's confirmation must expire before a change has to take
 // effect.
-func TestSilentControllerIsDoubted(t *testing.T) {
+func TestSilentControllerConfirmationExpires(t *testing.T) {
 	f := newFreshness(0)
-	shortWatch, vouchedFor := f.shortWatch(), f.vouchedFor()
-	made, _ := plan(&f, "things", 0)
-	assert.Equal(t, made, watchPlan{wait: firstWatch})
-	made, _ = plan(&f, "things", firstWatches)
+	shortWatch, vouchedFor := f.shortWait(), f.validFor()
+	made, _ := beginTestWatch(&f, "things", 0)
+	assert.Equal(t, made, watchPlan{wait: startupWatchWait})
+	made, _ = beginTestWatch(&f, "things", startupPeriod)
 	assert.Equal(t, made, watchPlan{wait: shortWatch})
 
 	// A host starts while the controller is cut off, and the store drops its history, so
 	// that the host's first watch never returns a change.
 	started := newFreshness(0)
-	_, first := plan(&started, "things", time.Second)
-	started.doubt()
-	started.tend(time.Second, false)
+	_, first := beginTestWatch(&started, "things", time.Second)
+	started.noteControllerFailure()
+	started.setControlling(time.Second, false)
 	assert.Assert(t, first.Err() != nil, "the first watch was not canceled")
-	f.told(time.Second, wordOf(time.Second, "controller", nil))
-	made, watching := plan(&f, "things", time.Second)
-	assert.Equal(t, made, watchPlan{wait: longWatch, source: "controller"})
-	f.tend(time.Second+vouchedFor-1, false)
+	f.acceptConfirmation(time.Second, confirmationFrom(time.Second, "controller", nil))
+	made, watching := beginTestWatch(&f, "things", time.Second)
+	assert.Equal(t, made, watchPlan{wait: longWatchWait, source: "controller"})
+	f.setControlling(time.Second+vouchedFor-1, false)
 	assert.NilError(t, watching.Err())
-	f.tend(time.Second+vouchedFor, false)
+	f.setControlling(time.Second+vouchedFor, false)
 	assert.Assert(t, watching.Err() != nil)
 	const mostForAChange = 2 * time.Second
 	assert.Assert(t, vouchedFor < mostForAChange-idleEvery)
 
 	// The controller is cut off from the store but still answers.
-	f.told(time.Second, wordOf(time.Second, "controller", nil))
-	made, _ = plan(&f, "things", time.Second+vouchedFor)
+	f.acceptConfirmation(time.Second, confirmationFrom(time.Second, "controller", nil))
+	made, _ = beginTestWatch(&f, "things", time.Second+vouchedFor)
 	assert.Equal(t, made, watchPlan{wait: shortWatch}, "a controller's confirmation counts although the store no longer answers the controller")
 
 	// A report gets no answer, and neither do the later ones.
-	f.told(3*time.Second, wordOf(3*time.Second, "controller", nil))
-	_, watching = plan(&f, "things", 3*time.Second)
-	f.doubt()
-	f.tend(3*time.Second+vouchedFor, false)
+	f.acceptConfirmation(3*time.Second, confirmationFrom(3*time.Second, "controller", nil))
+	_, watching = beginTestWatch(&f, "things", 3*time.Second)
+	f.noteControllerFailure()
+	f.setControlling(3*time.Second+vouchedFor, false)
 	assert.Assert(t, watching.Err() != nil, "the watch was not canceled although reports got no answer")
 }
 
 // A watch that is behind what the controller knows is canceled at once.
 func TestWatchThatIsBehindEnds(t *testing.T) {
 	f := newFreshness(0)
-	f.told(0, wordOf(0, "controller", nil))
-	_, watching := plan(&f, "things", 0)
-	f.known("things", 5, true)
-	assert.Equal(t, len(f.told(0, wordOf(0, "controller", map[string]uint64{"things": 5, "others": 9}))), 0)
+	f.acceptConfirmation(0, confirmationFrom(0, "controller", nil))
+	_, watching := beginTestWatch(&f, "things", 0)
+	f.noteRevision("things", 5, true)
+	assert.Equal(t, len(f.acceptConfirmation(0, confirmationFrom(0, "controller", map[string]uint64{"things": 5, "others": 9}))), 0)
 	assert.NilError(t, watching.Err())
-	assert.DeepEqual(t, f.told(0, wordOf(0, "controller", map[string]uint64{"things": 6})), []string{"things"})
+	assert.DeepEqual(t, f.acceptConfirmation(0, confirmationFrom(0, "controller", map[string]uint64{"things": 6})), []string{"things"})
 	assert.Assert(t, watching.Err() != nil)
 }
 
@@ -81,9 +81,9 @@
 // that watch. The controller must notice that its watch misses what it wrote itself.
 func TestControllerMissesItsOwnWrites(t *testing.T) {
 	g := New(Identity{}, Platform{}, logs.Discard())
-	g.fresh.tend(0, true)
-	_, watching := plan(&g.fresh, Assignments, 0)
-	g.fresh.known(Assignments, 7, true)
+	g.fresh.setControlling(0, true)
+	_, watching := beginTestWatch(&g.fresh, Assignments, 0)
+	g.fresh.noteRevision(Assignments, 7, true)
 	c := &controller{service: newService("s", Identity{Incarnation: 1}, true, g.now), revision: 9, written: time.Second}
 	g.hearOwnWrites(c, time.Second)
 	assert.NilError(t, watching.Err())
@@ -91,18 +91,18 @@
 	assert.Assert(t, watching.Err() != nil)
 }
 
-func change(revision uint64, name string) objects.Listing {
+func changeListing(revision uint64, name string) objects.Listing {
 	return objects.Listing{Revision: revision, Objects: []objects.Object{{Name: name, Revision: revision}}}
 }
 
 func TestRelay(t *testing.T) {
-	var r relay
-	r.note("things", objects.Listing{Revision: 4}, true)
-	r.note("things", change(6, "a"), false)
-	r.note("things", objects.Listing{Revision: 9}, false)
-	r.note("things", change(12, "b"), false)
+	var r relayCache
+	r.update("things", objects.Listing{Revision: 4}, true)
+	r.update("things", changeListing(6, "a"), false)
+	r.update("things", objects.Listing{Revision: 9}, false)
+	r.update("things", changeListing(12, "b"), false)
 	names := func(revision uint64) (found []string, ok bool) {
-		listing, _, ok := r.since("things", revision)
+		listing, _, ok := r.changesSince("things", revision)
 		for _, object := range listing.Objects {
 			found = append(found, object.Name)
 		}
@@ -123,8 +123,8 @@
 	assert.DeepEqual(t, listed, objects.Listing{Revision: 12, Objects: []objects.Object{{Name: "a", Revision: 6}, {Name: "b", Revision: 12}}})
 
 	// A complete listing that follows an earlier one is recorded as its differences.
-	r.note("things", objects.Listing{Revision: 20, Objects: []objects.Object{{Name: "b", Revision: 12}, {Name: "c", Revision: 17}}}, true)
-	changed, _, ok := r.since("things", 12)
+	r.update("things", objects.Listing{Revision: 20, Objects: []objects.Object{{Name: "b", Revision: 12}, {Name: "c", Revision: 17}}}, true)
+	changed, _, ok := r.changesSince("things", 12)
 	assert.Assert(t, ok)
 	assert.DeepEqual(t, changed, objects.Listing{Revision: 20, Objects: []objects.Object{{Name: "c", Revision: 17}, {Name: "a", Revision: 20, Deleted: true}}})
 	_, err := r.watch(context.Background(), "things", 3, time.Second)
@@ -140,21 +140,21 @@
 func TestRelayThatIsBehind(t *testing.T) {
 	f := newFreshness(0)
 	vouch := func(revision uint64) []string {
-		return f.told(0, word{teller: "controller", source: "relay", revisions: map[string]uint64{"things": revision}})
+		return f.acceptConfirmation(0, confirmation{sender: "controller", source: "relay", revisions: map[string]uint64{"things": revision}})
 	}
 	vouch(5)
-	f.known("things", 5, true)
-	made, watching := plan(&f, "things", 0)
+	f.noteRevision("things", 5, true)
+	made, watching := beginTestWatch(&f, "things", 0)
 	assert.Equal(t, made.source, "relay")
 	assert.Equal(t, len(vouch(6)), 0)
-	f.known("things", 6, true)
+	f.noteRevision("things", 6, true)
 	assert.Equal(t, len(vouch(7)), 0, "the relay caught up in between")
 	assert.NilError(t, watching.Err())
 	assert.DeepEqual(t, vouch(7), []string{"things"})
 	assert.Assert(t, watching.Err() != nil)
-	made, _ = plan(&f, "things", 0)
+	made, _ = beginTestWatch(&f, "things", 0)
 	assert.Equal(t, made.source, "controller")
-	f.known("things", 7, true)
-	made, _ = plan(&f, "things", 0)
+	f.noteRevision("things", 7, true)
+	made, _ = beginTestWatch(&f, "things", 0)
 	assert.Equal(t, made.source, "relay")
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -97,7 +97,7 @@
 	control control
 	fresh   freshness
 	sources *sources
-	reach   reach
+	reach   storeAvailability
 	ends    serverEnds
 	limits  notices[float64] // in requests a second
 	leaving notices[bool]
@@ -107,10 +107,10 @@
 	// control loop.
 	leavingAsked time.Duration
 	hosts        hostCount
-	relay        relay
+	relay        relayCache
 	era          atomic.Uint64 // of the store, as last told
 	calls        storeCalls
-	deltas       deltas
+	deltas       deltaCache
 	unread       byteQuota // of answers that callers have not read
 	peers        *http.Client
 	wake         chan struct{} // the controller has something to do
@@ -122,12 +122,12 @@
 		identity: identity, codec: platform.Codec, registry: platform.Registry, keys: platform.Keys,
 		clock: clock.System(), boot: clock.Boot(), log: logger, counts: newCounts(),
 		directory: fleet.NewDirectory(), services: map[string]*service{},
-		stop: newStop(), control: newControl(), fresh: newFreshness(identity.ObeyWithin), sources: newSources(identity), deltas: newDeltas(identity), peers: newPeerClient(), wake: make(chan struct{}, 1),
+		stop: newStop(), control: newControl(), fresh: newFreshness(identity.ObeyWithin), sources: newSources(identity), deltas: newDeltaCache(identity), peers: newPeerClient(), wake: make(chan struct{}, 1),
 	}
 	g.unread.most = cmp.Or(identity.ReadAhead, defaultReadAhead)
 	g.counts.set.NewGauge("cicada_unread_answer_bytes", func() float64 { return float64(g.unread.held.Load()) })
 	g.evacuationsListed.Store(identity.EvacuateWithin == 0) // then there is nothing to read
-	g.store = newCountedStore(platform.Store, g.noteStoreCall)
+	g.store = newCountingStore(platform.Store, g.countStoreCall)
 	g.counts.set.NewGauge("cicada_in_flight", g.inFlight)
 	g.counts.set.NewGauge("cicada_hosts", func() float64 { return float64(g.hosts.count()) })
 	g.counts.set.NewGauge("cicada_limited_servers", g.limits.count)
--- a/gateway/leaving.go
+++ b/gateway/leaving.go
@@ -86,7 +86,7 @@
 // doubtfullyLeaving returns the servers whose word that they leave is doubted.
 func (g *Gateway) doubtfullyLeaving() []fleet.Server {
 	now := g.now()
-	if g.fresh.ageNow(now) >= g.fresh.vouchedFor() {
+	if g.fresh.currentAge(now) >= g.fresh.validFor() {
 		return nil
 	}
 	g.mu.Lock()
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -190,7 +190,7 @@
 	c.news.reporting = false
 	switch {
 	case e.err != nil:
-		g.fresh.doubt()
+		g.fresh.noteControllerFailure()
 		g.log.Info("controller did not answer a report", "service", c.service.name, "controller", e.to.Host,
 			"unheard-ms", (now - c.heard).Milliseconds(), "error", e.err.Error())
 	case e.answer.Incarnation == e.to.Incarnation && e.answer.Claiming:
@@ -203,8 +203,8 @@
 		c.heard = min(c.heard, now-silentAfter)
 	default:
 		c.heard = now
-		g.reach.back() // what this host can't read in the store it hears from the controller
-		g.sources.name(e.answer.Relays, e.answer.FollowRelays)
+		g.reach.markAvailable() // what this host can't read in the store it hears from the controller
+		g.sources.updateFromController(e.answer.Relays, e.answer.FollowRelays)
 		c.service.setShares(e.answer.Shares)
 		if e.to.Incarnation == c.heardOf { // else the next controller hears of everything
 			g.hearCases(c, e)
@@ -214,9 +214,9 @@
 		g.noteHosts(e.answer.Hosts)
 		told := g.now()
 		confirmed := told - time.Duration(e.answer.StoreAgeMs)*time.Millisecond
-		vouch := word{confirmed: confirmed, teller: e.to.Address, source: g.sources.upstream(e.to.Address), revisions: e.answer.Revisions}
-		if behind := g.fresh.told(told, vouch); len(behind) > 0 {
-			g.sources.pass(vouch.source)
+		vouch := confirmation{confirmedAt: confirmed, sender: e.to.Address, source: g.sources.upstream(e.to.Address), revisions: e.answer.Revisions}
+		if behind := g.fresh.acceptConfirmation(told, vouch); len(behind) > 0 {
+			g.sources.skip(vouch.source)
 			g.log.Warn("watches were behind", "kinds", behind, "controller", e.to.Host, "source", vouch.source)
 		}
 	}
@@ -299,7 +299,7 @@
 	answer.Hosts = g.hosts.count()
 	answer.FollowRelays = len(c.members.hosts) > mostFollowers
 	answer.Controls, answer.Shares = true, c.shares
-	answer.Revisions = g.fresh.revisions()
+	answer.Revisions = g.fresh.changeRevisions()
 	answer.StoreAgeMs = c.machine.ConfirmedAge(now).Milliseconds()
 	return answer
 }
@@ -341,9 +341,9 @@
 			g.answerPeer(w, r, &peerCall{places: &request})
 		}
 	})
-	mux.HandleFunc("POST "+pathWatch, g.answerWatch)
-	mux.HandleFunc("POST "+pathList, g.answerList)
-	mux.HandleFunc("POST "+pathSource, g.answerSource)
+	mux.HandleFunc("POST "+pathWatch, g.handleWatch)
+	mux.HandleFunc("POST "+pathList, g.handleList)
+	mux.HandleFunc("POST "+pathSource, g.handleSource)
 	return mux
 }
 
--- a/gateway/reach.go
+++ b/gateway/reach.go
@@ -5,47 +5,47 @@
 	"sync"
 )
 
-// reach tracks whether the store is available to this host. While it is not, only one
+// storeAvailability tracks whether the store is available to this host. While it is not, only one
 // follower, the prober, keeps calling it; the others wait and resume as soon as it is back.
 // Refused calls are billed too: three followers on each of 65 hosts made 2,800 such calls in
 // an outage of 8 s.
-type reach struct {
-	mu      sync.Mutex
-	away    bool
-	resumed chan struct{} // closed when the store is available again
+type storeAvailability struct {
+	mu             sync.Mutex
+	unavailable    bool
+	availableAgain chan struct{} // closed when the store is available again
 }
 
-// lost records that the prober's call failed.
-func (r *reach) lost() {
+// markUnavailable records that the prober's call failed.
+func (r *storeAvailability) markUnavailable() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.away {
-		r.away, r.resumed = true, make(chan struct{})
+	if !r.unavailable {
+		r.unavailable, r.availableAgain = true, make(chan struct{})
 	}
 }
 
-// back records that the store is available again: the prober's call succeeded, or another host
+// markAvailable records that the store is available again: the prober's call succeeded, or another host
 // passes on what the store holds.
-func (r *reach) back() {
+func (r *storeAvailability) markAvailable() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.away {
-		r.away = false
-		close(r.resumed)
+	if r.unavailable {
+		r.unavailable = false
+		close(r.availableAgain)
 	}
 }
 
-// isAway reports whether the store is unavailable.
-func (r *reach) isAway() bool {
+// isUnavailable reports whether the store is unavailable.
+func (r *storeAvailability) isUnavailable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.away
+	return r.unavailable
 }
 
-// wait blocks until the store is available or the context ends.
-func (r *reach) wait(ctx context.Context) {
+// waitAvailable blocks until the store is available or the context ends.
+func (r *storeAvailability) waitAvailable(ctx context.Context) {
 	r.mu.Lock()
-	away, resumed := r.away, r.resumed
+	away, resumed := r.unavailable, r.availableAgain
 	r.mu.Unlock()
 	if !away {
 		return
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -19,147 +19,147 @@
 )
 
 const (
-	// relayKept and relayBytes bound the past changes of large documents that are kept to make
+	// maxDocumentChanges and relayBytes bound the past changes of large documents that are kept to make
 	// deltas from. A host whose version is older gets the whole document.
-	relayKept  = 32
-	relayBytes = 512 << 10
-	// mostGone bounds the deletions that are kept. A host that is further behind lists the
+	maxDocumentChanges     = 32
+	maxDocumentChangeBytes = 512 << 10
+	// maxTombstones bounds the deletions that are kept. A host that is further behind lists the
 	// kind again.
-	mostGone = 4096
-	// mostTold is the number of changes after which an answer to a watch ends.
-	mostTold = 2000
-	// listTimeout bounds the call for one page of a list from another host.
-	listTimeout = 2 * time.Second
-	// listPage is the number of objects in a page: some 500 KB of servers' entries.
-	listPage = 2000
+	maxTombstones = 4096
+	// maxChangesPerAnswer is the number of changes after which an answer to a watch ends.
+	maxChangesPerAnswer = 2000
+	// listPageTimeout bounds the call for one page of a list from another host.
+	listPageTimeout = 2 * time.Second
+	// listPageSize is the number of objects in a page: some 500 KB of servers' entries.
+	listPageSize = 2000
 )
 
-// relay caches what this host has read of the store so that other hosts can list and watch it
+// relayCache caches what this host has read of the store so that other hosts can list and watch it
 // here: calls to the store are billed, calls between hosts are not. Other hosts use it only
 // while this host confirms that it is up to date.
-type relay struct {
+type relayCache struct {
 	mu    sync.Mutex
-	kinds map[string]*relayed
+	kinds map[string]*kindCache
 }
 
-// relayed is the cache of one kind.
-type relayed struct {
+// kindCache is the cache of one kind.
+type kindCache struct {
 	revision uint64
 	// current holds the objects as of the revision; nil before the first listing.
 	current map[string]objects.Object
-	// sorted holds the names of current in order; nil if they have to be sorted again.
-	sorted []string
-	// steps is the history of changes, the earliest first. It is complete for changes after
+	// sortedNames holds the names of current in order; nil if they have to be sorted again.
+	sortedNames []string
+	// history is the history of changes, the earliest first. It is complete for changes after
 	// the revision floor.
-	steps []relayedStep
-	floor uint64
-	gone  int // number of steps that are deletions
-	// first holds the large documents as they were before the changes in kept.
-	first   map[string]objects.Object
-	kept    []relayedChange
-	changed chan struct{}
+	history      []historyEntry
+	historyStart uint64
+	tombstones   int // number of steps that are deletions
+	// baseDocuments holds the large documents as they were before the changes in kept.
+	baseDocuments   map[string]objects.Object
+	documentChanges []documentChange
+	changed         chan struct{}
 }
 
-// relayedStep is a change of one object, read with one listing.
-type relayedStep struct {
-	listed   uint64 // revision of the listing
-	revision uint64 // revision of the object
-	name     string
-	deletion *objects.Object // as it was listed; nil unless the object was deleted
+// historyEntry is a change of one object, read with one listing.
+type historyEntry struct {
+	listingRevision uint64 // revision of the listing
+	revision        uint64 // revision of the object
+	name            string
+	tombstone       *objects.Object // as it was listed; nil unless the object was deleted
 }
 
-// relayedChange holds the large documents that changed after a revision, up to the revision of
+// documentChange holds the large documents that changed after a revision, up to the revision of
 // the listing.
-type relayedChange struct {
+type documentChange struct {
 	after   uint64
 	listing objects.Listing
 }
 
 // kind returns the cache of a kind, which it creates if needed.
-func (r *relay) kind(name string) *relayed {
+func (r *relayCache) kind(name string) *kindCache {
 	if r.kinds == nil {
-		r.kinds = map[string]*relayed{}
+		r.kinds = map[string]*kindCache{}
 	}
 	known := r.kinds[name]
 	if known == nil {
-		known = &relayed{changed: make(chan struct{})}
+		known = &kindCache{changed: make(chan struct{})}
 		r.kinds[name] = known
 	}
 	return known
 }
 
-// note adds a listing that this host has read. A complete listing that follows an earlier one
+// update adds a listing that this host has read. A complete listing that follows an earlier one
 // is recorded as its differences from that one: if the store drops its history, this host
 // lists the kind again, and those that follow it need not.
 //
 // Large documents are expected in their canonical form: see canonical.
-func (r *relay) note(name string, listing objects.Listing, complete bool) {
+func (r *relayCache) update(name string, listing objects.Listing, complete bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := r.kind(name)
 	if complete && known.current == nil {
-		known.begin(listing)
-		known.announce()
+		known.initialize(listing)
+		known.notifyWatchers()
 		return
 	}
 	if listing.Revision < known.revision {
 		return // older than what is known
 	}
 	if complete {
-		listing.Objects = known.differences(listing)
+		listing.Objects = known.diff(listing)
 	}
 	if len(listing.Objects) > 0 {
-		known.keep(listing)
-		known.take(listing)
+		known.recordDocuments(listing)
+		known.apply(listing)
 		known.trim()
-		known.announce()
+		known.notifyWatchers()
 	}
 	known.revision = listing.Revision
 }
 
-// begin stores the first complete listing.
-func (k *relayed) begin(listing objects.Listing) {
-	k.current, k.first = make(map[string]objects.Object, len(listing.Objects)), map[string]objects.Object{}
-	k.revision, k.floor = listing.Revision, listing.Revision
+// initialize stores the first complete listing.
+func (k *kindCache) initialize(listing objects.Listing) {
+	k.current, k.baseDocuments = make(map[string]objects.Object, len(listing.Objects)), map[string]objects.Object{}
+	k.revision, k.historyStart = listing.Revision, listing.Revision
 	for _, object := range listing.Objects {
 		k.current[object.Name] = object
 	}
-	k.fold(listing.Objects)
+	k.foldIntoBase(listing.Objects)
 }
 
-// take applies changes to the current objects and adds them to the history. It skips a version
+// apply applies changes to the current objects and adds them to the history. It skips a version
 // older than the one known, which a source that is behind may send.
-func (k *relayed) take(listing objects.Listing) {
+func (k *kindCache) apply(listing objects.Listing) {
 	for _, object := range listing.Objects {
 		before, known := k.current[object.Name]
 		switch {
 		case object.Deleted:
 			delete(k.current, object.Name)
-			k.gone++
+			k.tombstones++
 		case object.Revision >= before.Revision:
 			k.current[object.Name] = object
 		default:
 			continue
 		}
 		if known == object.Deleted {
-			k.sorted = nil
+			k.sortedNames = nil
 		}
-		step := relayedStep{listed: listing.Revision, revision: object.Revision, name: object.Name}
+		step := historyEntry{listingRevision: listing.Revision, revision: object.Revision, name: object.Name}
 		if object.Deleted {
-			step.deletion = &object
+			step.tombstone = &object
 		}
-		k.steps = append(k.steps, step)
+		k.history = append(k.history, step)
 	}
 }
 
-// announce wakes the watchers of the kind.
-func (k *relayed) announce() {
+// notifyWatchers wakes the watchers of the kind.
+func (k *kindCache) notifyWatchers() {
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
 
-// differences returns the changes between the current objects and a complete listing.
-func (k *relayed) differences(listing objects.Listing) []objects.Object {
+// diff returns the changes between the current objects and a complete listing.
+func (k *kindCache) diff(listing objects.Listing) []objects.Object {
 	var changes []objects.Object
 	present := make(map[string]bool, len(listing.Objects))
 	for _, object := range listing.Objects {
@@ -178,17 +178,17 @@
 }
 
 // names returns the names of the current objects in order.
-func (k *relayed) names() []string {
-	if k.sorted == nil {
-		k.sorted = slices.Sorted(maps.Keys(k.current))
+func (k *kindCache) names() []string {
+	if k.sortedNames == nil {
+		k.sortedNames = slices.Sorted(maps.Keys(k.current))
 	}
-	return k.sorted
+	return k.sortedNames
 }
 
 // page returns at most a number of the known objects of a kind, in order of names and
 // beginning after a name, and whether there are more. ok is false if the kind has not been
 // listed yet.
-func (r *relay) page(name, after string, most int) (listing objects.Listing, more, ok bool) {
+func (r *relayCache) page(name, after string, most int) (listing objects.Listing, more, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := r.kind(name)
@@ -205,11 +205,11 @@
 	return listing, to < len(names), known.current != nil
 }
 
-// canonical returns a listing of the store with its large documents in the one encoding that
+// canonicalListing returns a listing of the store with its large documents in the one encoding that
 // hosts exchange. Deltas are made from bytes, and the store may space the same document
 // differently. What comes from another host already is in this form; encoding it again took a
 // quarter of the processor time that a host spends on a change of an assignment.
-func canonical(listing objects.Listing) objects.Listing {
+func canonicalListing(listing objects.Listing) objects.Listing {
 	listing.Objects = slices.Clone(listing.Objects)
 	for i := range listing.Objects {
 		listing.Objects[i] = canonicalObject(listing.Objects[i])
@@ -217,10 +217,10 @@
 	return listing
 }
 
-// asPassedOn returns a listing of the store in the form that hosts exchange. Only the hosts
+// peerListing returns a listing of the store in the form that hosts exchange. Only the hosts
 // that follow the store itself decode a server's entry from the registry's format.
-func (g *Gateway) asPassedOn(kind string, listing objects.Listing) objects.Listing {
-	listing = canonical(listing)
+func (g *Gateway) peerListing(kind string, listing objects.Listing) objects.Listing {
+	listing = canonicalListing(listing)
 	if kind == g.registry.Servers() {
 		for i := range listing.Objects {
 			listing.Objects[i] = g.canonicalEntry(listing.Objects[i])
@@ -256,7 +256,7 @@
 
 // canonicalObject is canonical for one object.
 func canonicalObject(object objects.Object) objects.Object {
-	if len(object.Spec) < longDocument {
+	if len(object.Spec) < minDeltaDocument {
 		return object
 	}
 	if encoded, err := json.Marshal(object.Spec); err == nil {
@@ -265,76 +265,76 @@
 	return object
 }
 
-// keep records the large documents of a listing's changes, so that deltas can be made from
+// recordDocuments records the large documents of a listing's changes, so that deltas can be made from
 // their versions.
-func (k *relayed) keep(listing objects.Listing) {
+func (k *kindCache) recordDocuments(listing objects.Listing) {
 	long := objects.Listing{Revision: listing.Revision}
 	for _, object := range listing.Objects {
-		if _, was := k.first[object.Name]; len(object.Spec) >= longDocument || was || len(k.current[object.Name].Spec) >= longDocument {
+		if _, was := k.baseDocuments[object.Name]; len(object.Spec) >= minDeltaDocument || was || len(k.current[object.Name].Spec) >= minDeltaDocument {
 			long.Objects = append(long.Objects, object)
 		}
 	}
 	if len(long.Objects) > 0 {
-		k.kept = append(k.kept, relayedChange{after: k.revision, listing: long})
+		k.documentChanges = append(k.documentChanges, documentChange{after: k.revision, listing: long})
 	}
 }
 
-// fold moves the large documents of changes that are no longer kept into first.
-func (k *relayed) fold(changes []objects.Object) {
+// foldIntoBase moves the large documents of changes that are no longer kept into first.
+func (k *kindCache) foldIntoBase(changes []objects.Object) {
 	for _, object := range changes {
 		if object.Deleted {
-			delete(k.first, object.Name)
-		} else if len(object.Spec) >= longDocument {
-			k.first[object.Name] = object
+			delete(k.baseDocuments, object.Name)
+		} else if len(object.Spec) >= minDeltaDocument {
+			k.baseDocuments[object.Name] = object
 		}
 	}
 }
 
 // trim drops the oldest changes beyond the bounds.
-func (k *relayed) trim() {
+func (k *kindCache) trim() {
 	size := 0
-	for _, change := range k.kept {
+	for _, change := range k.documentChanges {
 		size += change.bytes()
 	}
-	for len(k.kept) > relayKept || len(k.kept) > 1 && size > relayBytes {
-		size -= k.kept[0].bytes()
-		k.fold(k.kept[0].listing.Objects)
-		k.kept = k.kept[1:]
+	for len(k.documentChanges) > maxDocumentChanges || len(k.documentChanges) > 1 && size > maxDocumentChangeBytes {
+		size -= k.documentChanges[0].bytes()
+		k.foldIntoBase(k.documentChanges[0].listing.Objects)
+		k.documentChanges = k.documentChanges[1:]
 	}
-	if len(k.steps) > 2*len(k.current)+2*mostGone {
+	if len(k.history) > 2*len(k.current)+2*maxTombstones {
 		k.compact()
 	}
 }
 
 // compact drops the steps that later steps of the same object replace, and the oldest
 // deletions beyond the bound.
-func (k *relayed) compact() {
-	last := make(map[string]int, len(k.steps))
-	for i, step := range k.steps {
+func (k *kindCache) compact() {
+	last := make(map[string]int, len(k.history))
+	for i, step := range k.history {
 		last[step.name] = i
 	}
-	forget := k.gone - mostGone
-	var steps []relayedStep
-	k.gone = 0
-	for i, step := range k.steps {
-		if step.deletion != nil && forget > 0 {
+	forget := k.tombstones - maxTombstones
+	var steps []historyEntry
+	k.tombstones = 0
+	for i, step := range k.history {
+		if step.tombstone != nil && forget > 0 {
 			forget--
-			k.floor = max(k.floor, step.listed)
+			k.historyStart = max(k.historyStart, step.listingRevision)
 			continue
 		}
 		if last[step.name] != i {
 			continue
 		}
-		if step.deletion != nil {
-			k.gone++
+		if step.tombstone != nil {
+			k.tombstones++
 		}
 		steps = append(steps, step)
 	}
-	k.steps = steps
+	k.history = steps
 }
 
 // bytes returns the size of the documents in bytes.
-func (c *relayedChange) bytes() int {
+func (c *documentChange) bytes() int {
 	n := 0
 	for _, object := range c.listing.Objects {
 		n += len(object.Spec)
@@ -342,10 +342,10 @@
 	return n
 }
 
-// since returns the changes after a revision, and a channel that is closed at the next change.
+// changesSince returns the changes after a revision, and a channel that is closed at the next change.
 // ok is false if the history does not reach back that far, or the revision belongs to an
 // earlier era of the store.
-func (r *relay) since(name string, after uint64) (listing objects.Listing, more <-chan struct{}, ok bool) {
+func (r *relayCache) changesSince(name string, after uint64) (listing objects.Listing, more <-chan struct{}, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := r.kind(name)
@@ -356,32 +356,32 @@
 	if revision.Era(after) < revision.Era(known.revision) {
 		return listing, known.changed, false // the caller may know objects that the store has lost and this host never knew
 	}
-	listing.Objects, listing.Revision = known.changedSince(after)
-	return listing, known.changed, after >= known.floor
+	listing.Objects, listing.Revision = known.changesSince(after)
+	return listing, known.changed, after >= known.historyStart
 }
 
-// changedSince returns the objects that changed after a revision in their present state, and
+// changesSince returns the objects that changed after a revision in their present state, and
 // the revision up to which the changes are complete: as many as fit in one answer.
-func (k *relayed) changedSince(after uint64) (changes []objects.Object, upTo uint64) {
-	from, _ := slices.BinarySearchFunc(k.steps, after+1, func(step relayedStep, want uint64) int { return cmp.Compare(step.listed, want) })
-	for i, step := range k.steps[from:] {
-		if i >= mostTold && step.listed > k.steps[from+i-1].listed {
-			return latest(changes), k.steps[from+i-1].listed
+func (k *kindCache) changesSince(after uint64) (changes []objects.Object, upTo uint64) {
+	from, _ := slices.BinarySearchFunc(k.history, after+1, func(step historyEntry, want uint64) int { return cmp.Compare(step.listingRevision, want) })
+	for i, step := range k.history[from:] {
+		if i >= maxChangesPerAnswer && step.listingRevision > k.history[from+i-1].listingRevision {
+			return latestPerObject(changes), k.history[from+i-1].listingRevision
 		}
 		object, present := k.current[step.name]
 		switch {
-		case step.deletion != nil:
-			object = *step.deletion
+		case step.tombstone != nil:
+			object = *step.tombstone
 		case !present || object.Revision != step.revision:
 			continue // a later step has the object's present state
 		}
 		changes = append(changes, object)
 	}
-	return latest(changes), k.revision
+	return latestPerObject(changes), k.revision
 }
 
-// latest keeps only the last change of each object.
-func latest(changes []objects.Object) []objects.Object {
+// latestPerObject keeps only the last change of each object.
+func latestPerObject(changes []objects.Object) []objects.Object {
 	last := make(map[string]int, len(changes))
 	for i, object := range changes {
 		last[object.Name] = i
@@ -397,17 +397,17 @@
 
 // versionAt returns the version of a large document that a host has which is up to date with
 // the kind at a revision; ok is false if that version is not kept.
-func (r *relay) versionAt(kind, name string, revision uint64) (found objects.Object, ok bool) {
+func (r *relayCache) versionAt(kind, name string, revision uint64) (found objects.Object, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := r.kind(kind)
 	take := func(object objects.Object) {
 		if object.Name == name && object.Revision <= revision && object.Revision >= found.Revision {
-			found, ok = object, !object.Deleted && len(object.Spec) >= longDocument
+			found, ok = object, !object.Deleted && len(object.Spec) >= minDeltaDocument
 		}
 	}
-	take(known.first[name])
-	for _, change := range known.kept {
+	take(known.baseDocuments[name])
+	for _, change := range known.documentChanges {
 		for _, object := range change.listing.Objects {
 			take(object)
 		}
@@ -416,11 +416,11 @@
 }
 
 // watch waits until a kind has changed after a revision.
-func (r *relay) watch(ctx context.Context, name string, revision uint64, wait time.Duration) (objects.Listing, error) {
+func (r *relayCache) watch(ctx context.Context, name string, revision uint64, wait time.Duration) (objects.Listing, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		listing, more, ok := r.since(name, revision)
+		listing, more, ok := r.changesSince(name, revision)
 		if !ok {
 			return objects.Listing{}, objects.ErrCompacted
 		}
@@ -447,8 +447,8 @@
 	Columns bool `json:"columns"`
 }
 
-// listAnswer is a page of the objects of a kind.
-type listAnswer struct {
+// listResponse is a page of the objects of a kind.
+type listResponse struct {
 	objects.Listing
 	// More is set if another page follows.
 	More bool
@@ -456,21 +456,21 @@
 	AgeMs int64
 }
 
-// listAnswerWire is the JSON form of a listAnswer.
-type listAnswerWire struct {
+// listResponseWire is the JSON form of a listAnswer.
+type listResponseWire struct {
 	columns
 	More  bool  `json:"more,omitempty"`
 	AgeMs int64 `json:"ageMs"`
 }
 
 // MarshalJSON implements json.Marshaler.
-func (a listAnswer) MarshalJSON() ([]byte, error) {
-	return json.Marshal(listAnswerWire{columns: columnsOf(a.Listing), More: a.More, AgeMs: a.AgeMs})
+func (a listResponse) MarshalJSON() ([]byte, error) {
+	return json.Marshal(listResponseWire{columns: columnsOf(a.Listing), More: a.More, AgeMs: a.AgeMs})
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (a *listAnswer) UnmarshalJSON(data []byte) error {
-	var wire listAnswerWire
+func (a *listResponse) UnmarshalJSON(data []byte) error {
+	var wire listResponseWire
 	err := json.Unmarshal(data, &wire)
 	if err == nil {
 		a.Listing, err = wire.listing()
@@ -479,14 +479,14 @@
 	return err
 }
 
-// relayedList lists a kind from another host in place of the store. The listing's revision is
+// listFromPeer lists a kind from another host in place of the store. The listing's revision is
 // that of the first page, so that a watch from it misses nothing that changed between two
 // pages. age is how old that host's view of the store may be.
-func (g *Gateway) relayedList(ctx context.Context, source, kind string) (listing objects.Listing, age time.Duration, err error) {
+func (g *Gateway) listFromPeer(ctx context.Context, source, kind string) (listing objects.Listing, age time.Duration, err error) {
 	request := listRequest{Kind: kind, Columns: true}
 	for first := true; ; first = false {
-		var page listAnswer
-		if err := g.askPeer(ctx, listTimeout, source, pathList, request, &page); err != nil {
+		var page listResponse
+		if err := g.askPeer(ctx, listPageTimeout, source, pathList, request, &page); err != nil {
 			return objects.Listing{}, 0, err
 		}
 		if first {
@@ -504,19 +504,19 @@
 	return listing, age, nil
 }
 
-// answerList handles another host's list request. It refuses if this host has not listed the
+// handleList handles another host's list request. It refuses if this host has not listed the
 // kind yet.
-func (g *Gateway) answerList(w http.ResponseWriter, r *http.Request) {
+func (g *Gateway) handleList(w http.ResponseWriter, r *http.Request) {
 	var request listRequest
 	if !g.readPeer(w, r, &request) {
 		return
 	}
-	listing, more, ok := g.relay.page(request.Kind, request.After, listPage)
+	listing, more, ok := g.relay.page(request.Kind, request.After, listPageSize)
 	if !ok || !request.Columns {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	g.writePeer(w, r, listAnswer{Listing: listing, More: more, AgeMs: g.fresh.ageNow(g.now()).Milliseconds()})
+	g.writePeer(w, r, listResponse{Listing: listing, More: more, AgeMs: g.fresh.currentAge(g.now()).Milliseconds()})
 }
 
 // watchRequest asks a host for the changes of a kind after a revision.
@@ -530,23 +530,23 @@
 	Columns bool `json:"columns"`
 }
 
-// relayedWatch watches a kind at another host in place of the store. If a delta in the answer
+// watchFromPeer watches a kind at another host in place of the store. If a delta in the answer
 // can't be applied, it asks again for whole documents.
-func (g *Gateway) relayedWatch(ctx context.Context, source, kind string, revision uint64, wait time.Duration) (objects.Listing, error) {
+func (g *Gateway) watchFromPeer(ctx context.Context, source, kind string, revision uint64, wait time.Duration) (objects.Listing, error) {
 	request := watchRequest{Kind: kind, Revision: revision, WaitMs: wait.Milliseconds(), Columns: true}
-	listing, err := g.askRelay(ctx, source, request)
-	var unfit *unfitError
+	listing, err := g.requestWatch(ctx, source, request)
+	var unfit *documentError
 	if errors.As(err, &unfit) {
 		g.log.Info("answer to a watch can't be decoded; requesting whole documents", "kind", kind, "name", unfit.Name, "base", unfit.Base, "known", unfit.Known,
 			"source", source, "why", eris.ToString(unfit.Cause, false))
 		request.Whole = true
-		return g.askRelay(ctx, source, request)
+		return g.requestWatch(ctx, source, request)
 	}
 	return listing, err
 }
 
-func (g *Gateway) askRelay(ctx context.Context, source string, request watchRequest) (objects.Listing, error) {
-	var answer watchAnswer
+func (g *Gateway) requestWatch(ctx context.Context, source string, request watchRequest) (objects.Listing, error) {
+	var answer watchResponse
 	wait := time.Duration(request.WaitMs) * time.Millisecond
 	err := g.askPeer(ctx, wait+peerTimeout, source, pathWatch, request, &answer)
 	var status *peerStatusError
@@ -556,17 +556,17 @@
 	if err != nil {
 		return objects.Listing{}, err
 	}
-	return g.unfold(ctx, request.Kind, &answer)
+	return g.expandDeltas(ctx, request.Kind, &answer)
 }
 
-// answerWatch handles another host's watch request. It refuses if this host's view of the
+// handleWatch handles another host's watch request. It refuses if this host's view of the
 // store is too old.
-func (g *Gateway) answerWatch(w http.ResponseWriter, r *http.Request) {
+func (g *Gateway) handleWatch(w http.ResponseWriter, r *http.Request) {
 	var request watchRequest
 	if !g.readPeer(w, r, &request) {
 		return
 	}
-	if !g.fresh.serves(g.now()) || !request.Columns {
+	if !g.fresh.canServe(g.now()) || !request.Columns {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -578,9 +578,9 @@
 	if err != nil {
 		return // the other host closed the connection
 	}
-	answer := &watchAnswer{Listing: listing}
+	answer := &watchResponse{Listing: listing}
 	if !request.Whole {
-		answer = g.deltas.shorten(&g.relay, request.Kind, listing, request.Revision)
+		answer = g.deltas.encode(&g.relay, request.Kind, listing, request.Revision)
 	}
 	g.writePeer(w, r, answer)
 }
--- a/gateway/relay_test.go
+++ b/gateway/relay_test.go
@@ -12,18 +12,18 @@
 
 // Guards against a host that keeps objects which the restored store has lost: the relay that
 // it follows never knew them, so its changes can't show that they are gone.
-func TestRelayTellsNoDifferencesAcrossEras(t *testing.T) {
+func TestRelayRefusesChangesAcrossEras(t *testing.T) {
 	listing := func(era, number uint64) objects.Listing {
 		return objects.Listing{Revision: revision.In(era, number), Objects: []objects.Object{{Name: "a", Revision: revision.In(era, 40)}}}
 	}
-	var r relay
-	r.note("servers", listing(1, 50), true)
-	_, _, ok := r.since("servers", revision.In(1, 55))
+	var r relayCache
+	r.update("servers", listing(1, 50), true)
+	_, _, ok := r.changesSince("servers", revision.In(1, 55))
 	assert.Assert(t, ok, "the host is ahead of the relay")
-	r.note("servers", listing(2, 45), true)
-	_, _, ok = r.since("servers", revision.In(1, 55))
+	r.update("servers", listing(2, 45), true)
+	_, _, ok = r.changesSince("servers", revision.In(1, 55))
 	assert.Assert(t, !ok, "the host has to list again")
-	again, _, ok := r.since("servers", revision.In(2, 45))
+	again, _, ok := r.changesSince("servers", revision.In(2, 45))
 	assert.Assert(t, ok && len(again.Objects) == 0)
 	all, ok := r.list("servers")
 	assert.Assert(t, ok)
@@ -31,7 +31,7 @@
 }
 
 // list returns all objects of a kind that a relay has.
-func (r *relay) list(name string) (objects.Listing, bool) {
+func (r *relayCache) list(name string) (objects.Listing, bool) {
 	listing, _, ok := r.page(name, "", math.MaxInt32)
 	return listing, ok
 }
--- a/gateway/relays_test.go
+++ b/gateway/relays_test.go
@@ -11,23 +11,23 @@
 	"cicadarouter/platform/platformtest"
 )
 
-// storeFront is a proxy through which one host calls the store. It counts the calls that are
+// storeProxy is a proxy through which one host calls the store. It counts the calls that are
 // not stale reads, and can refuse all calls.
-type storeFront struct {
+type storeProxy struct {
 	store *platformtest.Store
 
-	mu      sync.Mutex
-	calls   int
-	refuses bool
+	mu       sync.Mutex
+	calls    int
+	refusing bool
 }
 
 // ServeHTTP implements http.Handler.
-func (f *storeFront) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *storeProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
 	if !strings.Contains(r.URL.RawQuery, "allow-stale") {
 		f.calls++
 	}
-	refuses := f.refuses
+	refuses := f.refusing
 	f.mu.Unlock()
 	if refuses {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -36,21 +36,21 @@
 	f.store.ServeHTTP(w, r)
 }
 
-func (f *storeFront) refuse() {
+func (f *storeProxy) refuse() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.refuses = true
+	f.refusing = true
 }
 
-func (f *storeFront) count() int {
+func (f *storeProxy) count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls
 }
 
-// fronted starts a host that calls the store through a storeFront.
-func (s *site) fronted(name string, seeds ...string) (*hostUnderTest, *storeFront) {
-	front := &storeFront{store: s.store}
+// startWithProxy starts a host that calls the store through a storeFront.
+func (s *site) startWithProxy(name string, seeds ...string) (*hostUnderTest, *storeProxy) {
+	front := &storeProxy{store: s.store}
 	return s.start(hostSetup{name: name, store: s.listen(front), seeds: seeds}), front
 }
 
@@ -70,7 +70,7 @@
 	s, controller := calm(t)
 	s.eventually("all keys are served", func() bool { return s.allServed(controller) })
 	others := []*hostUnderTest{s.host("two"), s.host("three")}
-	refused, front := s.fronted("refused")
+	refused, front := s.startWithProxy("refused")
 	s.eventually("the refused host serves keys", func() bool { return refused.gateway.Ready() && s.allServed(refused) })
 	// Relays are named in the answers to reports, of which each host sends one every
 	// half second.
@@ -90,7 +90,7 @@
 
 // Guards against a host that answers every request with 503 because it started while the store
 // is unavailable, although its peers serve: it has to learn of them from its seeds.
-func TestHostThatStartsWhileTheStoreIsAwayAsksASeed(t *testing.T) {
+func TestHostThatStartsWithoutStoreUsesSeed(t *testing.T) {
 	s, h := calm(t)
 	s.eventually("all keys are served", func() bool { return s.allServed(h) })
 	s.store.SetFaults(platformtest.Faults{Refuse: true})
@@ -119,9 +119,9 @@
 		h.kill()
 	}
 	var again []*hostUnderTest
-	var fronts []*storeFront
+	var fronts []*storeProxy
 	for i, h := range started {
-		front := &storeFront{store: s.store}
+		front := &storeProxy{store: s.store}
 		again = append(again, s.start(hostSetup{name: fmt.Sprintf("host-%d", i), store: s.listen(front), peers: h.peers}))
 		fronts = append(fronts, front)
 	}
--- a/gateway/scale_test.go
+++ b/gateway/scale_test.go
@@ -64,34 +64,34 @@
 	assert.Equal(t, len(g.services["t"].serverStates()), 1)
 }
 
-func entryOf(i int) objects.Object {
+func serverEntry(i int) objects.Object {
 	return objects.Object{Kind: "servers", Name: fmt.Sprintf("i-%06d", i), Revision: uint64(i + 1),
 		Spec: fmt.Appendf(nil, `{"service":"s","address":"10.0.%d.%d:8080","zone":"a","version":"v1","slots":4,"state":"ready","cold-remaining":"0ms","seq":1}`, i/250, i%250)}
 }
 
-func entries(from, to int) objects.Listing {
+func serverEntries(from, to int) objects.Listing {
 	listing := objects.Listing{Revision: uint64(to)}
 	for i := from; i < to; i++ {
-		listing.Objects = append(listing.Objects, entryOf(i))
+		listing.Objects = append(listing.Objects, serverEntry(i))
 	}
 	return listing
 }
 
 // Guards against hosts that list thousands of servers again because they are some hundreds of
 // changes behind while all servers register.
-func TestHostFarBehindIsToldTheChanges(t *testing.T) {
+func TestHostFarBehindGetsChanges(t *testing.T) {
 	const servers, batch = 10000, 500
-	var r relay
-	r.note("servers", objects.Listing{Revision: 1}, true)
+	var r relayCache
+	r.update("servers", objects.Listing{Revision: 1}, true)
 	for from := 1; from < servers; from += batch {
-		r.note("servers", entries(from, min(from+batch, servers)), false)
+		r.update("servers", serverEntries(from, min(from+batch, servers)), false)
 	}
-	assert.Equal(t, len(r.kind("servers").kept), 0, "versions of entries are kept although no deltas are made from them")
+	assert.Equal(t, len(r.kind("servers").documentChanges), 0, "versions of entries are kept although no deltas are made from them")
 	known := map[string]bool{}
 	for after := uint64(1); after < servers; {
-		listing, _, ok := r.since("servers", after)
+		listing, _, ok := r.changesSince("servers", after)
 		assert.Assert(t, ok)
-		assert.Assert(t, len(listing.Objects) <= mostTold+batch, "%d in one answer", len(listing.Objects))
+		assert.Assert(t, len(listing.Objects) <= maxChangesPerAnswer+batch, "%d in one answer", len(listing.Objects))
 		for _, object := range listing.Objects {
 			known[object.Name] = true
 		}
@@ -101,20 +101,20 @@
 }
 
 // Guards against deletions that a host does not learn of, or that are kept without bound.
-func TestRelayTellsDeletions(t *testing.T) {
-	var r relay
-	r.note("servers", entries(0, 100), true)
+func TestRelayReportsDeletions(t *testing.T) {
+	var r relayCache
+	r.update("servers", serverEntries(0, 100), true)
 	revision := uint64(100)
-	for i := range 5 * mostGone {
-		object := entryOf(i % 50)
+	for i := range 5 * maxTombstones {
+		object := serverEntry(i % 50)
 		revision++
 		object.Revision, object.Deleted = revision, i%100 < 50
-		r.note("servers", objects.Listing{Revision: revision, Objects: []objects.Object{object}}, false)
+		r.update("servers", objects.Listing{Revision: revision, Objects: []objects.Object{object}}, false)
 	}
-	_, _, ok := r.since("servers", 100)
+	_, _, ok := r.changesSince("servers", 100)
 	assert.Assert(t, !ok, "the host has to list again")
-	assert.Assert(t, len(r.kind("servers").steps) <= 2*100+2*mostGone)
-	listing, _, ok := r.since("servers", revision-200)
+	assert.Assert(t, len(r.kind("servers").history) <= 2*100+2*maxTombstones)
+	listing, _, ok := r.changesSince("servers", revision-200)
 	assert.Assert(t, ok)
 	last := map[string]bool{}
 	for _, object := range listing.Objects {
@@ -129,9 +129,9 @@
 
 // A list of thousands of servers is sent between hosts in compressed pages.
 func TestListsPassInPages(t *testing.T) {
-	const servers = 2*listPage + 10
+	const servers = 2*listPageSize + 10
 	source := New(Identity{Host: "source"}, Platform{}, logs.Discard())
-	source.relay.note("servers", entries(0, servers), true)
+	source.relay.update("servers", serverEntries(0, servers), true)
 	var pages, bodies int
 	handler := source.PeerHandler()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -146,19 +146,19 @@
 	}))
 	defer server.Close()
 	host := New(Identity{Host: "host"}, Platform{}, logs.Discard())
-	listing, _, err := host.relayedList(context.Background(), strings.TrimPrefix(server.URL, "http://"), "servers")
+	listing, _, err := host.listFromPeer(context.Background(), strings.TrimPrefix(server.URL, "http://"), "servers")
 	assert.NilError(t, err)
-	assert.DeepEqual(t, listing, entries(0, servers))
+	assert.DeepEqual(t, listing, serverEntries(0, servers))
 	assert.Equal(t, pages, 3)
 	assert.Assert(t, bodies < 100<<10, "%d bytes of a page", bodies)
 }
 
 // Guards against hosts of an earlier version that can't decode columns and would take an
 // answer for an empty one: they are refused, so that they call the store.
-func TestEarlierHostsAreNotTold(t *testing.T) {
+func TestEarlierHostsAreRefused(t *testing.T) {
 	g := New(Identity{Host: "h"}, Platform{}, logs.Discard())
-	g.relay.note("servers", entries(0, 3), true)
-	g.fresh.told(g.now(), wordOf(g.now(), "controller", nil))
+	g.relay.update("servers", serverEntries(0, 3), true)
+	g.fresh.acceptConfirmation(g.now(), confirmationFrom(g.now(), "controller", nil))
 	for path, body := range map[string]string{pathList: `{"kind":"servers"}`, pathWatch: `{"kind":"servers","revision":1,"waitMs":1}`} {
 		recorder := httptest.NewRecorder()
 		g.PeerHandler().ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, path, strings.NewReader(body)))
@@ -173,7 +173,7 @@
 		recorder := httptest.NewRecorder()
 		request := httptest.NewRequest(http.MethodPost, pathList, nil)
 		request.Header.Set("Accept-Encoding", accepted)
-		g.writePeer(recorder, request, entries(0, 100))
+		g.writePeer(recorder, request, serverEntries(0, 100))
 		body := recorder.Body.Bytes()
 		assert.Equal(t, recorder.Header().Get("Content-Encoding"), accepted)
 		if accepted != "" {
@@ -186,7 +186,7 @@
 		}
 		var got objects.Listing
 		assert.NilError(t, json.Unmarshal(body, &got))
-		assert.DeepEqual(t, got, entries(0, 100))
+		assert.DeepEqual(t, got, serverEntries(0, 100))
 	}
 }
 
@@ -196,7 +196,7 @@
 	forged := objects.Object{Kind: "servers", Name: "i-1", Revision: 1, Spec: []byte(`"s\t10.0.0.1:80\ta\t4\tready\t0\t0"`)}
 	reader := &entryReader{gateway: g, reported: map[string]uint64{}}
 	assert.Assert(t, !reader.read(forged).Unreadable, "as another host sends it")
-	listing := g.asPassedOn("servers", objects.Listing{Objects: []objects.Object{forged, entryOf(1)}})
+	listing := g.peerListing("servers", objects.Listing{Objects: []objects.Object{forged, serverEntry(1)}})
 	assert.Assert(t, reader.read(listing.Objects[0]).Unreadable, "as the registry holds it")
 	assert.Equal(t, reader.read(listing.Objects[1]).Service, "s")
 }
--- a/gateway/servers.go
+++ b/gateway/servers.go
@@ -12,8 +12,8 @@
 func (g *Gateway) followServers(ctx context.Context) {
 	reader := &entryReader{gateway: g, reported: map[string]uint64{}}
 	g.follow(ctx, follower{
-		kind: g.registry.Servers(), gather: gather,
-		replace: func(listing objects.Listing) {
+		kind: g.registry.Servers(), batchDelay: batchDelay,
+		onListing: func(listing objects.Listing) {
 			versions := make([]fleet.Version, 0, len(listing.Objects))
 			for _, object := range listing.Objects {
 				versions = append(versions, reader.read(object))
@@ -24,10 +24,10 @@
 			g.listed.Store(true)
 			g.directoryChanged()
 		},
-		change: func(listing objects.Listing) {
+		onChanges: func(listing objects.Listing) {
 			gone := 0
 			for _, object := range listing.Objects {
-				g.changeServer(reader, object)
+				g.applyServerChange(reader, object)
 				if object.Deleted {
 					gone++
 				}
@@ -35,26 +35,26 @@
 			g.log.Info("servers changed", "revision", listing.Revision, "entries", len(listing.Objects), "gone", gone)
 			g.directoryChanged()
 		},
-		away: g.registryAway,
+		onError: g.noteRegistryUnavailable,
 	})
 }
 
-// registryAway records that entries which are missing now may only not have been renewed,
+// noteRegistryUnavailable records that entries which are missing now may only not have been renewed,
 // since the store is unavailable. The prober calls it as well, since only the prober keeps
 // calling the store in that time.
-func (g *Gateway) registryAway(error) {
+func (g *Gateway) noteRegistryUnavailable(error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.directory.Away(g.now())
 }
 
-// changeServer applies one change of an entry.
-func (g *Gateway) changeServer(reader *entryReader, object objects.Object) {
+// applyServerChange applies one change of an entry.
+func (g *Gateway) applyServerChange(reader *entryReader, object objects.Object) {
 	if object.Deleted {
 		g.mu.Lock()
 		g.directory.Remove(g.now(), object.Name, object.Revision)
 		g.mu.Unlock()
-		if g.tellsEntries() {
+		if g.logsEntries() {
 			g.log.Info("server entry gone", "server", object.Name, "revision", object.Revision)
 		}
 		return
@@ -63,19 +63,19 @@
 	g.mu.Lock()
 	verdict := g.directory.Put(g.now(), version)
 	g.mu.Unlock()
-	if verdict == fleet.Taken && !g.tellsEntries() {
+	if verdict == fleet.Taken && !g.logsEntries() {
 		return
 	}
 	g.log.Info("server entry", "server", version.Incarnation().String(), "service", version.Service, "draining", version.Draining,
 		"unreadable", version.Unreadable, "revision", object.Revision, "verdict", verdict.String())
 }
 
-// tellsEntries reports whether this host logs a line for each entry. A host that follows
+// logsEntries reports whether this host logs a line for each entry. A host that follows
 // another one logs one line for several changes, with the revision by which the lines are
 // found in the logs of the hosts that follow the store: with a line for each entry on every
 // host, 295 hosts and 1,080 servers wrote four fifths of all lines, 216 MB in 27 s. An entry
 // that a host refuses is always logged.
-func (g *Gateway) tellsEntries() bool { return g.fresh.follows(g.now()) == "" }
+func (g *Gateway) logsEntries() bool { return g.fresh.currentSource(g.now()) == "" }
 
 // directoryChanged passes the directory's changes to the services and wakes the controller.
 func (g *Gateway) directoryChanged() {
@@ -95,9 +95,9 @@
 	}
 }
 
-// mostReported bounds the unreadable entries that are remembered as reported: any number of
+// maxReportedEntries bounds the unreadable entries that are remembered as reported: any number of
 // them may be written to the store.
-const mostReported = 1024
+const maxReportedEntries = 1024
 
 // entryReader decodes entries. Others may write to the store what is not a valid entry; each
 // version of such an entry is reported once, however often it is listed.
@@ -109,7 +109,7 @@
 // read returns the version of a server that an entry describes. A version that can't be
 // decoded is marked as unreadable.
 func (e *entryReader) read(object objects.Object) fleet.Version {
-	server, err := e.server(object)
+	server, err := e.decode(object)
 	if err == nil {
 		return fleet.Version{Server: server, Revision: object.Revision}
 	}
@@ -117,8 +117,8 @@
 	return fleet.Version{Server: fleet.Server{ID: object.Name}, Revision: object.Revision, Unreadable: true}
 }
 
-// server decodes an entry in the registry's format or in the text form that hosts exchange.
-func (e *entryReader) server(object objects.Object) (fleet.Server, error) {
+// decode decodes an entry in the registry's format or in the text form that hosts exchange.
+func (e *entryReader) decode(object objects.Object) (fleet.Server, error) {
 	if !isEntryText(object) {
 		return e.gateway.registry.Server(object)
 	}
@@ -134,7 +134,7 @@
 	if revision, known := e.reported[object.Name]; known && revision == object.Revision {
 		return
 	}
-	if len(e.reported) >= mostReported {
+	if len(e.reported) >= maxReportedEntries {
 		clear(e.reported)
 	}
 	e.reported[object.Name] = object.Revision
--- a/gateway/sources.go
+++ b/gateway/sources.go
@@ -13,65 +13,65 @@
 
 // Times and bounds of queries to relays.
 const (
-	// askEvery is the interval at which a host checks whether it has to query a relay.
-	askEvery = 100 * time.Millisecond
-	// askTimeout bounds a query: hosts answer within milliseconds.
-	askTimeout = 300 * time.Millisecond
-	// fewHosts is how many hosts may read the entries of all servers from the store at once.
-	fewHosts = 64
-	// askPause is the pause after no relay could confirm the state of the store: all of them
+	// relayQueryInterval is the interval at which a host checks whether it has to query a relay.
+	relayQueryInterval = 100 * time.Millisecond
+	// relayQueryTimeout bounds a query: hosts answer within milliseconds.
+	relayQueryTimeout = 300 * time.Millisecond
+	// maxDirectListHosts is how many hosts may read the entries of all servers from the store at once.
+	maxDirectListHosts = 64
+	// relayQueryPause is the pause after no relay could confirm the state of the store: all of them
 	// may be cut off together, or the store is unavailable for all.
-	askPause = 400 * time.Millisecond
+	relayQueryPause = 400 * time.Millisecond
 )
 
 // sources are the hosts that this one may follow or query when the controller does not answer.
 type sources struct {
 	self string // this host's address
-	// turn differs between hosts, so that they don't all start with the same relay.
-	turn int
+	// offset differs between hosts, so that they don't all start with the same relay.
+	offset int
 
 	mu sync.Mutex
-	// named are the relays that a controller named last, written the controller and relays
+	// fromController are the relays that a controller named last, written the controller and relays
 	// that an assignment in the store names. A host that has just started knows only the
 	// latter.
-	named, written []string
-	// hosts is how many hosts an assignment names, and serves is set if this host is a relay
+	fromController, fromAssignment []string
+	// assignedHosts is how many hosts an assignment names, and serves is set if this host is a relay
 	// by that assignment or its controller.
-	hosts  int
-	serves bool
+	assignedHosts int
+	isRelay       bool
 	// controller is the address of the controller that an assignment names. It is not queried
 	// as a relay, since all hosts report to it.
 	controller string
-	// follow is set if this host should follow a relay even while the controller answers.
-	follow bool
+	// followRelay is set if this host should follow a relay even while the controller answers.
+	followRelay bool
 	// seeds are the addresses from the settings, for a host that has just started and can't
 	// reach the store.
 	seeds  []string
 	next   int // index of the current candidate
-	missed int // consecutive candidates that could not help
+	misses int // consecutive candidates that could not help
 }
 
 // newSources returns the hosts that a host that has just started may ask: its seeds. While the
 // whole system starts for the first time there are none: no host knows more than stale reads
 // of the store return at a tenth of the cost, and hundreds of hosts would ask three seeds.
 func newSources(identity Identity) *sources {
-	s := &sources{self: identity.Peers, turn: int(hashOf(identity.Host))}
+	s := &sources{self: identity.Peers, offset: int(hashOf(identity.Host))}
 	if !identity.FirstStart {
 		s.seeds = identity.Seeds
 	}
 	return s
 }
 
-// name sets the relays that a controller named, and whether to follow one of them.
-func (s *sources) name(relays []string, follow bool) {
+// updateFromController sets the relays that a controller named, and whether to follow one of them.
+func (s *sources) updateFromController(relays []string, follow bool) {
 	if len(relays) == 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.follow = follow && !slices.Contains(relays, s.self)
-	if !slices.Equal(s.named, relays) {
-		s.named, s.next, s.missed = slices.Clone(relays), 0, 0
+	s.followRelay = follow && !slices.Contains(relays, s.self)
+	if !slices.Equal(s.fromController, relays) {
+		s.fromController, s.next, s.misses = slices.Clone(relays), 0, 0
 	}
 }
 
@@ -80,31 +80,31 @@
 func (s *sources) upstream(controller string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if relay := s.pick(); s.follow && relay != "" {
+	if relay := s.currentLocked(); s.followRelay && relay != "" {
 		return relay
 	}
 	return controller
 }
 
-// read takes the relays and the controller from an assignment.
-func (s *sources) read(controller keyspace.Controller) {
+// updateFromAssignment takes the relays and the controller from an assignment.
+func (s *sources) updateFromAssignment(controller keyspace.Controller) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hosts = max(s.hosts, controller.Hosts)
-	s.serves = controller.Address == s.self || slices.Contains(controller.Relays, s.self)
+	s.assignedHosts = max(s.assignedHosts, controller.Hosts)
+	s.isRelay = controller.Address == s.self || slices.Contains(controller.Relays, s.self)
 	relays := slices.Clone(controller.Relays)
 	if n := len(relays); n > 0 {
-		relays = slices.Concat(relays[s.turn%n:], relays[:s.turn%n])
+		relays = slices.Concat(relays[s.offset%n:], relays[:s.offset%n])
 	}
-	s.written, s.controller = append(relays, controller.Address), controller.Address
+	s.fromAssignment, s.controller = append(relays, controller.Address), controller.Address
 }
 
-// asksHosts reports whether this host should list the servers from other hosts when it starts:
+// listsFromHosts reports whether this host should list the servers from other hosts when it starts:
 // there are many hosts, and it is neither a relay nor the controller.
-func (s *sources) asksHosts() bool {
+func (s *sources) listsFromHosts() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.hosts > fewHosts && !s.serves
+	return s.assignedHosts > maxDirectListHosts && !s.isRelay
 }
 
 func (s *sources) controllerAddress() string {
@@ -113,25 +113,25 @@
 	return s.controller
 }
 
-// hostsNamed returns how many hosts an assignment names; 0 if none does.
-func (s *sources) hostsNamed() int {
+// hostCount returns how many hosts an assignment names; 0 if none does.
+func (s *sources) hostCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.hosts
+	return s.assignedHosts
 }
 
-// known reports whether there is a host to ask.
-func (s *sources) known() bool { return s.current() != "" }
+// hasCandidate reports whether there is a host to ask.
+func (s *sources) hasCandidate() bool { return s.current() != "" }
 
 // current returns the host to ask; empty if none is known.
 func (s *sources) current() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.pick()
+	return s.currentLocked()
 }
 
-// pick is current for callers that hold the lock.
-func (s *sources) pick() string {
+// currentLocked is current for callers that hold the lock.
+func (s *sources) currentLocked() string {
 	candidates := s.candidates()
 	if len(candidates) == 0 {
 		return ""
@@ -153,9 +153,9 @@
 // candidates returns the hosts to ask: those that a controller named, else those of an
 // assignment, else the seeds. The caller holds the lock.
 func (s *sources) candidates() []string {
-	candidates := s.named
+	candidates := s.fromController
 	if len(candidates) == 0 {
-		candidates = s.written
+		candidates = s.fromAssignment
 	}
 	if len(candidates) == 0 {
 		candidates = s.seeds
@@ -163,76 +163,76 @@
 	return slices.DeleteFunc(slices.Clone(candidates), func(address string) bool { return address == s.self || address == "" })
 }
 
-// miss records that the current host could not help and moves on to the next. It reports
+// noteMiss records that the current host could not help and moves on to the next. It reports
 // whether none of the candidates could.
-func (s *sources) miss() (all bool) {
+func (s *sources) noteMiss() (all bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.next++
-	s.missed++
-	if s.missed < len(s.candidates()) {
+	s.misses++
+	if s.misses < len(s.candidates()) {
 		return false
 	}
-	s.missed = 0
+	s.misses = 0
 	return true
 }
 
-// pass moves on to the next host if the host that failed is the current one.
-func (s *sources) pass(failed string) {
+// skip moves on to the next host if the host that failed is the current one.
+func (s *sources) skip(failed string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.pick() == failed {
+	if s.currentLocked() == failed {
 		s.next++
 	}
 }
 
-// found records that the current host confirmed the state of the store.
-func (s *sources) found() {
+// resetMisses records that the current host confirmed the state of the store.
+func (s *sources) resetMisses() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.missed = 0
+	s.misses = 0
 }
 
-// sourceQuestion asks a relay how recent its view of the store is.
-type sourceQuestion struct {
+// sourceRequest asks a relay how recent its view of the store is.
+type sourceRequest struct {
 	Host string `json:"host"`
 }
 
-// sourceAnswer tells how old a host's view of the store may be.
-type sourceAnswer struct {
+// sourceResponse tells how old a host's view of the store may be.
+type sourceResponse struct {
 	// AgeMs is that age in milliseconds.
 	AgeMs int64 `json:"ageMs"`
 	// Revisions are the revisions at which each watched kind last changed.
 	Revisions map[string]uint64 `json:"revisions"`
 }
 
-// followSources queries relays for a confirmation of the state of the store while no
+// queryRelays queries relays for a confirmation of the state of the store while no
 // controller sends one.
-func (g *Gateway) followSources(ctx context.Context) {
+func (g *Gateway) queryRelays(ctx context.Context) {
 	following := ""
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, askEvery)
+		clock.Sleep(ctx, relayQueryInterval)
 		now := g.now()
-		if !g.fresh.needsSource(now) && (following == "" || !g.fresh.renewal(now, following)) {
+		if !g.fresh.needsRelay(now) && (following == "" || !g.fresh.renewalDue(now, following)) {
 			continue
 		}
 		address := g.sources.relay()
 		if address == "" {
 			continue
 		}
-		answer, err := g.askSource(ctx, address)
+		answer, err := g.queryRelay(ctx, address)
 		age := time.Duration(answer.AgeMs) * time.Millisecond
-		if err != nil || age >= g.fresh.vouchedFor() {
+		if err != nil || age >= g.fresh.validFor() {
 			following = ""
-			if g.sources.miss() {
+			if g.sources.noteMiss() {
 				g.log.Info("no relay has the store's word", "last", address, "age-ms", answer.AgeMs, "error", errorText(err))
-				clock.Sleep(ctx, askPause)
+				clock.Sleep(ctx, relayQueryPause)
 			}
 			continue
 		}
-		g.sources.found()
-		g.reach.back() // the relay passes on what this host can't read from the store
-		behind := g.fresh.told(g.now(), word{confirmed: now - age, teller: address, source: address, revisions: answer.Revisions})
+		g.sources.resetMisses()
+		g.reach.markAvailable() // the relay passes on what this host can't read from the store
+		behind := g.fresh.acceptConfirmation(g.now(), confirmation{confirmedAt: now - age, sender: address, source: address, revisions: answer.Revisions})
 		if following != address || len(behind) > 0 {
 			g.log.Info("relay vouches for the store's state", "relay", address, "age-ms", answer.AgeMs, "behind", behind)
 		}
@@ -240,18 +240,18 @@
 	}
 }
 
-func (g *Gateway) askSource(ctx context.Context, address string) (sourceAnswer, error) {
-	var answer sourceAnswer
-	err := g.askPeer(ctx, askTimeout, address, pathSource, sourceQuestion{Host: g.identity.Host}, &answer)
+func (g *Gateway) queryRelay(ctx context.Context, address string) (sourceResponse, error) {
+	var answer sourceResponse
+	err := g.askPeer(ctx, relayQueryTimeout, address, pathSource, sourceRequest{Host: g.identity.Host}, &answer)
 	return answer, err
 }
 
-// answerSource handles a query to this host as a relay.
-func (g *Gateway) answerSource(w http.ResponseWriter, r *http.Request) {
-	var question sourceQuestion
+// handleSource handles a query to this host as a relay.
+func (g *Gateway) handleSource(w http.ResponseWriter, r *http.Request) {
+	var question sourceRequest
 	if !g.readPeer(w, r, &question) {
 		return
 	}
-	age, revisions := g.fresh.question(g.now())
-	g.writePeer(w, r, sourceAnswer{AgeMs: age.Milliseconds(), Revisions: revisions})
+	age, revisions := g.fresh.noteRelayQuery(g.now())
+	g.writePeer(w, r, sourceResponse{AgeMs: age.Milliseconds(), Revisions: revisions})
 }
--- a/gateway/sources_test.go
+++ b/gateway/sources_test.go
@@ -53,21 +53,21 @@
 func TestWhomAHostAsks(t *testing.T) {
 	s := newSources(Identity{Peers: "self", Seeds: []string{"self", "seed"}})
 	assert.Equal(t, s.current(), "seed")
-	s.read(keyspace.Controller{Address: "controller", Relays: []string{"written"}})
+	s.updateFromAssignment(keyspace.Controller{Address: "controller", Relays: []string{"written"}})
 	assert.Equal(t, s.current(), "written")
-	assert.Assert(t, !s.miss())
+	assert.Assert(t, !s.noteMiss())
 	assert.Equal(t, s.current(), "controller")
-	assert.Assert(t, s.miss(), "all have been asked")
-	s.name([]string{"near", "self", "far"}, true)
+	assert.Assert(t, s.noteMiss(), "all have been asked")
+	s.updateFromController([]string{"near", "self", "far"}, true)
 	assert.Equal(t, s.current(), "near")
 	assert.Equal(t, s.upstream("controller"), "controller", "a relay follows the controller itself")
-	s.name([]string{"near", "far"}, true)
+	s.updateFromController([]string{"near", "far"}, true)
 	assert.Equal(t, s.upstream("controller"), "near")
-	s.pass("near")
+	s.skip("near")
 	assert.Equal(t, s.upstream("controller"), "far")
-	s.pass("near")
+	s.skip("near")
 	assert.Equal(t, s.upstream("controller"), "far")
-	s.name([]string{"near", "far"}, false)
+	s.updateFromController([]string{"near", "far"}, false)
 	assert.Equal(t, s.upstream("controller"), "controller")
 
 	assert.Equal(t, newSources(Identity{Seeds: []string{"seed"}, FirstStart: true}).current(), "")
@@ -77,63 +77,63 @@
 // confirmation is missed. When the controller goes silent and its confirmation grows old, a
 // queried relay watches the store with short waits, and its confirmation counts like the
 // controller's.
-func TestRelayTakesTheControllersPlace(t *testing.T) {
+func TestRelayReplacesSilentController(t *testing.T) {
 	const silent = 10 * time.Second
 	relay, host := newFreshness(0), newFreshness(0)
 	for _, f := range []*freshness{&relay, &host} {
-		f.known("things", 5, true)
-		f.told(silent-relayAfter, wordOf(silent-relayAfter, "controller", nil))
+		f.noteRevision("things", 5, true)
+		f.acceptConfirmation(silent-relayQueryAge, confirmationFrom(silent-relayQueryAge, "controller", nil))
 	}
-	assert.Assert(t, !host.needsSource(silent))
-	_, watching := plan(&relay, "things", silent)
+	assert.Assert(t, !host.needsRelay(silent))
+	_, watching := beginTestWatch(&relay, "things", silent)
 	now := silent + 10*time.Millisecond
-	assert.Assert(t, host.needsSource(now))
+	assert.Assert(t, host.needsRelay(now))
 
 	// The relay is queried. It cancels its watch of the controller and watches the store.
-	age, _ := relay.question(now)
-	assert.Assert(t, age > relayAfter)
+	age, _ := relay.noteRelayQuery(now)
+	assert.Assert(t, age > relayQueryAge)
 	assert.Assert(t, watching.Err() != nil)
-	made, _ := plan(&relay, "things", now)
-	assert.Equal(t, made, watchPlan{wait: awayWatch})
-	relay.touch("things", now)
-	made, _ = plan(&relay, "things", now+awayWatch)
-	assert.Equal(t, made, watchPlan{wait: relayTurn})
+	made, _ := beginTestWatch(&relay, "things", now)
+	assert.Equal(t, made, watchPlan{wait: probeWatchWait})
+	relay.noteStoreRead("things", now)
+	made, _ = beginTestWatch(&relay, "things", now+probeWatchWait)
+	assert.Equal(t, made, watchPlan{wait: relayWatchWait})
 
 	// It is queried again, and confirms the state of the store.
-	now += askEvery
-	age, revisions := relay.question(now)
-	assert.Equal(t, age, askEvery)
-	assert.Assert(t, relay.serves(now))
-	host.told(now, word{confirmed: now - age, teller: "relay", source: "relay", revisions: revisions})
-	made, _ = plan(&host, "things", silent+time.Second)
-	assert.Equal(t, made, watchPlan{wait: longWatch, source: "relay"})
+	now += relayQueryInterval
+	age, revisions := relay.noteRelayQuery(now)
+	assert.Equal(t, age, relayQueryInterval)
+	assert.Assert(t, relay.canServe(now))
+	host.acceptConfirmation(now, confirmation{confirmedAt: now - age, sender: "relay", source: "relay", revisions: revisions})
+	made, _ = beginTestWatch(&host, "things", silent+time.Second)
+	assert.Equal(t, made, watchPlan{wait: longWatchWait, source: "relay"})
 
 	// When nobody queries it any more, it queries others itself.
-	now += relayFor + askEvery
-	assert.Assert(t, relay.needsSource(now))
-	assert.Assert(t, !relay.serves(now))
+	now += relayIdleTimeout + relayQueryInterval
+	assert.Assert(t, relay.needsRelay(now))
+	assert.Assert(t, !relay.canServe(now))
 }
 
 // A host whose source fails waits for another source while the last confirmation counts, and
 // then watches the store.
-func TestHostWaitsForASourceWhileTheLastWordCounts(t *testing.T) {
+func TestHostWaitsForSourceWhileConfirmationValid(t *testing.T) {
 	f := newFreshness(0)
-	f.told(0, wordOf(0, "controller", nil))
-	f.failed("controller")
-	assert.Assert(t, f.needsSource(time.Millisecond))
+	f.acceptConfirmation(0, confirmationFrom(0, "controller", nil))
+	f.noteSourceFailure("controller")
+	assert.Assert(t, f.needsRelay(time.Millisecond))
 	begin := func(now time.Duration, relays bool) watchPlan {
-		_, cancel, made := f.begin(t.Context(), "things", now, relays)
+		_, cancel, made := f.beginWatch(t.Context(), "things", now, relays)
 		cancel()
 		return made
 	}
 	made := begin(time.Second, true)
-	assert.Assert(t, made.news != nil)
-	assert.Equal(t, made.wait, f.vouchedFor()-time.Second)
-	assert.Equal(t, begin(time.Second, false), watchPlan{wait: f.shortWatch()}, "there is no host to ask")
-	assert.Equal(t, begin(f.vouchedFor(), true), watchPlan{wait: f.shortWatch()})
-	f.told(time.Second, wordOf(time.Second, "relay", nil))
-	<-made.news
-	assert.Equal(t, begin(time.Second, true), watchPlan{wait: longWatch, source: "relay"})
+	assert.Assert(t, made.confirmationArrived != nil)
+	assert.Equal(t, made.wait, f.validFor()-time.Second)
+	assert.Equal(t, begin(time.Second, false), watchPlan{wait: f.shortWait()}, "there is no host to ask")
+	assert.Equal(t, begin(f.validFor(), true), watchPlan{wait: f.shortWait()})
+	f.acceptConfirmation(time.Second, confirmationFrom(time.Second, "relay", nil))
+	<-made.confirmationArrived
+	assert.Equal(t, begin(time.Second, true), watchPlan{wait: longWatchWait, source: "relay"})
 }
 
 // Guards against hosts that keep old owners of keys for seconds although the controller has
@@ -144,25 +144,25 @@
 func TestLateReportMakesNobodyLeaveTheController(t *testing.T) {
 	const told = 5 * time.Second
 	f := newFreshness(0)
-	f.known("things", 5, true)
-	f.told(told, wordOf(told-600*time.Millisecond, "controller", nil))
-	_, watching := plan(&f, "things", told)
+	f.noteRevision("things", 5, true)
+	f.acceptConfirmation(told, confirmationFrom(told-600*time.Millisecond, "controller", nil))
+	_, watching := beginTestWatch(&f, "things", told)
 	late := told + 610*time.Millisecond // 10 ms after the confirmation is 1.2 s old
-	assert.Assert(t, !f.needsSource(late))
-	f.question(late)
+	assert.Assert(t, !f.needsRelay(late))
+	f.noteRelayQuery(late)
 	assert.NilError(t, watching.Err())
 
 	// The next confirmation is overdue, and the relay watches the store.
-	overdue := told + nextWord + time.Millisecond
-	assert.Assert(t, f.needsSource(overdue))
-	f.question(overdue)
+	overdue := told + confirmationOverdueAfter + time.Millisecond
+	assert.Assert(t, f.needsRelay(overdue))
+	f.noteRelayQuery(overdue)
 	assert.Assert(t, watching.Err() != nil)
-	made, watching := plan(&f, "things", overdue)
-	assert.Equal(t, made, watchPlan{wait: awayWatch})
-	f.told(overdue+time.Millisecond, wordOf(overdue, "controller", nil))
+	made, watching := beginTestWatch(&f, "things", overdue)
+	assert.Equal(t, made, watchPlan{wait: probeWatchWait})
+	f.acceptConfirmation(overdue+time.Millisecond, confirmationFrom(overdue, "controller", nil))
 	assert.Assert(t, watching.Err() != nil, "the watch of the store was not canceled")
-	made, _ = plan(&f, "things", overdue+time.Millisecond)
-	assert.Equal(t, made, watchPlan{wait: longWatch, source: "controller"})
+	made, _ = beginTestWatch(&f, "things", overdue+time.Millisecond)
+	assert.Equal(t, made, watchPlan{wait: longWatchWait, source: "controller"})
 }
 
 // Guards against a request that reaches a server 2.1 s after the store knew that it leaves.
@@ -171,15 +171,15 @@
 // the controller, it would learn of it only with the relay's next confirmation, 0.5 s later.
 func TestWatchMovesToTheNewSource(t *testing.T) {
 	f := newFreshness(0)
-	f.told(0, wordOf(0, "controller", nil))
-	made, watching := plan(&f, "things", 0)
+	f.acceptConfirmation(0, confirmationFrom(0, "controller", nil))
+	made, watching := beginTestWatch(&f, "things", 0)
 	assert.Equal(t, made.source, "controller")
-	f.told(time.Second, wordOf(time.Second, "controller", nil))
+	f.acceptConfirmation(time.Second, confirmationFrom(time.Second, "controller", nil))
 	assert.NilError(t, watching.Err())
-	f.told(2*time.Second, word{confirmed: 2 * time.Second, teller: "controller", source: "relay"})
+	f.acceptConfirmation(2*time.Second, confirmation{confirmedAt: 2 * time.Second, sender: "controller", source: "relay"})
 	assert.NilError(t, watching.Err(), "a watch at the controller is as good as one at a relay that follows it")
-	f.told(3*time.Second, wordOf(3*time.Second, "relay", nil))
+	f.acceptConfirmation(3*time.Second, confirmationFrom(3*time.Second, "relay", nil))
 	assert.Assert(t, watching.Err() != nil)
-	made, _ = plan(&f, "things", 3*time.Second)
+	made, _ = beginTestWatch(&f, "things", 3*time.Second)
 	assert.Equal(t, made.source, "relay")
 }
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -15,7 +15,7 @@
 	}
 	duties.Go(func() { g.followAssignments(ctx) })
 	duties.Go(func() { g.runControl(ctx) })
-	duties.Go(func() { g.followSources(ctx) })
-	duties.Go(func() { g.tellStoreCalls(ctx) })
+	duties.Go(func() { g.queryRelays(ctx) })
+	duties.Go(func() { g.logStoreCalls(ctx) })
 	return &duties
 }
--- a/gateway/watchplan.go
+++ b/gateway/watchplan.go
@@ -10,49 +10,49 @@
 	wait time.Duration
 	// source is the host to watch; empty for the store.
 	source string
-	// news is set if the host should wait for a confirmation in place of watching; it is
+	// confirmationArrived is set if the host should wait for a confirmation in place of watching; it is
 	// closed when one arrives.
-	news <-chan struct{}
+	confirmationArrived <-chan struct{}
 }
 
-// begin returns the context and the plan for the next watch of a kind. hasRelays tells whether
+// beginWatch returns the context and the plan for the next watch of a kind. hasRelays tells whether
 // there are relays that could be queried.
-func (f *freshness) begin(ctx context.Context, name string, now time.Duration, hasRelays bool) (context.Context, context.CancelFunc, watchPlan) {
+func (f *freshness) beginWatch(ctx context.Context, name string, now time.Duration, hasRelays bool) (context.Context, context.CancelFunc, watchPlan) {
 	ctx, cancel := context.WithCancel(ctx)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	state := f.kind(name)
-	plan := f.plan(state, name, now, hasRelays)
-	state.source, state.cancel = plan.source, cancel
-	state.long = f.trusted(name, now)
+	plan := f.planWatch(state, name, now, hasRelays)
+	state.source, state.cancelWatch = plan.source, cancel
+	state.isLong = f.mayWaitLong(name, now)
 	return ctx, cancel, plan
 }
 
-// plan chooses the source and the wait of a watch. The caller holds the lock.
-func (f *freshness) plan(state *kindState, name string, now time.Duration, hasRelays bool) watchPlan {
+// planWatch chooses the source and the wait of a watch. The caller holds the lock.
+func (f *freshness) planWatch(state *kindState, name string, now time.Duration, hasRelays bool) watchPlan {
 	switch {
-	case f.leads && name == Assignments:
-		return watchPlan{wait: longWatch}
-	case f.leads:
-		return watchPlan{wait: f.shortWatch()}
-	case f.relaying(now) && f.doubtful(now):
-		if now-state.contact > 2*relayTurn {
-			return watchPlan{wait: awayWatch} // other hosts wait for this relay's confirmation
+	case f.controlling && name == Assignments:
+		return watchPlan{wait: longWatchWait}
+	case f.controlling:
+		return watchPlan{wait: f.shortWait()}
+	case f.isRelay(now) && f.confirmationOverdue(now):
+		if now-state.storeReadAt > 2*relayWatchWait {
+			return watchPlan{wait: probeWatchWait} // other hosts wait for this relay's confirmation
 		}
-		return watchPlan{wait: relayTurn}
-	case f.starting(now) && hasRelays && now < firstSource:
-		return watchPlan{wait: firstSource - now, news: f.news}
-	case f.starting(now):
-		return watchPlan{wait: firstWatch}
-	case !f.trusted(name, now):
-		return watchPlan{wait: f.shortWatch()}
+		return watchPlan{wait: relayWatchWait}
+	case f.startingUp(now) && hasRelays && now < startupRelayWait:
+		return watchPlan{wait: startupRelayWait - now, confirmationArrived: f.confirmationArrived}
+	case f.startingUp(now):
+		return watchPlan{wait: startupWatchWait}
+	case !f.mayWaitLong(name, now):
+		return watchPlan{wait: f.shortWait()}
 	case f.source == "" && hasRelays:
-		return watchPlan{wait: f.vouched + f.vouchedFor() - now, news: f.news}
+		return watchPlan{wait: f.confirmedAt + f.validFor() - now, confirmationArrived: f.confirmationArrived}
 	case f.source == "":
-		return watchPlan{wait: f.shortWatch()}
+		return watchPlan{wait: f.shortWait()}
 	}
-	if state.direct {
-		return watchPlan{wait: longWatch, source: f.teller}
+	if state.bypassRelay {
+		return watchPlan{wait: longWatchWait, source: f.sender}
 	}
-	return watchPlan{wait: longWatch, source: f.source}
+	return watchPlan{wait: longWatchWait, source: f.source}
 }
--- a/tools/mutants/era.go
+++ b/tools/mutants/era.go
@@ -5,7 +5,7 @@
 	keys := breaking("keyspace", "NoKey|Forg")
 	wire := breaking("platform", ".")
 	entries := breaking("fleet", ".")
-	host := breaking("gateway", "CameBack|ForgetsIt|ForgetsThem|KeyView")
+	host := breaking("gateway", "RestoredStore|StoreRestore|KeyView")
 	return []mutant{
 		keys("era.go", "trust a record of an earlier era", "return r.Era == 0 || r.Era > era", "return true"),
 		keys("era.go", "take the holders as complete after the store lost some", "		at.Former = append(at.Former, Holder{Server: unknownServer, Token: r.LastToken})\n", ""),
@@ -24,7 +24,7 @@
 		entries("evacuation.go", "keep a lost evacuation forever", "known.forgotten && now-known.forgottenAt >= forgottenKept", "false"),
 		host("keyview.go", "take an earlier record as the newest", "if v.forgotten && record.OlderThan(v.record) {", "if false {"),
 		host("era.go", "do not write a lost record again", "	c.machine.Forgotten(era)\n", ""),
-		breaking("gateway", "RelayTellsNo")("relay.go", "send changes since a revision of an earlier era", "if revision.Era(after) < revision.Era(known.revision) {", "if false {"),
+		breaking("gateway", "AcrossEras")("relay.go", "send changes since a revision of an earlier era", "if revision.Era(after) < revision.Era(known.revision) {", "if false {"),
 		host("follow.go", "list from a host that is in an earlier era", "revision.Era(listing.Revision) < g.era.Load()", "false"),
 	}
 }
--- a/tools/mutants/scale.go
+++ b/tools/mutants/scale.go
@@ -3,7 +3,7 @@
 // scaleMutants break the rules that keep a host's costs from growing with the fleet.
 func scaleMutants() []mutant {
 	choice := breaking("balance", "Choice|LastServer|Roster")
-	host := breaking("gateway", "CostOfAChange|ServerOfAnother|FarBehind|RelayTellsDeletions|ListsPass|FollowersGrow|NamedAnew|FirstReports|Reserves|OneHostReads|FirstAssignment|EarlierHosts|SlowCallers|ReadAhead|ThoughItsCaller")
+	host := breaking("gateway", "CostOfAChange|ServerOfAnother|FarBehind|RelayReportsDeletions|ListsPass|FollowersGrow|NamedAnew|FirstReports|Reserves|OneHostReads|FirstAssignment|EarlierHosts|SlowCallers|ReadAhead|ThoughItsCaller")
 	keys := breaking("keyspace", "FirstClaim|FirstAssignment|CallsToThousands|SlowAnswers|RecordsAre|ColumnsThat")
 	entries := breaking("fleet", "Changes|Entries|Texts")
 	return []mutant{
@@ -14,16 +14,16 @@
 		entries("fleet.go", "keep entries that came back among those that expire", "	delete(d.fading, version.ID)\n	d.Touch", "	d.fading[version.ID] = known\n	d.Touch"),
 		entries("text.go", "drop the draining state of a server", "	if s.Draining {\n		state = entryDraining\n	}\n", ""),
 		host("gateway.go", "give a service the servers of others", "		if server.Service != service {", "		if false {"),
-		host("relay.go", "keep all deletions", "	forget := k.gone - mostGone", "	forget := 0"),
-		host("relay.go", "drop deletions without moving the start of the history", "			k.floor = max(k.floor, step.listed)\n", ""),
-		host("relay.go", "send all changes in one answer", "		if i >= mostTold && step", "		if false && step"),
+		host("relay.go", "keep all deletions", "	forget := k.tombstones - maxTombstones", "	forget := 0"),
+		host("relay.go", "drop deletions without moving the start of the history", "			k.historyStart = max(k.historyStart, step.listingRevision)\n", ""),
+		host("relay.go", "send all changes in one answer", "		if i >= maxChangesPerAnswer && step", "		if false && step"),
 		host("relay.go", "repeat the last object of a page", "	if found {\n		from++\n	}\n", "	_ = found\n"),
 		host("relay.go", "answer earlier hosts in a form that they can't decode", "	if !ok || !request.Columns {", "	if !ok {"),
 		host("members.go", "choose at most two relays per domain", "	return max(relaysPerDomain, int", "	return min(relaysPerDomain, int"),
 		host("members.go", "choose relays only once a second", " && len(m.hosts) < 2*m.chosenOf", ""),
 		host("control.go", "report to a new controller at once", "	return turnWithin(spread, g.identity.Host+c.service.name)\n", "	return 0 * spread\n"),
 		host("retries.go", "give each host the retry reserve of a small fleet", "	most := min(max(each/2, leastRetryReserve), mostRetryReserve)", "	most := float64(mostRetryReserve)"),
-		host("firstservers.go", "read the entries from the store", "	until := g.now() + hostsWait + g.storeTurn()\n", "	until := g.now()\n"),
+		host("firstservers.go", "read the entries from the store", "	until := g.now() + peerListWait + g.storeReadDelay()\n", "	until := g.now()\n"),
 		host("control.go", "assign keys only to the servers that register first", "	if now-c.countedAt < firstWait && now-c.led < longest {", "	if now-c.countedAt < 0 && now-c.led < longest {"),
 		host("readahead.go", "buffer whatever callers do not read", "		case a.held+readAheadChunk <= mostReadAhead && a.quota.take(readAheadChunk):", "		case true:"),
 		host("readahead.go", "keep the buffer space of a caller that left", "	a.give(a.held)\n", ""),
