--- a/gateway/deltas.go
+++ b/gateway/deltas.go
@@ -20,14 +20,14 @@
 const (
 	// minDeltaDocument is the size in bytes from which on a document is sent as a delta.
 	minDeltaDocument = 1 << 10
-	// maxDocumentSmallHost is the size in bytes from which on a document or delta is not sent: the receiver
-	// reads the document from the store. A small controller that sent a configuration of 1,400
-	// routes to 75 other hosts kept its link and processor busy for seconds, in which these
-	// missed changes. Large hosts send what fits in a body.
+	// maxDocumentSmallHost is the size in bytes from which on a small host doesn't send a
+	// document or delta: the receiver reads the document from the store. A small controller
+	// that sent a configuration of 1,400 routes to 75 other hosts kept its link and processor
+	// busy for seconds, in which these missed changes. Large hosts send what fits in a body.
 	maxDocumentSmallHost = 64 << 10
 	maxDocumentLargeHost = mostPeerBody / 2
-	// maxCachedDeltas bounds the cached deltas: nearly all hosts have the version before the last
-	// and ask for the same delta.
+	// maxCachedDeltas bounds the cached deltas: nearly all hosts have the version before the
+	// last and ask for the same delta.
 	maxCachedDeltas = 8
 )
 
@@ -40,7 +40,7 @@
 	InStore []string `json:"inStore,omitempty"`
 }
 
-// watchResponseWire is the JSON form of a watchAnswer.
+// watchResponseWire is the JSON form of a watchResponse.
 type watchResponseWire struct {
 	columns
 	Deltas  []documentDelta `json:"deltas,omitempty"`
@@ -72,8 +72,8 @@
 	Delta    *delta.Delta `json:"delta"`
 }
 
-// documentError reports a delta to a version that this host does not have, or a document that it
-// could not read from the store.
+// documentError reports a delta to a version that this host does not have, or a document that
+// it could not read from the store.
 type documentError struct {
 	Name        string
 	Base, Known uint64
@@ -104,7 +104,8 @@
 
 // deltaCache makes deltas for other hosts and caches them, so that each is made once.
 type deltaCache struct {
-	// maxDocument is the size in bytes from which on a host has to read a document from the store.
+	// maxDocument is the size in bytes from which on a document is not sent, but has to be
+	// read from the store.
 	maxDocument int
 	mu          sync.Mutex
 	cached      map[deltaKey]cachedDelta
@@ -119,31 +120,31 @@
 
 // encode returns the answer for a host that knows the kind up to a revision. Deltas replace
 // the large documents of which the host has an earlier version.
-func (d *deltaCache) encode(relay *relayCache, kind string, listing objects.Listing, known uint64) *watchResponse {
+func (d *deltaCache) encode(cache *relayCache, kind string, listing objects.Listing, known uint64) *watchResponse {
 	answer := &watchResponse{Listing: objects.Listing{Revision: listing.Revision}}
 	for _, object := range listing.Objects {
 		if object.Deleted || len(object.Spec) < minDeltaDocument {
 			answer.Objects = append(answer.Objects, object)
 			continue
 		}
-		base, ok := relay.versionAt(kind, object.Name, known)
+		base, ok := cache.versionAt(kind, object.Name, known)
 		if !ok {
 			answer.addWhole(object, d.maxDocument)
 			continue
 		}
-		made := d.get(kind, base, object)
-		if made.encodedBytes >= min(d.maxDocument, len(object.Spec)) {
+		cached := d.get(kind, base, object)
+		if cached.encodedBytes >= min(d.maxDocument, len(object.Spec)) {
 			answer.addWhole(object, d.maxDocument)
 			continue
 		}
-		answer.Deltas = append(answer.Deltas, documentDelta{Name: object.Name, Base: base.Revision, Revision: object.Revision, Delta: made.delta})
+		answer.Deltas = append(answer.Deltas, documentDelta{Name: object.Name, Base: base.Revision, Revision: object.Revision, Delta: cached.delta})
 	}
 	return answer
 }
 
 // addWhole adds a whole document, or only its name if it is too large to send.
-func (a *watchResponse) addWhole(object objects.Object, long int) {
-	if len(object.Spec) >= long {
+func (a *watchResponse) addWhole(object objects.Object, maxDocument int) {
+	if len(object.Spec) >= maxDocument {
 		a.InStore = append(a.InStore, object.Name)
 		return
 	}
@@ -155,35 +156,35 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	key := deltaKey{kind: kind, name: object.Name, base: base.Revision, revision: object.Revision}
-	if made, known := d.cached[key]; known {
-		return made
+	if cached, known := d.cached[key]; known {
+		return cached
 	}
 	if d.cached == nil || len(d.cached) >= maxCachedDeltas {
 		d.cached = map[deltaKey]cachedDelta{}
 	}
-	made := cachedDelta{delta: delta.Make(base.Spec, object.Spec), encodedBytes: math.MaxInt}
-	if encoded, err := json.Marshal(made.delta); err == nil {
-		made.encodedBytes = len(encoded)
+	cached := cachedDelta{delta: delta.Make(base.Spec, object.Spec), encodedBytes: math.MaxInt}
+	if encoded, err := json.Marshal(cached.delta); err == nil {
+		cached.encodedBytes = len(encoded)
 	}
-	d.cached[key] = made
-	return made
+	d.cached[key] = cached
+	return cached
 }
 
-// expandDeltas applies an answer's deltas, reads the documents it only names from the store, and
-// returns the changes with whole documents. It fails with an *unfitError if that is impossible
-// for one of them.
+// expandDeltas applies an answer's deltas, reads the documents it only names from the store,
+// and returns the changes with whole documents. It fails with a *documentError if that is
+// impossible for one of them.
 func (g *Gateway) expandDeltas(ctx context.Context, kind string, answer *watchResponse) (objects.Listing, error) {
 	listing := answer.Listing
-	for _, each := range answer.Deltas {
-		base, _ := g.relay.versionAt(kind, each.Name, math.MaxUint64)
-		if base.Revision != each.Base || each.Delta == nil {
-			return objects.Listing{}, &documentError{Name: each.Name, Base: each.Base, Known: base.Revision, Cause: errBaseMismatch}
+	for _, changed := range answer.Deltas {
+		base, _ := g.relay.versionAt(kind, changed.Name, math.MaxUint64)
+		if base.Revision != changed.Base || changed.Delta == nil {
+			return objects.Listing{}, &documentError{Name: changed.Name, Base: changed.Base, Known: base.Revision, Cause: errBaseMismatch}
 		}
-		spec, err := each.Delta.Apply(base.Spec)
+		spec, err := changed.Delta.Apply(base.Spec)
 		if err != nil {
-			return objects.Listing{}, &documentError{Name: each.Name, Base: each.Base, Known: base.Revision, Cause: err}
+			return objects.Listing{}, &documentError{Name: changed.Name, Base: changed.Base, Known: base.Revision, Cause: err}
 		}
-		listing.Objects = append(listing.Objects, objects.Object{Kind: kind, Name: each.Name, Revision: each.Revision, Spec: spec})
+		listing.Objects = append(listing.Objects, objects.Object{Kind: kind, Name: changed.Name, Revision: changed.Revision, Spec: spec})
 	}
 	for _, name := range answer.InStore {
 		object, err := g.store.Get(ctx, kind, name)
--- a/gateway/deltas_test.go
+++ b/gateway/deltas_test.go
@@ -36,7 +36,7 @@
 	return objects.Object{Kind: "documents", Name: "d", Revision: revision, Spec: spec}
 }
 
-// relayWithVersions returns a relay that has read three versions of a document.
+// relayWithVersions returns a cache that has read three versions of a document.
 func relayWithVersions(routes int) *relayCache {
 	r := &relayCache{}
 	r.update("documents", canonicalListing(objects.Listing{Revision: 5, Objects: []objects.Object{stored(4, document(routes, 0))}}), true)
--- a/gateway/era.go
+++ b/gateway/era.go
@@ -20,10 +20,10 @@
 	}
 }
 
-// rewriteLostAssignment handles a store that has been restored from a backup and holds an earlier version of
-// a controller's record or none. It reports whether that is so, and has the controller write
-// the record again. A controller whose authority has expired steps down instead: a successor,
-// of which the store has no record either, may have moved keys.
+// rewriteLostAssignment handles a store that has been restored from a backup and holds an
+// earlier version of a controller's record or none. It reports whether that is so, and has the
+// controller write the record again. A controller whose authority has expired steps down
+// instead: a successor, of which the store has no record either, may have moved keys.
 func (g *Gateway) rewriteLostAssignment(c *controller, found objects.Object, now time.Duration) bool {
 	era := g.era.Load()
 	if found.Revision > 0 {
--- a/gateway/era_test.go
+++ b/gateway/era_test.go
@@ -13,10 +13,10 @@
 	"cicadarouter/platform/platformtest"
 )
 
-// restoreFromBackup makes a backup of the store, calls lose, and restores the store from the backup after
-// an outage, so that what lose wrote is lost. Calling again repeats those writes of operators
-// and servers.
-func (s *site) restoreFromBackup(lose func()) (again func()) {
+// restoreFromBackup makes a backup of the store, calls lose, and restores the store from the
+// backup after an outage, so that what lose wrote is lost. Calling rewrite repeats those
+// writes of operators and servers.
+func (s *site) restoreFromBackup(lose func()) (rewrite func()) {
 	s.t.Helper()
 	s.store.Copy()
 	lose()
@@ -29,8 +29,8 @@
 	}
 }
 
-// advanceRevisions makes a number of changes that are not repeated after the store is restored, so that
-// its revisions are far ahead of the backup's.
+// advanceRevisions makes a number of changes that are not repeated after the store is
+// restored, so that its revisions are far ahead of the backup's.
 func (s *site) advanceRevisions(changes int) {
 	s.t.Helper()
 	for i := range changes {
@@ -77,32 +77,32 @@
 // its entry that says so.
 func TestLeavingServerStaysUnusedAfterStoreRestore(t *testing.T) {
 	s := limitSite(t, 2)
-	var left int
-	again := s.restoreFromBackup(func() {
+	var servedBefore int
+	rewrite := s.restoreFromBackup(func() {
 		s.register("f1", "free", s.addresses["f1"], "draining")
 		s.register("k1", "owned", s.addresses["k1"], "draining")
 		s.waitUnused("f1", "/free/x")
 		s.waitUnused("k1", "/keyed/x")
-		left = len(s.servers["f1"].Runs()) + len(s.servers["k1"].Runs())
+		servedBefore = len(s.servers["f1"].Runs()) + len(s.servers["k1"].Runs())
 	})
 	s.play(limitedLoad{path: "/free/", callers: 4, length: time.Second})
 	s.play(limitedLoad{path: "/keyed/", callers: 4, length: time.Second})
-	again()
+	rewrite()
 	s.play(limitedLoad{path: "/keyed/", callers: 4, length: time.Second})
-	assert.Equal(t, len(s.servers["f1"].Runs())+len(s.servers["k1"].Runs()), left)
+	assert.Equal(t, len(s.servers["f1"].Runs())+len(s.servers["k1"].Runs()), servedBefore)
 }
 
 // Guards against the loss of assignments that the restored store does not hold: two servers
 // could hold a key, a token could be issued twice, or requests could be rejected.
 func TestAssignmentsSurviveStoreRestore(t *testing.T) {
-	for name, play := range map[string]struct{ controllerLost bool }{
+	for name, test := range map[string]struct{ controllerLost bool }{
 		"the controller goes on":                 {},
 		"the controller is lost with the record": {controllerLost: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := limitSite(t, 3)
 			before, _ := s.record()
-			again := s.restoreFromBackup(func() {
+			rewrite := s.restoreFromBackup(func() {
 				s.serve("k4", "owned", true)
 				s.register("k1", "owned", s.addresses["k1"], "draining")
 				s.waitUnused("k1", "/keyed/x")
@@ -110,13 +110,14 @@
 					s.play(limitedLoad{path: "/keyed/", callers: 4, length: 200 * time.Millisecond})
 					return len(s.servers["k4"].Runs()) > 0
 				})
-				if play.controllerLost {
+				if test.controllerLost {
 					s.killController()
 				}
 			})
-			again()
-			if play.controllerLost {
-				// Its keys stay unassigned until all leases that it may have granted have expired.
+			rewrite()
+			if test.controllerLost {
+				// Its keys stay unassigned until all leases that it may have granted have
+				// expired.
 				s.eventually("another controller has written the assignment", func() bool {
 					record, ok := s.record()
 					return ok && record.Era > before.Era
--- a/gateway/firstservers.go
+++ b/gateway/firstservers.go
@@ -14,18 +14,18 @@
 // a host that starts lists them from a host that already has them.
 
 const (
-	// peerListWait is how long a host waits for another one that has the servers: while the whole
-	// system starts for the first time, a host that has claimed control; after the loss of all
-	// hosts, a relay that has read them.
+	// peerListWait is how long a host waits for another one that has the servers: while the
+	// whole system starts for the first time, a host that has claimed control; after the loss
+	// of all hosts, a relay that has read them.
 	peerListWait = 3 * time.Second
 	// assignmentsWait is how long a starting host waits until it has read the assignments,
 	// which name the relays, or the store has refused to list them.
 	assignmentsWait = 5 * time.Second
-	// storeReadSpacing is the time per host over which hosts that get no list from others spread
-	// their reads of the store.
+	// storeReadSpacing is the time per host over which hosts that get no list from others
+	// spread their reads of the store.
 	storeReadSpacing = 5 * time.Millisecond
-	// sourcePollInterval is the interval at which a starting host checks whether it has read the
-	// assignments and whether there is another host to list from.
+	// sourcePollInterval is the interval at which a starting host checks whether it has read
+	// the assignments and whether there is another host to list from.
 	sourcePollInterval = 20 * time.Millisecond
 	// sourceRetryDelay is the pause after a host that could not list the servers.
 	sourceRetryDelay = 200 * time.Millisecond
@@ -33,14 +33,14 @@
 
 var errStaleList = errors.New("the host's view of the store is too old")
 
-// listServersAtStartup lists the servers from another host after the start of the process. ok is false
-// if they have to be read from the store.
+// listServersAtStartup lists the servers from another host after the start of the process. ok
+// is false if they have to be read from the store.
 func (g *Gateway) listServersAtStartup(ctx context.Context) (listing objects.Listing, ok bool) {
 	if !g.listsServersFromPeers(ctx) {
 		return objects.Listing{}, false
 	}
-	until := g.now() + peerListWait + g.storeReadDelay()
-	for g.now() < until && ctx.Err() == nil && !g.fresh.isController() {
+	deadline := g.now() + peerListWait + g.storeReadDelay()
+	for g.now() < deadline && ctx.Err() == nil && !g.fresh.isController() {
 		source := g.startupServerSource()
 		if source == "" {
 			clock.Sleep(ctx, sourcePollInterval)
@@ -57,28 +57,28 @@
 	return objects.Listing{}, false
 }
 
-// storeReadDelay returns how long this host delays its read of the store after it got no list from
-// others, so that the hosts' reads are spread.
+// storeReadDelay returns how long this host delays its read of the store after it got no list
+// from others, so that the hosts' reads are spread.
 func (g *Gateway) storeReadDelay() time.Duration {
 	return turnWithin(time.Duration(g.sources.hostCount())*storeReadSpacing, g.identity.Host)
 }
 
-// listsServersFromPeers reports whether to list the servers from other hosts. While the whole system
-// starts for the first time nobody knows yet how many hosts there are, so all but the
+// listsServersFromPeers reports whether to list the servers from other hosts. While the whole
+// system starts for the first time nobody knows yet how many hosts there are, so all but the
 // controller do.
 func (g *Gateway) listsServersFromPeers(ctx context.Context) bool {
 	if g.identity.FirstStart {
 		return true
 	}
-	until := g.now() + assignmentsWait
-	for !g.control.listed.Load() && !g.control.refused.Load() && g.now() < until && ctx.Err() == nil {
+	deadline := g.now() + assignmentsWait
+	for !g.control.listed.Load() && !g.control.refused.Load() && g.now() < deadline && ctx.Err() == nil {
 		clock.Sleep(ctx, sourcePollInterval)
 	}
 	return g.sources.listsFromHosts()
 }
 
-// startupServerSource returns a host that may have the servers; empty if there is none yet. While the
-// whole system starts for the first time, the relays list them from the controller.
+// startupServerSource returns a host that may have the servers; empty if there is none yet.
+// While the whole system starts for the first time, the relays list them from the controller.
 func (g *Gateway) startupServerSource() string {
 	switch {
 	case !g.identity.FirstStart:
@@ -89,8 +89,8 @@
 	return g.sources.upstream(g.sources.controllerAddress())
 }
 
-// listServersFrom lists the servers from a host. It fails if that host's view of the store is too
-// old.
+// listServersFrom lists the servers from a host. It fails if that host's view of the store is
+// too old.
 func (g *Gateway) listServersFrom(ctx context.Context, source string) (objects.Listing, error) {
 	listing, age, err := g.listFromPeer(ctx, source, g.registry.Servers())
 	if err == nil && age >= g.fresh.validFor() {
--- a/gateway/firststart_test.go
+++ b/gateway/firststart_test.go
@@ -36,9 +36,9 @@
 	s.serve("free-1", "free", false)
 	var reads []*entryReadProxy
 	for i := range hosts {
-		front := &entryReadProxy{store: s.store}
-		reads = append(reads, front)
-		s.start(hostSetup{name: fmt.Sprintf("h%d", i), store: s.listen(front), firstStart: true})
+		proxy := &entryReadProxy{store: s.store}
+		reads = append(reads, proxy)
+		s.start(hostSetup{name: fmt.Sprintf("h%d", i), store: s.listen(proxy), firstStart: true})
 	}
 	for _, h := range s.hosts {
 		s.eventually("the host is ready", h.gateway.Ready)
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -14,16 +14,17 @@
 
 // Delays of the loops that follow the store.
 const (
-	// minRetryDelay and awayMost bound the delay between retries of a failed call. A host must
-	// notice that the store is back within the time in which a configuration has to take
+	// minRetryDelay and maxRetryDelay bound the delay between retries of a failed call. A host
+	// must notice that the store is back within the time in which a configuration has to take
 	// effect.
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = 800 * time.Millisecond
 	// probeWatchWait is how long the prober's watch waits while the store is unavailable: any
 	// answer, not a change, shows that the store is back.
 	probeWatchWait = 50 * time.Millisecond
-	// batchDelay is the pause between two watches of a kind that changes often, so that one call
-	// returns several changes. It is a tenth of the time in which they have to take effect.
+	// batchDelay is the pause between two watches of a kind that changes often, so that one
+	// call returns several changes. It is a tenth of the time in which they have to take
+	// effect.
 	batchDelay = 200 * time.Millisecond
 	// startupBatchDelay replaces it while the system starts for the first time and all servers
 	// register: each change wakes every host.
@@ -41,7 +42,7 @@
 	batchDelay time.Duration
 	// prober marks the follower that keeps calling the store while it is unavailable.
 	prober bool
-	// onListing handles a complete listing, change the later changes.
+	// onListing handles a complete listing, onChanges later changes.
 	onListing func(objects.Listing)
 	onChanges func(objects.Listing)
 	// onError handles the error of a failed call.
@@ -97,18 +98,18 @@
 	return usual
 }
 
-// fetchNext makes the next call for a kind. ended is set if there is no answer to handle: the host
-// only waited for a confirmation, the watch was canceled, or its source failed.
+// fetchNext makes the next call for a kind. ended is set if there is no answer to handle: the
+// host only waited for a confirmation, the watch was canceled, or its source failed.
 func (g *Gateway) fetchNext(ctx context.Context, f follower, connected bool, revision uint64) (listing objects.Listing, ended bool, err error) {
 	kind := f.kind
 	if !connected {
 		listing, err = g.list(ctx, kind, revision)
 		return listing, false, err
 	}
-	watching, cancel, plan := g.fresh.beginWatch(ctx, kind, g.now(), g.sources.hasCandidate())
+	watchCtx, cancel, plan := g.fresh.beginWatch(ctx, kind, g.now(), g.sources.hasCandidate())
 	defer cancel()
 	if plan.confirmationArrived != nil {
-		clock.Await(watching, plan.confirmationArrived, plan.wait)
+		clock.Await(watchCtx, plan.confirmationArrived, plan.wait)
 		return listing, true, nil
 	}
 	if f.prober && g.reach.isUnavailable() {
@@ -116,14 +117,14 @@
 		plan.wait = min(plan.wait, probeWatchWait)
 	}
 	if plan.source == "" {
-		listing, err = g.watchStore(watching, kind, revision, plan.wait)
-		return listing, err != nil && watching.Err() != nil && ctx.Err() == nil, err
+		listing, err = g.watchStore(watchCtx, kind, revision, plan.wait)
+		return listing, err != nil && watchCtx.Err() != nil && ctx.Err() == nil, err
 	}
-	listing, err = g.watchFromPeer(watching, plan.source, kind, revision, plan.wait)
+	listing, err = g.watchFromPeer(watchCtx, plan.source, kind, revision, plan.wait)
 	if err == nil || errors.Is(err, objects.ErrCompacted) || ctx.Err() != nil {
 		return listing, false, err
 	}
-	if watching.Err() == nil {
+	if watchCtx.Err() == nil {
 		g.fresh.noteSourceFailure(plan.source)
 		g.sources.skip(plan.source)
 		g.log.Info("source does not pass on what the store holds", "kind", kind, "source", plan.source, "error", err.Error())
@@ -156,11 +157,11 @@
 	return g.peerListing(kind, listing), err
 }
 
-// listAtStartup lists a kind after the start of the process. A stale read, which costs a tenth, is
-// enough: the watch that follows returns what changed since. If the store is unavailable, the
-// host lists from another host, however old that list may be; else it would reject every
-// request until the store is back, although its servers work. A watch of the store brings
-// later changes as soon as one succeeds.
+// listAtStartup lists a kind after the start of the process. A stale read, which costs a
+// tenth, is enough: the watch that follows returns what changed since. If the store is
+// unavailable, the host lists from another host, however old that list may be; else it would
+// reject every request until the store is back, although its servers work. A watch of the
+// store brings later changes as soon as one succeeds.
 func (g *Gateway) listAtStartup(ctx context.Context, kind string) (objects.Listing, error) {
 	if kind == g.registry.Servers() {
 		if listing, ok := g.listServersAtStartup(ctx); ok {
@@ -197,8 +198,9 @@
 	return g.peerListing(kind, listing), err
 }
 
-// handleFollowError handles a failed call, and reports whether the watch may continue from its revision. A
-// watch that was cut off or refused has lost nothing; one whose history was compacted has.
+// handleFollowError handles a failed call, and reports whether the watch may continue from its
+// revision. A watch that was cut off or refused has missed nothing; one whose history was
+// compacted has.
 func (g *Gateway) handleFollowError(f follower, err error, connected bool) bool {
 	g.counts.storeErrors.Inc()
 	var rewound *objects.RewoundError
@@ -218,7 +220,7 @@
 
 // followConfiguration follows the operator's configuration.
 func (g *Gateway) followConfiguration(ctx context.Context) {
-	take := func(listing objects.Listing) {
+	apply := func(listing objects.Listing) {
 		for _, object := range listing.Objects {
 			if object.Name != g.registry.Current() || object.Deleted {
 				continue
@@ -231,20 +233,21 @@
 			g.configure(offered)
 		}
 	}
-	// The configuration's follower is the prober: of all kinds, it has the shortest time to take effect.
-	g.follow(ctx, follower{prober: true, kind: g.registry.Configurations(), onListing: take, onChanges: take, onError: g.noteRegistryUnavailable})
+	// The configuration's follower is the prober: of all kinds, it has the shortest time to
+	// take effect.
+	g.follow(ctx, follower{prober: true, kind: g.registry.Configurations(), onListing: apply, onChanges: apply, onError: g.noteRegistryUnavailable})
 }
 
 // followAssignments follows which servers own which keys.
 func (g *Gateway) followAssignments(ctx context.Context) {
-	take := func(listing objects.Listing) {
+	apply := func(listing objects.Listing) {
 		for _, object := range listing.Objects {
 			g.applyAssignment(object)
 		}
 		g.control.listed.Store(true)
 		g.nudge()
 	}
-	g.follow(ctx, follower{kind: Assignments, onListing: take, onChanges: take, onError: g.noteAssignmentsRefused})
+	g.follow(ctx, follower{kind: Assignments, onListing: apply, onChanges: apply, onError: g.noteAssignmentsRefused})
 }
 
 // noteAssignmentsRefused records that the store refuses this host's calls. A store that is only
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -20,7 +20,7 @@
 	"cicadarouter/routing"
 )
 
-// refusingStore is a store that refuses calls until serves is set, and counts them by kind.
+// refusingStore is a store that refuses calls until available is set, and counts them by kind.
 type refusingStore struct {
 	*memobjects.Store
 	mu        sync.Mutex
@@ -121,11 +121,11 @@
 // controller confirms freshness again. If the prober's next watch then waited 25 s at the
 // controller for a change, no answer would show until then that the store is back.
 func TestProberDoesNotWaitForAChange(t *testing.T) {
-	waited := make(chan watchRequest, 16)
+	requests := make(chan watchRequest, 16)
 	controller := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var request watchRequest
 		_ = json.NewDecoder(r.Body).Decode(&request) // if it fails, the zero wait fails the test
-		waited <- request
+		requests <- request
 		_ = json.NewEncoder(w).Encode(watchResponse{Listing: objects.Listing{Revision: request.Revision}})
 	}))
 	defer controller.Close()
@@ -135,7 +135,7 @@
 	listing, _, err := g.fetchNext(context.Background(), follower{prober: true, kind: "configurations"}, true, 5)
 	assert.NilError(t, err)
 	assert.Equal(t, listing.Revision, uint64(5))
-	asked := <-waited
+	asked := <-requests
 	assert.Equal(t, time.Duration(asked.WaitMs)*time.Millisecond, probeWatchWait)
 }
 
--- a/gateway/freshness.go
+++ b/gateway/freshness.go
@@ -11,39 +11,41 @@
 
 // How long watches wait, and how long confirmations of freshness count.
 const (
-	// longWatchWait is how long a watch waits while another host confirms that this one is up to
-	// date. It is long because each call to the store is billed.
+	// longWatchWait is how long a watch waits while another host confirms that this one is up
+	// to date. It is long because each call to the store is billed.
 	longWatchWait = 25 * time.Second
-	// startupWatchWait is how long a watch waits while the process starts and no controller is known
-	// yet: hundreds of hosts would make short watches at once.
+	// startupWatchWait is how long a watch waits while the process starts and no controller is
+	// known yet: hundreds of hosts would make short watches at once.
 	startupWatchWait = 5 * time.Second
-	// startupPeriod is how long after its start a process uses firstWatch.
+	// startupPeriod is how long after its start a process uses startupWatchWait.
 	startupPeriod = 8 * time.Second
-	// relayWatchWait is how long a relay's watch of the store waits while no controller confirms
-	// freshness. A relay's confirmation is then at most two such watches and the pause between
-	// them old: 1 s.
+	// relayWatchWait is how long a relay's watch of the store waits while no controller
+	// confirms freshness. A relay's confirmation is then at most two such watches and the
+	// pause between them old: 1 s.
 	relayWatchWait = 400 * time.Millisecond
-	// relayIdleTimeout is how long a host acts as a relay after it was last queried: four queries.
+	// relayIdleTimeout is how long a host acts as a relay after it was last queried: four
+	// queries.
 	relayIdleTimeout = 2 * time.Second
-	// relayQueryAge is the age of the last confirmation from which on relays are queried, if it
-	// was also older than oldWord when it arrived or the next one is later than nextWord. In
-	// normal operation a confirmation is 0.6 s old when it arrives (one confirmation by the
-	// store) and 1.1 s old when the next one does, after a report. Age alone would query
-	// relays needlessly each time that a report is a little late.
+	// relayQueryAge is the age of the last confirmation from which on relays are queried, if
+	// it was also older than lateConfirmationAge when it arrived or the next one is later than
+	// confirmationOverdueAfter. In normal operation a confirmation is 0.6 s old when it
+	// arrives (one confirmation by the store) and 1.1 s old when the next one does, after a
+	// report. Age alone would query relays needlessly each time that a report is a little
+	// late.
 	relayQueryAge            = 1200 * time.Millisecond
 	lateConfirmationAge      = time.Second
 	confirmationOverdueAfter = 700 * time.Millisecond
-	// startupRelayWait is how long a host that has just started waits for a relay's confirmation
-	// before it watches the store itself.
+	// startupRelayWait is how long a host that has just started waits for a relay's
+	// confirmation before it watches the store itself.
 	startupRelayWait = 1500 * time.Millisecond
-	// defaultMaxChangeDelay is the time within which a change has to take effect if operators set
-	// none.
+	// defaultMaxChangeDelay is the time within which a change has to take effect if operators
+	// set none.
 	defaultMaxChangeDelay = 2 * time.Second
-	// confirmationShare and shortShare are shares of the time within which a change has to take
-	// effect. The first gives how long a confirmation counts after the store's answer it is
-	// based on; the second how long a watch of the store waits without a confirmation. A watch
-	// can miss changes without an error, when its connection goes silent or the store drops
-	// its history. The remaining time is for the change to reach the hosts.
+	// confirmationShare and shortShare are shares of the time within which a change has
+	// to take effect. The first gives how long a confirmation counts after the store's answer
+	// it is based on; the second how long a watch of the store waits without a confirmation. A
+	// watch can miss changes without an error, when its connection goes silent or the store
+	// drops its history. The remaining time is for the change to reach the hosts.
 	confirmationShare = 0.75
 	shortShare        = 0.6
 )
@@ -166,8 +168,8 @@
 	return f.age(now)
 }
 
-// noteStoreRead records that a call to the store, started at the given time, brought a kind up to
-// date.
+// noteStoreRead records that a call to the store, started at the given time, brought a kind up
+// to date.
 func (f *freshness) noteStoreRead(name string, began time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -175,16 +177,16 @@
 	state.storeReadAt, state.readFromStore = max(state.storeReadAt, began), true
 }
 
-// noteRoleConfirmed records that the store confirmed this host as the controller, by a call started at
-// the given time.
+// noteRoleConfirmed records that the store confirmed this host as the controller, by a call
+// started at the given time.
 func (f *freshness) noteRoleConfirmed(began time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.roleConfirmedAt = max(f.roleConfirmedAt, began)
 }
 
-// currentSource returns the host that this one follows while its confirmation counts; else it is
-// empty.
+// currentSource returns the host that this one follows while its confirmation counts; else it
+// is empty.
 func (f *freshness) currentSource(now time.Duration) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -202,9 +204,9 @@
 	return f.controlling || f.isRelay(now) || f.age(now) < f.validFor()
 }
 
-// noteRelayQuery records that another host queries this one as a relay, and returns the age of this
-// host's view of the store and the revisions at which the kinds last changed. From then on
-// this host watches the store itself while no controller confirms its freshness.
+// noteRelayQuery records that another host queries this one as a relay, and returns the age of
+// this host's view of the store and the revisions at which the kinds last changed. From then
+// on this host watches the store itself while no controller confirms its freshness.
 func (f *freshness) noteRelayQuery(now time.Duration) (age time.Duration, revisions map[string]uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -220,8 +222,8 @@
 	return f.hasConfirmation || f.sourceFailed
 }
 
-// noteControllerFailure records that a controller did not answer. Its last confirmation counts until it
-// expires.
+// noteControllerFailure records that a controller did not answer. Its last confirmation counts
+// until it expires.
 func (f *freshness) noteControllerFailure() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -252,8 +254,8 @@
 	return f.confirmationOverdue(now) && f.age(now) > relayQueryAge
 }
 
-// confirmationOverdue reports whether the last confirmation has expired or is being renewed late. One
-// that is old only because the next one isn't due yet doesn't count.
+// confirmationOverdue reports whether the last confirmation has expired or is being renewed
+// late. One that is old only because the next one isn't due yet doesn't count.
 func (f *freshness) confirmationOverdue(now time.Duration) bool {
 	if !f.isConfirmed(now) {
 		return true
@@ -261,8 +263,8 @@
 	return f.confirmationAge(now) > relayQueryAge && (f.ageOnReceipt > lateConfirmationAge || now-f.receivedAt > confirmationOverdueAfter)
 }
 
-// renewalDue reports whether the confirmation of a relay that this host follows is due for
-// renewal.
+// renewalDue reports whether the confirmation of a relay that this host follows has to be
+// renewed.
 func (f *freshness) renewalDue(now time.Duration, relay string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -288,7 +290,7 @@
 	return !f.controlling && !f.hasConfirmation && !f.sourceFailed && now < startupPeriod
 }
 
-// isStartingUp is starting for callers that don't hold the lock.
+// isStartingUp is startingUp for callers that don't hold the lock.
 func (f *freshness) isStartingUp(now time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -314,7 +316,7 @@
 	return f.changeRevisionsLocked()
 }
 
-// changeRevisionsLocked is revisions for callers that hold the lock.
+// changeRevisionsLocked is changeRevisions for callers that hold the lock.
 func (f *freshness) changeRevisionsLocked() map[string]uint64 {
 	revisions := make(map[string]uint64, len(f.kinds))
 	for name, state := range f.kinds {
@@ -333,26 +335,27 @@
 	revisions map[string]uint64
 }
 
-// maxConsecutiveBehind is how many consecutive confirmations must show a watch at a relay to be behind:
-// what the controller knows takes some milliseconds to reach the relay.
+// maxConsecutiveBehind is the number of consecutive confirmations showing a watch at a relay
+// to be behind from which on the watch is canceled. A single one says little: what the
+// controller knows takes some milliseconds to reach the relay.
 const maxConsecutiveBehind = 2
 
-// acceptConfirmation records a confirmation, and returns the kinds whose watches it canceled because they
-// are behind. A confirmation that is older than the last one is ignored, unless the source has
-// failed since.
+// acceptConfirmation records a confirmation, and returns the kinds whose watches it canceled
+// because they are behind. A confirmation that is older than the last one is ignored, unless
+// the source has failed since.
 //
 // It also cancels the watches of the store that this host made for lack of a source: the store
 // may leave them unanswered for a second, while the source could answer. And it cancels
 // watches at a source that this host no longer follows: they would miss changes until the next
 // confirmation, 0.5 s later.
-func (f *freshness) acceptConfirmation(now time.Duration, w confirmation) []string {
+func (f *freshness) acceptConfirmation(now time.Duration, c confirmation) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.hasConfirmation && w.confirmedAt < f.confirmedAt && f.source != "" {
+	if f.hasConfirmation && c.confirmedAt < f.confirmedAt && f.source != "" {
 		return nil
 	}
-	f.confirmedAt, f.hasConfirmation, f.source, f.sender = max(f.confirmedAt, w.confirmedAt), true, w.source, w.sender
-	f.receivedAt, f.ageOnReceipt = now, now-w.confirmedAt
+	f.confirmedAt, f.hasConfirmation, f.source, f.sender = max(f.confirmedAt, c.confirmedAt), true, c.source, c.sender
+	f.receivedAt, f.ageOnReceipt = now, now-c.confirmedAt
 	close(f.confirmationArrived)
 	f.confirmationArrived = make(chan struct{})
 	var behind []string
@@ -360,17 +363,17 @@
 		if state.cancelWatch != nil && state.source == "" && !state.isLong && f.mayWaitLong(name, now) {
 			state.cancelWatch()
 		}
-		if state.cancelWatch != nil && state.source != "" && state.source != w.source && state.source != w.sender {
+		if state.cancelWatch != nil && state.source != "" && state.source != c.source && state.source != c.sender {
 			state.cancelWatch()
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(w.revisions)) {
+	for _, name := range slices.Sorted(maps.Keys(c.revisions)) {
 		state := f.kinds[name]
-		if state == nil || state.revision >= w.revisions[name] || !state.isLong || state.cancelWatch == nil {
+		if state == nil || state.revision >= c.revisions[name] || !state.isLong || state.cancelWatch == nil {
 			continue
 		}
 		state.behindCount++
-		if state.source != "" && state.source != w.sender && state.behindCount < maxConsecutiveBehind {
+		if state.source != "" && state.source != c.sender && state.behindCount < maxConsecutiveBehind {
 			continue
 		}
 		state.bypassRelay = true
@@ -400,12 +403,12 @@
 	return f.controlling
 }
 
-// setControlling records whether this host is a controller, and cancels long watches that are no longer
-// backed by a confirmation.
-func (f *freshness) setControlling(now time.Duration, leads bool) {
+// setControlling records whether this host is a controller, and cancels long watches that are
+// no longer backed by a confirmation.
+func (f *freshness) setControlling(now time.Duration, controlling bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.controlling = leads
+	f.controlling = controlling
 	f.cancelUnconfirmed(now)
 }
 
--- a/gateway/freshness_test.go
+++ b/gateway/freshness_test.go
@@ -13,11 +13,12 @@
 )
 
 func beginTestWatch(f *freshness, kind string, now time.Duration) (watchPlan, context.Context) {
-	ctx, _, made := f.beginWatch(context.Background(), kind, now, false)
-	return made, ctx
+	ctx, _, planned := f.beginWatch(context.Background(), kind, now, false)
+	return planned, ctx
 }
 
-// confirmationFrom returns a controller's confirmation that names the controller itself as the source.
+// confirmationFrom returns a controller's confirmation that names the controller itself as the
+// source.
 func confirmationFrom(confirmed time.Duration, teller string, revisions map[string]uint64) confirmation {
 	return confirmation{confirmedAt: confirmed, sender: teller, source: teller, revisions: revisions}
 }
@@ -28,11 +29,11 @@
 // effect.
 func TestSilentControllerConfirmationExpires(t *testing.T) {
 	f := newFreshness(0)
-	shortWatch, vouchedFor := f.shortWait(), f.validFor()
-	made, _ := beginTestWatch(&f, "things", 0)
-	assert.Equal(t, made, watchPlan{wait: startupWatchWait})
-	made, _ = beginTestWatch(&f, "things", startupPeriod)
-	assert.Equal(t, made, watchPlan{wait: shortWatch})
+	shortWait, validFor := f.shortWait(), f.validFor()
+	planned, _ := beginTestWatch(&f, "things", 0)
+	assert.Equal(t, planned, watchPlan{wait: startupWatchWait})
+	planned, _ = beginTestWatch(&f, "things", startupPeriod)
+	assert.Equal(t, planned, watchPlan{wait: shortWait})
 
 	// A host starts while the controller is cut off, and the store drops its history, so
 	// that the host's first watch never returns a change.
@@ -42,38 +43,38 @@
 	started.setControlling(time.Second, false)
 	assert.Assert(t, first.Err() != nil, "the first watch was not canceled")
 	f.acceptConfirmation(time.Second, confirmationFrom(time.Second, "controller", nil))
-	made, watching := beginTestWatch(&f, "things", time.Second)
-	assert.Equal(t, made, watchPlan{wait: longWatchWait, source: "controller"})
-	f.setControlling(time.Second+vouchedFor-1, false)
-	assert.NilError(t, watching.Err())
-	f.setControlling(time.Second+vouchedFor, false)
-	assert.Assert(t, watching.Err() != nil)
+	planned, watchCtx := beginTestWatch(&f, "things", time.Second)
+	assert.Equal(t, planned, watchPlan{wait: longWatchWait, source: "controller"})
+	f.setControlling(time.Second+validFor-1, false)
+	assert.NilError(t, watchCtx.Err())
+	f.setControlling(time.Second+validFor, false)
+	assert.Assert(t, watchCtx.Err() != nil)
 	const mostForAChange = 2 * time.Second
-	assert.Assert(t, vouchedFor < mostForAChange-idleEvery)
+	assert.Assert(t, validFor < mostForAChange-idleEvery)
 
 	// The controller is cut off from the store but still answers.
 	f.acceptConfirmation(time.Second, confirmationFrom(time.Second, "controller", nil))
-	made, _ = beginTestWatch(&f, "things", time.Second+vouchedFor)
-	assert.Equal(t, made, watchPlan{wait: shortWatch}, "a controller's confirmation counts although the store no longer answers the controller")
+	planned, _ = beginTestWatch(&f, "things", time.Second+validFor)
+	assert.Equal(t, planned, watchPlan{wait: shortWait}, "a controller's confirmation counts although the store no longer answers the controller")
 
 	// A report gets no answer, and neither do the later ones.
 	f.acceptConfirmation(3*time.Second, confirmationFrom(3*time.Second, "controller", nil))
-	_, watching = beginTestWatch(&f, "things", 3*time.Second)
+	_, watchCtx = beginTestWatch(&f, "things", 3*time.Second)
 	f.noteControllerFailure()
-	f.setControlling(3*time.Second+vouchedFor, false)
-	assert.Assert(t, watching.Err() != nil, "the watch was not canceled although reports got no answer")
+	f.setControlling(3*time.Second+validFor, false)
+	assert.Assert(t, watchCtx.Err() != nil, "the watch was not canceled although reports got no answer")
 }
 
 // A watch that is behind what the controller knows is canceled at once.
 func TestWatchThatIsBehindEnds(t *testing.T) {
 	f := newFreshness(0)
 	f.acceptConfirmation(0, confirmationFrom(0, "controller", nil))
-	_, watching := beginTestWatch(&f, "things", 0)
+	_, watchCtx := beginTestWatch(&f, "things", 0)
 	f.noteRevision("things", 5, true)
 	assert.Equal(t, len(f.acceptConfirmation(0, confirmationFrom(0, "controller", map[string]uint64{"things": 5, "others": 9}))), 0)
-	assert.NilError(t, watching.Err())
+	assert.NilError(t, watchCtx.Err())
 	assert.DeepEqual(t, f.acceptConfirmation(0, confirmationFrom(0, "controller", map[string]uint64{"things": 6})), []string{"things"})
-	assert.Assert(t, watching.Err() != nil)
+	assert.Assert(t, watchCtx.Err() != nil)
 }
 
 // Guards against hosts that send to old owners of keys for ten seconds. The controller moves
@@ -82,13 +83,13 @@
 func TestControllerMissesItsOwnWrites(t *testing.T) {
 	g := New(Identity{}, Platform{}, logs.Discard())
 	g.fresh.setControlling(0, true)
-	_, watching := beginTestWatch(&g.fresh, Assignments, 0)
+	_, watchCtx := beginTestWatch(&g.fresh, Assignments, 0)
 	g.fresh.noteRevision(Assignments, 7, true)
 	c := &controller{service: newService("s", Identity{Incarnation: 1}, true, g.now), revision: 9, written: time.Second}
 	g.hearOwnWrites(c, time.Second)
-	assert.NilError(t, watching.Err())
+	assert.NilError(t, watchCtx.Err())
 	g.hearOwnWrites(c, time.Second+ownWriteWait)
-	assert.Assert(t, watching.Err() != nil)
+	assert.Assert(t, watchCtx.Err() != nil)
 }
 
 func changeListing(revision uint64, name string) objects.Listing {
@@ -139,22 +140,22 @@
 // leaves it only when two consecutive confirmations of the controller show it to be behind.
 func TestRelayThatIsBehind(t *testing.T) {
 	f := newFreshness(0)
-	vouch := func(revision uint64) []string {
+	confirm := func(revision uint64) []string {
 		return f.acceptConfirmation(0, confirmation{sender: "controller", source: "relay", revisions: map[string]uint64{"things": revision}})
 	}
-	vouch(5)
+	confirm(5)
 	f.noteRevision("things", 5, true)
-	made, watching := beginTestWatch(&f, "things", 0)
-	assert.Equal(t, made.source, "relay")
-	assert.Equal(t, len(vouch(6)), 0)
+	planned, watchCtx := beginTestWatch(&f, "things", 0)
+	assert.Equal(t, planned.source, "relay")
+	assert.Equal(t, len(confirm(6)), 0)
 	f.noteRevision("things", 6, true)
-	assert.Equal(t, len(vouch(7)), 0, "the relay caught up in between")
-	assert.NilError(t, watching.Err())
-	assert.DeepEqual(t, vouch(7), []string{"things"})
-	assert.Assert(t, watching.Err() != nil)
-	made, _ = beginTestWatch(&f, "things", 0)
-	assert.Equal(t, made.source, "controller")
+	assert.Equal(t, len(confirm(7)), 0, "the relay caught up in between")
+	assert.NilError(t, watchCtx.Err())
+	assert.DeepEqual(t, confirm(7), []string{"things"})
+	assert.Assert(t, watchCtx.Err() != nil)
+	planned, _ = beginTestWatch(&f, "things", 0)
+	assert.Equal(t, planned.source, "controller")
 	f.noteRevision("things", 7, true)
-	made, _ = beginTestWatch(&f, "things", 0)
-	assert.Equal(t, made.source, "relay")
+	planned, _ = beginTestWatch(&f, "things", 0)
+	assert.Equal(t, planned.source, "relay")
 }
--- a/gateway/reach.go
+++ b/gateway/reach.go
@@ -5,10 +5,10 @@
 	"sync"
 )
 
-// storeAvailability tracks whether the store is available to this host. While it is not, only one
-// follower, the prober, keeps calling it; the others wait and resume as soon as it is back.
-// Refused calls are billed too: three followers on each of 65 hosts made 2,800 such calls in
-// an outage of 8 s.
+// storeAvailability tracks whether the store is available to this host. While it is not, only
+// one follower, the prober, keeps calling it; the others wait and resume as soon as it is
+// back. Refused calls are billed too: three followers on each of 65 hosts made 2,800 such
+// calls in an outage of 8 s.
 type storeAvailability struct {
 	mu             sync.Mutex
 	unavailable    bool
@@ -24,8 +24,8 @@
 	}
 }
 
-// markAvailable records that the store is available again: the prober's call succeeded, or another host
-// passes on what the store holds.
+// markAvailable records that the store is available again: the prober's call succeeded, or
+// another host passes on what the store holds.
 func (r *storeAvailability) markAvailable() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -19,8 +19,9 @@
 )
 
 const (
-	// maxDocumentChanges and relayBytes bound the past changes of large documents that are kept to make
-	// deltas from. A host whose version is older gets the whole document.
+	// maxDocumentChanges and maxDocumentChangeBytes bound the past changes of large documents
+	// that are kept to make deltas from. A host whose version is older gets the whole
+	// document.
 	maxDocumentChanges     = 32
 	maxDocumentChangeBytes = 512 << 10
 	// maxTombstones bounds the deletions that are kept. A host that is further behind lists the
@@ -34,9 +35,9 @@
 	listPageSize = 2000
 )
 
-// relayCache caches what this host has read of the store so that other hosts can list and watch it
-// here: calls to the store are billed, calls between hosts are not. Other hosts use it only
-// while this host confirms that it is up to date.
+// relayCache caches what this host has read of the store so that other hosts can list and
+// watch it here: calls to the store are billed, calls between hosts are not. Other hosts use
+// it only while this host confirms that it is up to date.
 type relayCache struct {
 	mu    sync.Mutex
 	kinds map[string]*kindCache
@@ -49,12 +50,13 @@
 	current map[string]objects.Object
 	// sortedNames holds the names of current in order; nil if they have to be sorted again.
 	sortedNames []string
-	// history is the history of changes, the earliest first. It is complete for changes after
-	// the revision floor.
+	// history lists the changes, the earliest first. It is complete for changes after the
+	// revision historyStart.
 	history      []historyEntry
 	historyStart uint64
-	tombstones   int // number of steps that are deletions
-	// baseDocuments holds the large documents as they were before the changes in kept.
+	tombstones   int // number of deletions in history
+	// baseDocuments holds the large documents as they were before the first of
+	// documentChanges.
 	baseDocuments   map[string]objects.Object
 	documentChanges []documentChange
 	changed         chan struct{}
@@ -80,41 +82,41 @@
 	if r.kinds == nil {
 		r.kinds = map[string]*kindCache{}
 	}
-	known := r.kinds[name]
-	if known == nil {
-		known = &kindCache{changed: make(chan struct{})}
-		r.kinds[name] = known
+	cache := r.kinds[name]
+	if cache == nil {
+		cache = &kindCache{changed: make(chan struct{})}
+		r.kinds[name] = cache
 	}
-	return known
+	return cache
 }
 
-// update adds a listing that this host has read. A complete listing that follows an earlier one
-// is recorded as its differences from that one: if the store drops its history, this host
+// update adds a listing that this host has read. A complete listing that follows an earlier
+// one is recorded as its differences from that one: if the store drops its history, this host
 // lists the kind again, and those that follow it need not.
 //
-// Large documents are expected in their canonical form: see canonical.
+// Large documents are expected in their canonical form: see canonicalListing.
 func (r *relayCache) update(name string, listing objects.Listing, complete bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.kind(name)
-	if complete && known.current == nil {
-		known.initialize(listing)
-		known.notifyWatchers()
+	cache := r.kind(name)
+	if complete && cache.current == nil {
+		cache.initialize(listing)
+		cache.notifyWatchers()
 		return
 	}
-	if listing.Revision < known.revision {
+	if listing.Revision < cache.revision {
 		return // older than what is known
 	}
 	if complete {
-		listing.Objects = known.diff(listing)
+		listing.Objects = cache.diff(listing)
 	}
 	if len(listing.Objects) > 0 {
-		known.recordDocuments(listing)
-		known.apply(listing)
-		known.trim()
-		known.notifyWatchers()
+		cache.recordDocuments(listing)
+		cache.apply(listing)
+		cache.trim()
+		cache.notifyWatchers()
 	}
-	known.revision = listing.Revision
+	cache.revision = listing.Revision
 }
 
 // initialize stores the first complete listing.
@@ -144,11 +146,11 @@
 		if known == object.Deleted {
 			k.sortedNames = nil
 		}
-		step := historyEntry{listingRevision: listing.Revision, revision: object.Revision, name: object.Name}
+		entry := historyEntry{listingRevision: listing.Revision, revision: object.Revision, name: object.Name}
 		if object.Deleted {
-			step.tombstone = &object
+			entry.tombstone = &object
 		}
-		k.history = append(k.history, step)
+		k.history = append(k.history, entry)
 	}
 }
 
@@ -170,8 +172,8 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(k.current)) {
 		if !present[name] {
-			gone := k.current[name]
-			changes = append(changes, objects.Object{Kind: gone.Kind, Name: name, Revision: listing.Revision, Deleted: true})
+			last := k.current[name]
+			changes = append(changes, objects.Object{Kind: last.Kind, Name: name, Revision: listing.Revision, Deleted: true})
 		}
 	}
 	return changes
@@ -188,25 +190,25 @@
 // page returns at most a number of the known objects of a kind, in order of names and
 // beginning after a name, and whether there are more. ok is false if the kind has not been
 // listed yet.
-func (r *relayCache) page(name, after string, most int) (listing objects.Listing, more, ok bool) {
+func (r *relayCache) page(name, after string, limit int) (listing objects.Listing, more, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.kind(name)
-	listing.Revision = known.revision
-	names := known.names()
+	cache := r.kind(name)
+	listing.Revision = cache.revision
+	names := cache.names()
 	from, found := slices.BinarySearch(names, after)
 	if found {
 		from++
 	}
-	to := min(from+most, len(names))
-	for _, each := range names[from:to] {
-		listing.Objects = append(listing.Objects, known.current[each])
+	to := min(from+limit, len(names))
+	for _, objectName := range names[from:to] {
+		listing.Objects = append(listing.Objects, cache.current[objectName])
 	}
-	return listing, to < len(names), known.current != nil
+	return listing, to < len(names), cache.current != nil
 }
 
-// canonicalListing returns a listing of the store with its large documents in the one encoding that
-// hosts exchange. Deltas are made from bytes, and the store may space the same document
+// canonicalListing returns a listing of the store with its large documents in the one encoding
+// that hosts exchange. Deltas are made from bytes, and the store may space the same document
 // differently. What comes from another host already is in this form; encoding it again took a
 // quarter of the processor time that a host spends on a change of an assignment.
 func canonicalListing(listing objects.Listing) objects.Listing {
@@ -254,7 +256,7 @@
 // isEntryText reports whether an object is an entry in the text form that hosts exchange.
 func isEntryText(object objects.Object) bool { return len(object.Spec) > 0 && object.Spec[0] == '"' }
 
-// canonicalObject is canonical for one object.
+// canonicalObject is canonicalListing for one object.
 func canonicalObject(object objects.Object) objects.Object {
 	if len(object.Spec) < minDeltaDocument {
 		return object
@@ -265,8 +267,8 @@
 	return object
 }
 
-// recordDocuments records the large documents of a listing's changes, so that deltas can be made from
-// their versions.
+// recordDocuments records the large documents of a listing's changes, so that deltas can be
+// made from their versions.
 func (k *kindCache) recordDocuments(listing objects.Listing) {
 	long := objects.Listing{Revision: listing.Revision}
 	for _, object := range listing.Objects {
@@ -279,7 +281,8 @@
 	}
 }
 
-// foldIntoBase moves the large documents of changes that are no longer kept into first.
+// foldIntoBase moves the large documents of changes that are no longer kept into
+// baseDocuments.
 func (k *kindCache) foldIntoBase(changes []objects.Object) {
 	for _, object := range changes {
 		if object.Deleted {
@@ -306,31 +309,31 @@
 	}
 }
 
-// compact drops the steps that later steps of the same object replace, and the oldest
+// compact drops the history entries that later ones of the same object replace, and the oldest
 // deletions beyond the bound.
 func (k *kindCache) compact() {
 	last := make(map[string]int, len(k.history))
-	for i, step := range k.history {
-		last[step.name] = i
+	for i, entry := range k.history {
+		last[entry.name] = i
 	}
-	forget := k.tombstones - maxTombstones
-	var steps []historyEntry
+	excess := k.tombstones - maxTombstones
+	var kept []historyEntry
 	k.tombstones = 0
-	for i, step := range k.history {
-		if step.tombstone != nil && forget > 0 {
-			forget--
-			k.historyStart = max(k.historyStart, step.listingRevision)
+	for i, entry := range k.history {
+		if entry.tombstone != nil && excess > 0 {
+			excess--
+			k.historyStart = max(k.historyStart, entry.listingRevision)
 			continue
 		}
-		if last[step.name] != i {
+		if last[entry.name] != i {
 			continue
 		}
-		if step.tombstone != nil {
+		if entry.tombstone != nil {
 			k.tombstones++
 		}
-		steps = append(steps, step)
+		kept = append(kept, entry)
 	}
-	k.history = steps
+	k.history = kept
 }
 
 // bytes returns the size of the documents in bytes.
@@ -342,38 +345,38 @@
 	return n
 }
 
-// changesSince returns the changes after a revision, and a channel that is closed at the next change.
-// ok is false if the history does not reach back that far, or the revision belongs to an
-// earlier era of the store.
+// changesSince returns the changes after a revision, and a channel that is closed at the next
+// change. ok is false if the history does not reach back that far, or the revision belongs to
+// an earlier era of the store.
 func (r *relayCache) changesSince(name string, after uint64) (listing objects.Listing, more <-chan struct{}, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.kind(name)
-	listing.Revision = max(known.revision, after)
-	if after >= known.revision {
-		return listing, known.changed, true
+	cache := r.kind(name)
+	listing.Revision = max(cache.revision, after)
+	if after >= cache.revision {
+		return listing, cache.changed, true
 	}
-	if revision.Era(after) < revision.Era(known.revision) {
-		return listing, known.changed, false // the caller may know objects that the store has lost and this host never knew
+	if revision.Era(after) < revision.Era(cache.revision) {
+		return listing, cache.changed, false // the caller may know objects that the store has lost and this host never knew
 	}
-	listing.Objects, listing.Revision = known.changesSince(after)
-	return listing, known.changed, after >= known.historyStart
+	listing.Objects, listing.Revision = cache.changesSince(after)
+	return listing, cache.changed, after >= cache.historyStart
 }
 
 // changesSince returns the objects that changed after a revision in their present state, and
 // the revision up to which the changes are complete: as many as fit in one answer.
 func (k *kindCache) changesSince(after uint64) (changes []objects.Object, upTo uint64) {
-	from, _ := slices.BinarySearchFunc(k.history, after+1, func(step historyEntry, want uint64) int { return cmp.Compare(step.listingRevision, want) })
-	for i, step := range k.history[from:] {
-		if i >= maxChangesPerAnswer && step.listingRevision > k.history[from+i-1].listingRevision {
+	from, _ := slices.BinarySearchFunc(k.history, after+1, func(entry historyEntry, want uint64) int { return cmp.Compare(entry.listingRevision, want) })
+	for i, entry := range k.history[from:] {
+		if i >= maxChangesPerAnswer && entry.listingRevision > k.history[from+i-1].listingRevision {
 			return latestPerObject(changes), k.history[from+i-1].listingRevision
 		}
-		object, present := k.current[step.name]
+		object, present := k.current[entry.name]
 		switch {
-		case step.tombstone != nil:
-			object = *step.tombstone
-		case !present || object.Revision != step.revision:
-			continue // a later step has the object's present state
+		case entry.tombstone != nil:
+			object = *entry.tombstone
+		case !present || object.Revision != entry.revision:
+			continue // a later entry has the object's present state
 		}
 		changes = append(changes, object)
 	}
@@ -400,16 +403,16 @@
 func (r *relayCache) versionAt(kind, name string, revision uint64) (found objects.Object, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.kind(kind)
-	take := func(object objects.Object) {
+	cache := r.kind(kind)
+	consider := func(object objects.Object) {
 		if object.Name == name && object.Revision <= revision && object.Revision >= found.Revision {
 			found, ok = object, !object.Deleted && len(object.Spec) >= minDeltaDocument
 		}
 	}
-	take(known.baseDocuments[name])
-	for _, change := range known.documentChanges {
+	consider(cache.baseDocuments[name])
+	for _, change := range cache.documentChanges {
 		for _, object := range change.listing.Objects {
-			take(object)
+			consider(object)
 		}
 	}
 	return found, ok
@@ -456,7 +459,7 @@
 	AgeMs int64
 }
 
-// listResponseWire is the JSON form of a listAnswer.
+// listResponseWire is the JSON form of a listResponse.
 type listResponseWire struct {
 	columns
 	More  bool  `json:"more,omitempty"`
@@ -535,10 +538,10 @@
 func (g *Gateway) watchFromPeer(ctx context.Context, source, kind string, revision uint64, wait time.Duration) (objects.Listing, error) {
 	request := watchRequest{Kind: kind, Revision: revision, WaitMs: wait.Milliseconds(), Columns: true}
 	listing, err := g.requestWatch(ctx, source, request)
-	var unfit *documentError
-	if errors.As(err, &unfit) {
-		g.log.Info("answer to a watch can't be decoded; requesting whole documents", "kind", kind, "name", unfit.Name, "base", unfit.Base, "known", unfit.Known,
-			"source", source, "why", eris.ToString(unfit.Cause, false))
+	var failure *documentError
+	if errors.As(err, &failure) {
+		g.log.Info("answer to a watch can't be decoded; requesting whole documents", "kind", kind, "name", failure.Name, "base", failure.Base, "known", failure.Known,
+			"source", source, "why", eris.ToString(failure.Cause, false))
 		request.Whole = true
 		return g.requestWatch(ctx, source, request)
 	}
--- a/gateway/relays_test.go
+++ b/gateway/relays_test.go
@@ -22,36 +22,36 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (f *storeProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f.mu.Lock()
+func (p *storeProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	p.mu.Lock()
 	if !strings.Contains(r.URL.RawQuery, "allow-stale") {
-		f.calls++
+		p.calls++
 	}
-	refuses := f.refusing
-	f.mu.Unlock()
+	refuses := p.refusing
+	p.mu.Unlock()
 	if refuses {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	f.store.ServeHTTP(w, r)
+	p.store.ServeHTTP(w, r)
 }
 
-func (f *storeProxy) refuse() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.refusing = true
+func (p *storeProxy) refuse() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.refusing = true
 }
 
-func (f *storeProxy) count() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.calls
+func (p *storeProxy) count() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.calls
 }
 
-// startWithProxy starts a host that calls the store through a storeFront.
+// startWithProxy starts a host that calls the store through a storeProxy.
 func (s *site) startWithProxy(name string, seeds ...string) (*hostUnderTest, *storeProxy) {
-	front := &storeProxy{store: s.store}
-	return s.start(hostSetup{name: name, store: s.listen(front), seeds: seeds}), front
+	proxy := &storeProxy{store: s.store}
+	return s.start(hostSetup{name: name, store: s.listen(proxy), seeds: seeds}), proxy
 }
 
 // newRoute adds a route to the configuration. has reports whether a host uses it.
@@ -70,14 +70,14 @@
 	s, controller := calm(t)
 	s.eventually("all keys are served", func() bool { return s.allServed(controller) })
 	others := []*hostUnderTest{s.host("two"), s.host("three")}
-	refused, front := s.startWithProxy("refused")
+	refused, proxy := s.startWithProxy("refused")
 	s.eventually("the refused host serves keys", func() bool { return refused.gateway.Ready() && s.allServed(refused) })
 	// Relays are named in the answers to reports, of which each host sends one every
 	// half second.
 	const rounds, hosts = 3, 3
 	enough := controller.peers.reports.Load() + rounds*hosts
 	s.eventually("each host has been told relays", func() bool { return controller.peers.reports.Load() >= enough })
-	front.refuse()
+	proxy.refuse()
 	more := s.newRoute(11, "more")
 	s.eventually("the refused host follows the controller", func() bool { return more(refused) })
 	controller.kill()
@@ -119,11 +119,11 @@
 		h.kill()
 	}
 	var again []*hostUnderTest
-	var fronts []*storeProxy
+	var proxies []*storeProxy
 	for i, h := range started {
-		front := &storeProxy{store: s.store}
-		again = append(again, s.start(hostSetup{name: fmt.Sprintf("host-%d", i), store: s.listen(front), peers: h.peers}))
-		fronts = append(fronts, front)
+		proxy := &storeProxy{store: s.store}
+		again = append(again, s.start(hostSetup{name: fmt.Sprintf("host-%d", i), store: s.listen(proxy), peers: h.peers}))
+		proxies = append(proxies, proxy)
 	}
 	s.eventually("all hosts serve", func() bool {
 		for _, h := range again {
@@ -137,8 +137,8 @@
 	// the others use stale reads, and then follow one of these.
 	relays = append(relays, s.assignment().Controller.Address)
 	const mostCalls = 3 // one watch per kind
-	for i, front := range fronts {
-		if calls := front.count(); !slices.Contains(relays, again[i].peers.address) && calls > mostCalls {
+	for i, proxy := range proxies {
+		if calls := proxy.count(); !slices.Contains(relays, again[i].peers.address) && calls > mostCalls {
 			t.Errorf("host %d made %d calls that were not stale reads", i, calls)
 		}
 	}
--- a/gateway/servers.go
+++ b/gateway/servers.go
@@ -39,9 +39,9 @@
 	})
 }
 
-// noteRegistryUnavailable records that entries which are missing now may only not have been renewed,
-// since the store is unavailable. The prober calls it as well, since only the prober keeps
-// calling the store in that time.
+// noteRegistryUnavailable records that entries which are missing now may only not have been
+// renewed, since the store is unavailable. The prober calls it as well, since only the prober
+// keeps calling the store in that time.
 func (g *Gateway) noteRegistryUnavailable(error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -95,8 +95,8 @@
 	}
 }
 
-// maxReportedEntries bounds the unreadable entries that are remembered as reported: any number of
-// them may be written to the store.
+// maxReportedEntries bounds the unreadable entries that are remembered as reported: any number
+// of them may be written to the store.
 const maxReportedEntries = 1024
 
 // entryReader decodes entries. Others may write to the store what is not a valid entry; each
--- a/gateway/sources.go
+++ b/gateway/sources.go
@@ -13,14 +13,16 @@
 
 // Times and bounds of queries to relays.
 const (
-	// relayQueryInterval is the interval at which a host checks whether it has to query a relay.
+	// relayQueryInterval is the interval at which a host checks whether it has to query a
+	// relay.
 	relayQueryInterval = 100 * time.Millisecond
 	// relayQueryTimeout bounds a query: hosts answer within milliseconds.
 	relayQueryTimeout = 300 * time.Millisecond
-	// maxDirectListHosts is how many hosts may read the entries of all servers from the store at once.
+	// maxDirectListHosts is how many hosts may read the entries of all servers from the store
+	// at once.
 	maxDirectListHosts = 64
-	// relayQueryPause is the pause after no relay could confirm the state of the store: all of them
-	// may be cut off together, or the store is unavailable for all.
+	// relayQueryPause is the pause after no relay could confirm the state of the store: all of
+	// them may be cut off together, or the store is unavailable for all.
 	relayQueryPause = 400 * time.Millisecond
 )
 
@@ -31,12 +33,12 @@
 	offset int
 
 	mu sync.Mutex
-	// fromController are the relays that a controller named last, written the controller and relays
-	// that an assignment in the store names. A host that has just started knows only the
-	// latter.
+	// fromController are the relays that a controller named last, fromAssignment the
+	// controller and relays that an assignment in the store names. A host that has just
+	// started knows only the latter.
 	fromController, fromAssignment []string
-	// assignedHosts is how many hosts an assignment names, and serves is set if this host is a relay
-	// by that assignment or its controller.
+	// assignedHosts is how many hosts an assignment names, and isRelay is set if this host is
+	// a relay by that assignment or its controller.
 	assignedHosts int
 	isRelay       bool
 	// controller is the address of the controller that an assignment names. It is not queried
@@ -62,7 +64,8 @@
 	return s
 }
 
-// updateFromController sets the relays that a controller named, and whether to follow one of them.
+// updateFromController sets the relays that a controller named, and whether to follow one of
+// them.
 func (s *sources) updateFromController(relays []string, follow bool) {
 	if len(relays) == 0 {
 		return
@@ -99,8 +102,8 @@
 	s.fromAssignment, s.controller = append(relays, controller.Address), controller.Address
 }
 
-// listsFromHosts reports whether this host should list the servers from other hosts when it starts:
-// there are many hosts, and it is neither a relay nor the controller.
+// listsFromHosts reports whether this host should list the servers from other hosts when it
+// starts: there are many hosts, and it is neither a relay nor the controller.
 func (s *sources) listsFromHosts() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/sources_test.go
+++ b/gateway/sources_test.go
@@ -85,19 +85,19 @@
 		f.acceptConfirmation(silent-relayQueryAge, confirmationFrom(silent-relayQueryAge, "controller", nil))
 	}
 	assert.Assert(t, !host.needsRelay(silent))
-	_, watching := beginTestWatch(&relay, "things", silent)
+	_, watchCtx := beginTestWatch(&relay, "things", silent)
 	now := silent + 10*time.Millisecond
 	assert.Assert(t, host.needsRelay(now))
 
 	// The relay is queried. It cancels its watch of the controller and watches the store.
 	age, _ := relay.noteRelayQuery(now)
 	assert.Assert(t, age > relayQueryAge)
-	assert.Assert(t, watching.Err() != nil)
-	made, _ := beginTestWatch(&relay, "things", now)
-	assert.Equal(t, made, watchPlan{wait: probeWatchWait})
+	assert.Assert(t, watchCtx.Err() != nil)
+	planned, _ := beginTestWatch(&relay, "things", now)
+	assert.Equal(t, planned, watchPlan{wait: probeWatchWait})
 	relay.noteStoreRead("things", now)
-	made, _ = beginTestWatch(&relay, "things", now+probeWatchWait)
-	assert.Equal(t, made, watchPlan{wait: relayWatchWait})
+	planned, _ = beginTestWatch(&relay, "things", now+probeWatchWait)
+	assert.Equal(t, planned, watchPlan{wait: relayWatchWait})
 
 	// It is queried again, and confirms the state of the store.
 	now += relayQueryInterval
@@ -105,8 +105,8 @@
 	assert.Equal(t, age, relayQueryInterval)
 	assert.Assert(t, relay.canServe(now))
 	host.acceptConfirmation(now, confirmation{confirmedAt: now - age, sender: "relay", source: "relay", revisions: revisions})
-	made, _ = beginTestWatch(&host, "things", silent+time.Second)
-	assert.Equal(t, made, watchPlan{wait: longWatchWait, source: "relay"})
+	planned, _ = beginTestWatch(&host, "things", silent+time.Second)
+	assert.Equal(t, planned, watchPlan{wait: longWatchWait, source: "relay"})
 
 	// When nobody queries it any more, it queries others itself.
 	now += relayIdleTimeout + relayQueryInterval
@@ -122,17 +122,17 @@
 	f.noteSourceFailure("controller")
 	assert.Assert(t, f.needsRelay(time.Millisecond))
 	begin := func(now time.Duration, relays bool) watchPlan {
-		_, cancel, made := f.beginWatch(t.Context(), "things", now, relays)
+		_, cancel, planned := f.beginWatch(t.Context(), "things", now, relays)
 		cancel()
-		return made
+		return planned
 	}
-	made := begin(time.Second, true)
-	assert.Assert(t, made.confirmationArrived != nil)
-	assert.Equal(t, made.wait, f.validFor()-time.Second)
+	planned := begin(time.Second, true)
+	assert.Assert(t, planned.confirmationArrived != nil)
+	assert.Equal(t, planned.wait, f.validFor()-time.Second)
 	assert.Equal(t, begin(time.Second, false), watchPlan{wait: f.shortWait()}, "there is no host to ask")
 	assert.Equal(t, begin(f.validFor(), true), watchPlan{wait: f.shortWait()})
 	f.acceptConfirmation(time.Second, confirmationFrom(time.Second, "relay", nil))
-	<-made.confirmationArrived
+	<-planned.confirmationArrived
 	assert.Equal(t, begin(time.Second, true), watchPlan{wait: longWatchWait, source: "relay"})
 }
 
@@ -142,27 +142,27 @@
 // cut off from the store would leave the controller to watch the store, and wait there for an
 // answer that does not come, even after the controller's next confirmation.
 func TestLateReportMakesNobodyLeaveTheController(t *testing.T) {
-	const told = 5 * time.Second
+	const received = 5 * time.Second
 	f := newFreshness(0)
 	f.noteRevision("things", 5, true)
-	f.acceptConfirmation(told, confirmationFrom(told-600*time.Millisecond, "controller", nil))
-	_, watching := beginTestWatch(&f, "things", told)
-	late := told + 610*time.Millisecond // 10 ms after the confirmation is 1.2 s old
+	f.acceptConfirmation(received, confirmationFrom(received-600*time.Millisecond, "controller", nil))
+	_, watchCtx := beginTestWatch(&f, "things", received)
+	late := received + 610*time.Millisecond // 10 ms after the confirmation is 1.2 s old
 	assert.Assert(t, !f.needsRelay(late))
 	f.noteRelayQuery(late)
-	assert.NilError(t, watching.Err())
+	assert.NilError(t, watchCtx.Err())
 
 	// The next confirmation is overdue, and the relay watches the store.
-	overdue := told + confirmationOverdueAfter + time.Millisecond
+	overdue := received + confirmationOverdueAfter + time.Millisecond
 	assert.Assert(t, f.needsRelay(overdue))
 	f.noteRelayQuery(overdue)
-	assert.Assert(t, watching.Err() != nil)
-	made, watching := beginTestWatch(&f, "things", overdue)
-	assert.Equal(t, made, watchPlan{wait: probeWatchWait})
+	assert.Assert(t, watchCtx.Err() != nil)
+	planned, watchCtx := beginTestWatch(&f, "things", overdue)
+	assert.Equal(t, planned, watchPlan{wait: probeWatchWait})
 	f.acceptConfirmation(overdue+time.Millisecond, confirmationFrom(overdue, "controller", nil))
-	assert.Assert(t, watching.Err() != nil, "the watch of the store was not canceled")
-	made, _ = beginTestWatch(&f, "things", overdue+time.Millisecond)
-	assert.Equal(t, made, watchPlan{wait: longWatchWait, source: "controller"})
+	assert.Assert(t, watchCtx.Err() != nil, "the watch of the store was not canceled")
+	planned, _ = beginTestWatch(&f, "things", overdue+time.Millisecond)
+	assert.Equal(t, planned, watchPlan{wait: longWatchWait, source: "controller"})
 }
 
 // Guards against a request that reaches a server 2.1 s after the store knew that it leaves.
@@ -172,14 +172,14 @@
 func TestWatchMovesToTheNewSource(t *testing.T) {
 	f := newFreshness(0)
 	f.acceptConfirmation(0, confirmationFrom(0, "controller", nil))
-	made, watching := beginTestWatch(&f, "things", 0)
-	assert.Equal(t, made.source, "controller")
+	planned, watchCtx := beginTestWatch(&f, "things", 0)
+	assert.Equal(t, planned.source, "controller")
 	f.acceptConfirmation(time.Second, confirmationFrom(time.Second, "controller", nil))
-	assert.NilError(t, watching.Err())
+	assert.NilError(t, watchCtx.Err())
 	f.acceptConfirmation(2*time.Second, confirmation{confirmedAt: 2 * time.Second, sender: "controller", source: "relay"})
-	assert.NilError(t, watching.Err(), "a watch at the controller is as good as one at a relay that follows it")
+	assert.NilError(t, watchCtx.Err(), "a watch at the controller is as good as one at a relay that follows it")
 	f.acceptConfirmation(3*time.Second, confirmationFrom(3*time.Second, "relay", nil))
-	assert.Assert(t, watching.Err() != nil)
-	made, _ = beginTestWatch(&f, "things", 3*time.Second)
-	assert.Equal(t, made.source, "relay")
+	assert.Assert(t, watchCtx.Err() != nil)
+	planned, _ = beginTestWatch(&f, "things", 3*time.Second)
+	assert.Equal(t, planned.source, "relay")
 }
--- a/gateway/storecalls.go
+++ b/gateway/storecalls.go
@@ -11,7 +11,8 @@
 	"cicadarouter/host/clock"
 )
 
-// storeCallLogInterval is the interval at which a host logs how many calls it has made to the store.
+// storeCallLogInterval is the interval at which a host logs how many calls it has made to the
+// store.
 const storeCallLogInterval = 10 * time.Second
 
 // storeCalls counts a host's calls to the store. Each call is billed, and which host makes
@@ -35,9 +36,9 @@
 func (c *storeCalls) drain() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	made := c.counts
+	counts := c.counts
 	c.counts = nil
-	return made
+	return counts
 }
 
 // countingReader is a reader that counts its calls. suffix marks the calls of a stale reader.
@@ -104,13 +105,13 @@
 func (g *Gateway) logStoreCalls(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, storeCallLogInterval)
-		made := g.calls.drain()
-		if len(made) == 0 {
+		counts := g.calls.drain()
+		if len(counts) == 0 {
 			continue
 		}
 		fields := []any{"within-ms", storeCallLogInterval.Milliseconds()}
-		for _, name := range slices.Sorted(maps.Keys(made)) {
-			fields = append(fields, name, made[name])
+		for _, name := range slices.Sorted(maps.Keys(counts)) {
+			fields = append(fields, name, counts[name])
 		}
 		g.log.Info("calls to the store", fields...)
 	}
--- a/gateway/watchplan.go
+++ b/gateway/watchplan.go
@@ -10,13 +10,13 @@
 	wait time.Duration
 	// source is the host to watch; empty for the store.
 	source string
-	// confirmationArrived is set if the host should wait for a confirmation in place of watching; it is
-	// closed when one arrives.
+	// confirmationArrived is set if the host should wait for a confirmation in place of
+	// watching; it is closed when one arrives.
 	confirmationArrived <-chan struct{}
 }
 
-// beginWatch returns the context and the plan for the next watch of a kind. hasRelays tells whether
-// there are relays that could be queried.
+// beginWatch returns the context and the plan for the next watch of a kind. hasRelays tells
+// whether there are relays that could be queried.
 func (f *freshness) beginWatch(ctx context.Context, name string, now time.Duration, hasRelays bool) (context.Context, context.CancelFunc, watchPlan) {
 	ctx, cancel := context.WithCancel(ctx)
 	f.mu.Lock()
--- a/tools/mutants/era.go
+++ b/tools/mutants/era.go
@@ -24,7 +24,7 @@
 		entries("evacuation.go", "keep a lost evacuation forever", "known.forgotten && now-known.forgottenAt >= forgottenKept", "false"),
 		host("keyview.go", "take an earlier record as the newest", "if v.forgotten && record.OlderThan(v.record) {", "if false {"),
 		host("era.go", "do not write a lost record again", "	c.machine.Forgotten(era)\n", ""),
-		breaking("gateway", "AcrossEras")("relay.go", "send changes since a revision of an earlier era", "if revision.Era(after) < revision.Era(known.revision) {", "if false {"),
+		breaking("gateway", "AcrossEras")("relay.go", "send changes since a revision of an earlier era", "if revision.Era(after) < revision.Era(cache.revision) {", "if false {"),
 		host("follow.go", "list from a host that is in an earlier era", "revision.Era(listing.Revision) < g.era.Load()", "false"),
 	}
 }
