--- a/gateway/calls.go
+++ b/gateway/calls.go
@@ -186,14 +186,14 @@
 	c.writeInFlight = false
 	var conflict *objects.ConflictError
 	if errors.As(e.err, &conflict) {
-		if g.restore(c, conflict.Current, now) {
+		if g.rewriteLostAssignment(c, conflict.Current, now) {
 			return
 		}
-		g.takeAssignment(conflict.Current)
+		g.applyAssignment(conflict.Current)
 		g.stepDown(c, "a write conflicted with another record", "")
 		return
 	}
-	if errors.Is(e.err, objects.ErrNotFound) && g.restore(c, objects.Object{}, now) {
+	if errors.Is(e.err, objects.ErrNotFound) && g.rewriteLostAssignment(c, objects.Object{}, now) {
 		return
 	}
 	if e.err != nil {
@@ -235,7 +235,7 @@
 		return
 	}
 	c.confirmInFlight = false
-	if (e.err == nil || errors.Is(e.err, objects.ErrNotFound)) && g.restore(c, e.object, now) {
+	if (e.err == nil || errors.Is(e.err, objects.ErrNotFound)) && g.rewriteLostAssignment(c, e.object, now) {
 		return
 	}
 	if e.err != nil {
@@ -248,12 +248,12 @@
 		return
 	}
 	if !g.isOwnRecord(&stored) {
-		g.takeAssignment(e.object)
+		g.applyAssignment(e.object)
 		g.stepDown(c, "another controller took over", stored.Controller.Host)
 		return
 	}
 	c.machine.Confirm(e.began)
-	g.freshness.confirm(e.askedAt)
+	g.freshness.noteRoleConfirmed(e.askedAt)
 }
 
 // claimResult is the result of a claim of the controller role.
@@ -283,7 +283,7 @@
 	c.answeredAt = now
 	var conflict *objects.ConflictError
 	if errors.As(e.err, &conflict) {
-		g.takeAssignment(conflict.Current)
+		g.applyAssignment(conflict.Current)
 		return
 	}
 	c.recordMissing = errors.Is(e.err, objects.ErrNotFound)
--- a/gateway/control.go
+++ b/gateway/control.go
@@ -182,7 +182,7 @@
 func (g *Gateway) stepControl(ctx context.Context) {
 	g.expireServers()
 	g.recheckLeaving(ctx, g.bootClock.Now())
-	g.freshness.tend(g.now(), g.isController())
+	g.freshness.setControlling(g.now(), g.isController())
 	if g.stop.stopping() {
 		g.resignAll(ctx)
 		return
@@ -282,7 +282,7 @@
 
 // claimWhenDue claims the controller role once the claim has been due for the given delay.
 func (g *Gateway) claimWhenDue(ctx context.Context, c *serviceControl, now time.Duration, record *keyspace.Record, revision uint64, delay time.Duration) {
-	if g.storeReach.isAway() {
+	if g.storeReach.isUnavailable() {
 		// The claim would fail as the last call did. Once the store is reachable again, the
 		// controller has until the end of the delay to show that it is alive.
 		c.claimDueSince = 0
@@ -317,7 +317,7 @@
 // yet: servers take seconds to register, and if thousands of hosts each read all entries
 // meanwhile, they would saturate the store's network link for longer than that.
 func (g *Gateway) claimInitial(ctx context.Context, c *serviceControl, now time.Duration) {
-	if now-c.firstSeen < g.claimDelay(c, 0) || g.storeReach.isAway() || !g.mayClaim() {
+	if now-c.firstSeen < g.claimDelay(c, 0) || g.storeReach.isUnavailable() || !g.mayClaim() {
 		return
 	}
 	record := keyspace.NewUnassignedRecord(g.asController(), g.era.Load())
@@ -423,7 +423,7 @@
 // that the store has dropped delivers nothing, and the other hosts, which learn of assignments
 // through the controller, would go on sending requests to previous owners.
 func (g *Gateway) checkOwnWrites(c *serviceControl, now time.Duration) {
-	if now-c.writtenAt < ownWriteTimeout || !g.freshness.recheck(Assignments, c.revision) {
+	if now-c.writtenAt < ownWriteTimeout || !g.freshness.cancelIfBehind(Assignments, c.revision) {
 		return
 	}
 	g.log.Warn("watch did not deliver this controller's own write; restarting the watch", "service", c.service.name, "revision", c.revision)
--- a/gateway/deltas.go
+++ b/gateway/deltas.go
@@ -12,50 +12,49 @@
 	"cicadarouter/delta"
 )
 
-// Between hosts a long document (an assignment, a configuration of many routes)
-// travels as the difference to the version that the other host has: a change
-// touches a few of hundreds of ranges or routes, and bytes between failure
-// domains are dear. On 76 hosts and 170 servers a move is 0.2 to 2 KB a host in
-// place of 15.
+// Hosts send each other a large document (an assignment, a configuration with many routes)
+// as a delta to the version that the receiver has: a change affects a few of hundreds of
+// ranges or routes, and traffic between failure domains is expensive. With 76 hosts and 170
+// servers, moving keys takes 0.2 to 2 KB per host instead of 15 KB.
 
 const (
-	// longDocument is from how many bytes on a document travels as a delta.
-	longDocument = 1 << 10
-	// longAnswer is from how many bytes on a host is sent to the store for a
-	// document. A small controller that sent a configuration of 1,400 routes to 75
-	// others itself kept its link and processor busy for seconds, in which the
-	// others missed changes. Large hosts pass on what a body may hold.
-	longAnswer      = 64 << 10
-	largeLongAnswer = maxPeerBody / 2
-	// mostDeltas bounds the deltas that are kept: nearly all hosts have the
-	// version before the last and ask for the same.
-	mostDeltas = 8
+	// minDeltaDocument is the size in bytes from which on a document is sent as a delta.
+	minDeltaDocument = 1 << 10
+	// maxDocumentSmallHost is the size in bytes from which on a small host doesn't send a
+	// document or delta: the receiver reads the document from the store. A small controller
+	// that sent a configuration of 1,400 routes to 75 other hosts kept its link and processor
+	// busy for seconds, in which these missed changes. Large hosts send what fits in a body.
+	maxDocumentSmallHost = 64 << 10
+	maxDocumentLargeHost = maxPeerBody / 2
+	// maxCachedDeltas bounds the cached deltas: nearly all hosts have the version before the
+	// last and ask for the same delta.
+	maxCachedDeltas = 8
 )
 
-// watchAnswer is what a controller passes on.
-type watchAnswer struct {
+// watchResponse holds changes of a kind.
+type watchResponse struct {
 	objects.Listing
-	// Deltas stand in place of documents that the host has an earlier version of.
+	// Deltas replace documents that the receiver has an earlier version of.
 	Deltas []documentDelta `json:"deltas,omitempty"`
-	// InStore names documents that the host is to read in the store.
+	// InStore names documents that the receiver has to read from the store.
 	InStore []string `json:"inStore,omitempty"`
 }
 
-// watchAnswerWire is a watchAnswer as it passes between hosts.
-type watchAnswerWire struct {
+// watchResponseWire is the JSON form of a watchResponse.
+type watchResponseWire struct {
 	columns
 	Deltas  []documentDelta `json:"deltas,omitempty"`
 	InStore []string        `json:"inStore,omitempty"`
 }
 
 // MarshalJSON implements json.Marshaler.
-func (a watchAnswer) MarshalJSON() ([]byte, error) {
-	return json.Marshal(watchAnswerWire{columns: columnsOf(a.Listing), Deltas: a.Deltas, InStore: a.InStore})
+func (a watchResponse) MarshalJSON() ([]byte, error) {
+	return json.Marshal(watchResponseWire{columns: columnsOf(a.Listing), Deltas: a.Deltas, InStore: a.InStore})
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (a *watchAnswer) UnmarshalJSON(data []byte) error {
-	var wire watchAnswerWire
+func (a *watchResponse) UnmarshalJSON(data []byte) error {
+	var wire watchResponseWire
 	err := json.Unmarshal(data, &wire)
 	if err == nil {
 		a.Listing, err = wire.listing()
@@ -64,7 +63,7 @@
 	return err
 }
 
-// documentDelta makes one version of a document into a later one.
+// documentDelta turns one version of a document into a later one.
 type documentDelta struct {
 	Name string `json:"name"`
 	// Base and Revision are the versions' revisions in the store.
@@ -73,120 +72,124 @@
 	Delta    *delta.Delta `json:"delta"`
 }
 
-// unfitError reports a delta of a version that this host does not have, or a
-// document that it could not read in the store.
-type unfitError struct {
+// documentError reports a delta to a version that this host does not have, or a document that
+// it could not read from the store.
+type documentError struct {
 	Name        string
 	Base, Known uint64
 	Cause       error
 }
 
 // Error implements error.
-func (e *unfitError) Error() string {
-	return fmt.Sprintf("delta of %s is for revision %d, known is %d: %v", e.Name, e.Base, e.Known, e.Cause)
+func (e *documentError) Error() string {
+	return fmt.Sprintf("document %s not available (delta base revision %d, known revision %d): %v", e.Name, e.Base, e.Known, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *unfitError) Unwrap() error { return e.Cause }
+func (e *documentError) Unwrap() error { return e.Cause }
 
-var errOtherBase = errors.New("the host has another version")
+var errBaseMismatch = errors.New("delta applies to another version than the known one")
 
-// deltaKey names a delta.
+// deltaKey identifies a delta.
 type deltaKey struct {
 	kind, name     string
 	base, revision uint64
 }
 
-// madeDelta is a delta with its length in bytes as it is sent.
-type madeDelta struct {
-	delta *delta.Delta
-	bytes int
+// cachedDelta is a delta with the length of its JSON form in bytes.
+type cachedDelta struct {
+	delta        *delta.Delta
+	encodedBytes int
 }
 
-// deltas makes the deltas for other hosts, each once.
-type deltas struct {
-	// long is from how many bytes on a host is sent to the store for a document.
-	long int
-	mu   sync.Mutex
-	made map[deltaKey]madeDelta
+// deltaCache makes deltas for other hosts and caches them, so that each is made once.
+type deltaCache struct {
+	// maxDocument is the size in bytes from which on a document is not sent, but has to be
+	// read from the store.
+	maxDocument int
+	mu          sync.Mutex
+	cached      map[deltaKey]cachedDelta
 }
 
-func newDeltas(identity Identity) deltas {
+func newDeltaCache(identity Identity) deltaCache {
 	if identity.Small {
-		return deltas{long: longAnswer}
+		return deltaCache{maxDocument: maxDocumentSmallHost}
 	}
-	return deltas{long: largeLongAnswer}
+	return deltaCache{maxDocument: maxDocumentLargeHost}
 }
 
-// shorten returns a listing for a host that knows the kind up to a revision,
-// with deltas in place of the long documents of which it has an earlier version.
-func (d *deltas) shorten(relay *relay, kind string, listing objects.Listing, known uint64) *watchAnswer {
-	answer := &watchAnswer{Listing: objects.Listing{Revision: listing.Revision}}
+// encode returns the answer for a host that knows the kind up to a revision. Deltas replace
+// the large documents of which the host has an earlier version.
+func (d *deltaCache) encode(cache *relayCache, kind string, listing objects.Listing, known uint64) *watchResponse {
+	answer := &watchResponse{Listing: objects.Listing{Revision: listing.Revision}}
 	for _, object := range listing.Objects {
-		if object.Deleted || len(object.Spec) < longDocument {
+		if object.Deleted || len(object.Spec) < minDeltaDocument {
 			answer.Objects = append(answer.Objects, object)
 			continue
 		}
-		base, ok := relay.versionAt(kind, object.Name, known)
+		base, ok := cache.versionAt(kind, object.Name, known)
 		if !ok {
-			answer.whole(object, d.long)
+			answer.addWhole(object, d.maxDocument)
 			continue
 		}
-		made := d.get(kind, base, object)
-		if made.bytes >= min(d.long, len(object.Spec)) {
-			answer.whole(object, d.long)
+		cached := d.get(kind, base, object)
+		if cached.encodedBytes >= min(d.maxDocument, len(object.Spec)) {
+			answer.addWhole(object, d.maxDocument)
 			continue
 		}
-		answer.Deltas = append(answer.Deltas, documentDelta{Name: object.Name, Base: base.Revision, Revision: object.Revision, Delta: made.delta})
+		answer.Deltas = append(answer.Deltas, documentDelta{Name: object.Name, Base: base.Revision, Revision: object.Revision, Delta: cached.delta})
 	}
 	return answer
 }
 
-func (a *watchAnswer) whole(object objects.Object, long int) {
-	if len(object.Spec) >= long {
+// addWhole adds a whole document, or only its name if it is too large to send.
+func (a *watchResponse) addWhole(object objects.Object, maxDocument int) {
+	if len(object.Spec) >= maxDocument {
 		a.InStore = append(a.InStore, object.Name)
 		return
 	}
 	a.Objects = append(a.Objects, object)
 }
 
-func (d *deltas) get(kind string, base, object objects.Object) madeDelta {
+// get returns the delta between two versions of an object.
+func (d *deltaCache) get(kind string, base, object objects.Object) cachedDelta {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	key := deltaKey{kind: kind, name: object.Name, base: base.Revision, revision: object.Revision}
-	if made, known := d.made[key]; known {
-		return made
+	if cached, known := d.cached[key]; known {
+		return cached
 	}
-	if d.made == nil || len(d.made) >= mostDeltas {
-		d.made = map[deltaKey]madeDelta{}
+	if d.cached == nil || len(d.cached) >= maxCachedDeltas {
+		d.cached = map[deltaKey]cachedDelta{}
 	}
-	made := madeDelta{delta: delta.Make(base.Spec, object.Spec), bytes: math.MaxInt}
-	if encoded, err := json.Marshal(made.delta); err == nil {
-		made.bytes = len(encoded)
+	cached := cachedDelta{delta: delta.Make(base.Spec, object.Spec), encodedBytes: math.MaxInt}
+	if encoded, err := json.Marshal(cached.delta); err == nil {
+		cached.encodedBytes = len(encoded)
 	}
-	d.made[key] = made
-	return made
+	d.cached[key] = cached
+	return cached
 }
 
-// unfold returns a controller's answer as a listing of whole documents. It fails
-// with an *unfitError if a document can't be had from what this host has.
-func (g *Gateway) unfold(ctx context.Context, kind string, answer *watchAnswer) (objects.Listing, error) {
+// expandDeltas applies an answer's deltas, reads the documents it only names from the store,
+// and returns the changes with whole documents. It fails with a *documentError if that is
+// impossible for one of them.
+func (g *Gateway) expandDeltas(ctx context.Context, kind string, answer *watchResponse) (objects.Listing, error) {
 	listing := answer.Listing
-	for _, each := range answer.Deltas {
-		base, _ := g.relay.versionAt(kind, each.Name, math.MaxUint64)
-		if base.Revision != each.Base || each.Delta == nil {
-			return objects.Listing{}, &unfitError{Name: each.Name, Base: each.Base, Known: base.Revision, Cause: errOtherBase}
+	for _, changed := range answer.Deltas {
+		base, _ := g.relay.versionAt(kind, changed.Name, math.MaxUint64)
+		if base.Revision != changed.Base || changed.Delta == nil {
+			return objects.Listing{}, &documentError{Name: changed.Name, Base: changed.Base, Known: base.Revision, Cause: errBaseMismatch}
 		}
-		spec, err := each.Delta.Apply(base.Spec)
+		spec, err := changed.Delta.Apply(base.Spec)
 		if err != nil {
-			return objects.Listing{}, &unfitError{Name: each.Name, Base: each.Base, Known: base.Revision, Cause: err}
+			return objects.Listing{}, &documentError{Name: changed.Name, Base: changed.Base, Known: base.Revision, Cause: err}
 		}
-		listing.Objects = append(listing.Objects, objects.Object{Kind: kind, Name: each.Name, Revision: each.Revision, Spec: spec})
+		listing.Objects = append(listing.Objects, objects.Object{Kind: kind, Name: changed.Name, Revision: changed.Revision, Spec: spec})
 	}
 	for _, name := range answer.InStore {
 		object, err := g.store.Get(ctx, kind, name)
 		if err != nil {
-			return objects.Listing{}, &unfitError{Name: name, Cause: err}
+			return objects.Listing{}, &documentError{Name: name, Cause: err}
 		}
 		listing.Objects = append(listing.Objects, canonicalObject(object))
 	}
--- a/gateway/evacuations.go
+++ b/gateway/evacuations.go
@@ -10,7 +10,7 @@
 
 // followEvacuations keeps the evacuations in step with the store.
 func (g *Gateway) followEvacuations(ctx context.Context) {
-	g.follow(ctx, follower{kind: g.registry.Evacuations(), replace: g.replaceEvacuations, change: g.changeEvacuations, away: func(error) {}})
+	g.follow(ctx, follower{kind: g.registry.Evacuations(), onListing: g.replaceEvacuations, onChanges: g.changeEvacuations, onError: func(error) {}})
 }
 
 // replaceEvacuations applies a complete list of the evacuations.
@@ -74,6 +74,6 @@
 	g.directory.TouchAll()
 	g.mu.Unlock()
 	g.log.Info("evacuations changed", "revision", listing.Revision, "domains", changed, "evacuated", evacuated,
-		"store-age-ms", g.freshness.ageNow(g.now()).Milliseconds())
+		"store-age-ms", g.freshness.currentAge(g.now()).Milliseconds())
 	g.directoryChanged()
 }
--- a/gateway/firstservers.go
+++ b/gateway/firstservers.go
@@ -9,88 +9,92 @@
 	"cicadarouter/host/clock"
 )
 
-// Thousands of servers have megabytes of entries. Hundreds of hosts that start within a second
-// and each read them in the store keep its link busy for longer than callers wait, so a host
-// that starts takes them from one that knows them.
+// The entries of thousands of servers are megabytes. Hundreds of hosts that start within a
+// second and all read them from the store keep its link busy for longer than callers wait, so
+// a host that starts lists them from a host that already has them.
 
 const (
-	// hostsWait is how long a host waits for one that knows the servers: for one that has
-	// claimed control while the whole system starts for the first time, for a relay that has
-	// read them if all hosts were lost.
-	hostsWait = 3 * time.Second
-	// assignmentsWait is how long a host that starts waits until it has read the assignments,
-	// which name the relays, or could not.
+	// peerListWait is how long a host waits for another one that has the servers: while the
+	// whole system starts for the first time, a host that has claimed control; after the loss
+	// of all hosts, a relay that has read them.
+	peerListWait = 3 * time.Second
+	// assignmentsWait is how long a starting host waits until it has read the assignments,
+	// which name the relays, or the store has refused to list them.
 	assignmentsWait = 5 * time.Second
-	// storeSpread is over how long hosts that get no answer of others spread their reads of the
-	// store, for each host.
-	storeSpread = 5 * time.Millisecond
-	// sourceLook is how often it looks whether there is one.
-	sourceLook = 20 * time.Millisecond
-	// sourceRetry is left after one that has nothing to tell yet.
-	sourceRetry = 200 * time.Millisecond
+	// storeReadSpacing is the time per host over which hosts that get no list from others
+	// spread their reads of the store.
+	storeReadSpacing = 5 * time.Millisecond
+	// sourcePollInterval is the interval at which a starting host checks whether it has read
+	// the assignments and whether there is another host to list from.
+	sourcePollInterval = 20 * time.Millisecond
+	// sourceRetryDelay is the pause after a host that could not list the servers.
+	sourceRetryDelay = 200 * time.Millisecond
 )
 
-var errOldList = errors.New("the host has not heard of the store for long")
+var errStaleList = errors.New("the host's view of the store is too old")
 
-// firstServers lists the servers after the start of the process as another host knows them. ok
-// is false if the store is to be asked.
-func (g *Gateway) firstServers(ctx context.Context) (listing objects.Listing, ok bool) {
-	if !g.asksHosts(ctx) {
+// listServersAtStartup lists the servers from another host after the start of the process. ok
+// is false if they have to be read from the store.
+func (g *Gateway) listServersAtStartup(ctx context.Context) (listing objects.Listing, ok bool) {
+	if !g.listsServersFromPeers(ctx) {
 		return objects.Listing{}, false
 	}
-	until := g.now() + hostsWait + g.storeTurn()
-	for g.now() < until && ctx.Err() == nil && !g.freshness.leading() {
-		source := g.firstSource()
+	deadline := g.now() + peerListWait + g.storeReadDelay()
+	for g.now() < deadline && ctx.Err() == nil && !g.freshness.isController() {
+		source := g.startupServerSource()
 		if source == "" {
-			clock.Sleep(ctx, sourceLook)
+			clock.Sleep(ctx, sourcePollInterval)
 			continue
 		}
-		listing, err := g.serversOf(ctx, source)
+		listing, err := g.listServersFrom(ctx, source)
 		if err == nil {
 			return listing, true
 		}
-		g.sources.pass(source)
-		g.log.Info("host does not list the servers", "source", source, "error", err.Error())
-		clock.Sleep(ctx, sourceRetry)
+		g.sources.skip(source)
+		g.log.Info("host did not list the servers", "source", source, "error", err.Error())
+		clock.Sleep(ctx, sourceRetryDelay)
 	}
 	return objects.Listing{}, false
 }
 
-// storeTurn is how much later this host asks the store than the first one does that gets no
-// answer of others.
-func (g *Gateway) storeTurn() time.Duration {
-	return hashedDelay(time.Duration(g.sources.hostsNamed())*storeSpread, g.identity.Host)
+// storeReadDelay returns how long this host delays its read of the store after it got no list
+// from others, so that the hosts' reads are spread.
+func (g *Gateway) storeReadDelay() time.Duration {
+	return hashedDelay(time.Duration(g.sources.hostCount())*storeReadSpacing, g.identity.Host)
 }
 
-// asksHosts reports whether other hosts are to be asked for the servers. While the whole
-// system starts for the first time nobody knows how many hosts there are.
-func (g *Gateway) asksHosts(ctx context.Context) bool {
+// listsServersFromPeers reports whether to list the servers from other hosts. While the whole
+// system starts for the first time nobody knows yet how many hosts there are, so all but the
+// controller do.
+func (g *Gateway) listsServersFromPeers(ctx context.Context) bool {
 	if g.identity.FirstStart {
 		return true
 	}
-	until := g.now() + assignmentsWait
-	for !g.control.assignmentsListed.Load() && !g.control.listRejected.Load() && g.now() < until && ctx.Err() == nil {
-		clock.Sleep(ctx, sourceLook)
+	deadline := g.now() + assignmentsWait
+	for !g.control.assignmentsListed.Load() && !g.control.listRejected.Load() && g.now() < deadline && ctx.Err() == nil {
+		clock.Sleep(ctx, sourcePollInterval)
 	}
-	return g.sources.asksHosts()
+	return g.sources.listsFromHosts()
 }
 
-// firstSource returns a host that may know the servers; empty if there is none yet. While the
-// whole system starts for the first time the relays learn of them from the controller.
-func (g *Gateway) firstSource() string {
+// startupServerSource returns a host that may have the servers; empty if there is none yet.
+// While the whole system starts for the first time, the relays list them from the controller.
+func (g *Gateway) startupServerSource() string {
 	switch {
 	case !g.identity.FirstStart:
 		return g.sources.current()
-	case !g.freshness.vouchedOnce():
+	case !g.freshness.sourceTried():
 		return ""
 	}
 	return g.sources.upstream(g.sources.controllerAddress())
 }
 
-func (g *Gateway) serversOf(ctx context.Context, source string) (objects.Listing, error) {
-	listing, age, err := g.relayedList(ctx, source, g.registry.Servers())
-	if err == nil && age >= g.freshness.vouchedFor() {
-		err = errOldList
+// listServersFrom lists the servers from a host. It fails if that host's view of the store is
+// too old.
+func (g *Gateway) listServersFrom(ctx context.Context, source string) (objects.Listing, error) {
+	listing, age, err := g.listFromPeer(ctx, source, g.registry.Servers())
+	if err == nil && age >= g.freshness.validFor() {
+		err = errStaleList
 	}
 	return listing, err
 }
--- a/gateway/firststart_test.go
+++ b/gateway/firststart_test.go
@@ -12,33 +12,33 @@
 	"cicadarouter/platform/platformtest"
 )
 
-// entryReads counts the calls by which a host reads servers' entries in the store.
-type entryReads struct {
+// entryReadProxy is a proxy to the store that counts a host's reads of servers' entries.
+type entryReadProxy struct {
 	store *platformtest.Store
 	calls atomic.Int64
 }
 
 // ServeHTTP implements http.Handler.
-func (e *entryReads) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *entryReadProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if strings.HasSuffix(r.URL.Path, "/servers") {
 		e.calls.Add(1)
 	}
 	e.store.ServeHTTP(w, r)
 }
 
-// Guards against hosts that all read the entries of all servers in the store as the whole
-// system starts: only the one that has claimed control does.
+// Guards against a first start of the whole system in which every host reads the entries of
+// all servers from the store: only the host that has claimed control does.
 func TestOneHostReadsTheEntriesAtTheFirstStart(t *testing.T) {
 	const hosts = 6
 	s := newSite(t)
 	s.configure(1, "")
 	s.startServer("owned-1", "owned", true)
 	s.startServer("free-1", "free", false)
-	var reads []*entryReads
+	var reads []*entryReadProxy
 	for i := range hosts {
-		front := &entryReads{store: s.store}
-		reads = append(reads, front)
-		s.start(hostOptions{name: fmt.Sprintf("h%d", i), store: s.listen(front), firstStart: true})
+		proxy := &entryReadProxy{store: s.store}
+		reads = append(reads, proxy)
+		s.start(hostOptions{name: fmt.Sprintf("h%d", i), store: s.listen(proxy), firstStart: true})
 	}
 	for _, h := range s.hosts {
 		s.eventually("the host is ready", h.gateway.Ready)
@@ -53,11 +53,11 @@
 	assert.Equal(t, readers, 1)
 }
 
-// withoutEntries is a store that turns away reads of servers' entries.
-type withoutEntries struct{ store *platformtest.Store }
+// entryRefusingProxy is a proxy to the store that refuses reads of servers' entries.
+type entryRefusingProxy struct{ store *platformtest.Store }
 
 // ServeHTTP implements http.Handler.
-func (e withoutEntries) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e entryRefusingProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if strings.HasSuffix(r.URL.Path, "/servers") {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -65,21 +65,21 @@
 	e.store.ServeHTTP(w, r)
 }
 
-// Guards against hosts that all wait for a controller to tell them of the servers, and for the
-// servers to claim control.
+// Guards against a deadlock: all hosts wait for a controller to list the servers from, and
+// none claims control because it has no servers yet.
 func TestHostThatKnowsNoServersYetClaimsControl(t *testing.T) {
 	s, first := newSmallSite(t)
 	s.eventually("all keys are served", func() bool { return s.allServed(first) })
 	before := s.assignment()
 	first.kill()
-	late := s.start(hostOptions{name: "late", store: s.listen(withoutEntries{s.store})})
+	late := s.start(hostOptions{name: "late", store: s.listen(entryRefusingProxy{s.store})})
 	s.eventually("control is claimed", func() bool { return s.assignment().Controller.Address == late.peers.address })
 	assert.Assert(t, !late.gateway.Ready())
 	assert.DeepEqual(t, s.assignment().Ranges, before.Ranges)
 }
 
-// Guards against a first assignment of the few servers that register first: those that come
-// later would have to be given keys of theirs, each by a move.
+// Guards against a first assignment to only the few servers that register first: each later
+// server would have to get its keys by moves.
 func TestFirstAssignmentWaitsForTheServers(t *testing.T) {
 	const servers = 12
 	s := newSite(t)
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -20,20 +20,19 @@
 	"cicadarouter/routing"
 )
 
-// refusingStore is a store that turns calls away until it is told to serve, and
-// counts them by kind.
+// refusingStore is a store that refuses calls until available is set, and counts them by kind.
 type refusingStore struct {
 	*memobjects.Store
-	mu     sync.Mutex
-	calls  map[string]int
-	serves bool
-	called chan string
+	mu        sync.Mutex
+	calls     map[string]int
+	available bool
+	called    chan string
 }
 
-func (s *refusingStore) note(kind string) error {
+func (s *refusingStore) countCall(kind string) error {
 	s.mu.Lock()
 	s.calls[kind]++
-	serves := s.serves
+	serves := s.available
 	s.mu.Unlock()
 	s.called <- kind
 	if !serves {
@@ -43,13 +42,13 @@
 }
 
 func (s *refusingStore) List(ctx context.Context, kind string) (objects.Listing, error) {
-	if err := s.note(kind); err != nil {
+	if err := s.countCall(kind); err != nil {
 		return objects.Listing{}, err
 	}
 	return s.Store.List(ctx, kind)
 }
 
-// Stale implements objects.Store: the first lists are refused like all others.
+// Stale implements objects.Store: stale reads are refused as well.
 func (s *refusingStore) Stale() objects.Reader { return s }
 
 func (s *refusingStore) count(kind string) int {
@@ -58,30 +57,28 @@
 	return s.calls[kind]
 }
 
-// kinds is a registry of which the test needs the names only.
-type kinds struct{}
+// kindNames is a registry that has only the names of its kinds.
+type kindNames struct{}
 
-func (kinds) Servers() string        { return "servers" }
-func (kinds) Configurations() string { return "configurations" }
-func (kinds) Current() string        { return "main" }
-func (kinds) Evacuations() string    { return "evacuations" }
-func (kinds) Evacuation(object objects.Object) (string, error) {
+func (kindNames) Servers() string        { return "servers" }
+func (kindNames) Configurations() string { return "configurations" }
+func (kindNames) Current() string        { return "main" }
+func (kindNames) Evacuations() string    { return "evacuations" }
+func (kindNames) Evacuation(object objects.Object) (string, error) {
 	return object.Name, nil
 }
-func (kinds) Server(objects.Object) (fleet.Server, error) {
+func (kindNames) Server(objects.Object) (fleet.Server, error) {
 	return fleet.Server{}, nil
 }
-func (kinds) Configuration(objects.Object) (*routing.Configuration, error) {
+func (kindNames) Configuration(objects.Object) (*routing.Configuration, error) {
 	return &routing.Configuration{}, nil
 }
 
-// Symptom: 65 hosts make 2,800 calls to a store that turns calls away for 8 s.
-// Sequence: the store turns all calls away; the followers of all kinds try again
-// and again.
-// Cause: each follower asked for itself whether the store was back.
-func TestOnlyTheProberAsksWhileTheStoreIsAway(t *testing.T) {
+// Guards against 2,800 calls of 65 hosts to a store that refuses calls for 8 s: while the
+// store is unavailable, only one follower of a host calls it.
+func TestOnlyProberCallsUnavailableStore(t *testing.T) {
 	store := &refusingStore{Store: memobjects.New(), calls: map[string]int{}, called: make(chan string, 64)}
-	g := New(Identity{}, Platform{Store: store, Registry: kinds{}}, logs.Discard())
+	g := New(Identity{}, Platform{Store: store, Registry: kindNames{}}, logs.Discard())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var following sync.WaitGroup
@@ -95,7 +92,7 @@
 	assert.Assert(t, store.count(Assignments) <= 2, "%d calls", store.count(Assignments))
 
 	store.mu.Lock()
-	store.serves = true
+	store.available = true
 	store.mu.Unlock()
 	for !g.registryListed.Load() || !g.control.assignmentsListed.Load() {
 		select {
@@ -107,51 +104,47 @@
 	following.Wait()
 }
 
-// Symptom: as the store comes back, 60 hosts claim control of the same keys.
-// Sequence: the store is away for all; the controller can't be confirmed; every
-// host wants to take over and makes calls that can't succeed.
-// Cause: hosts claimed without having the store themselves.
-func TestNoClaimWhileTheStoreIsAway(t *testing.T) {
+// Guards against 60 hosts that claim control of the same keys as the store comes back. While
+// the store is unavailable to all, it can't confirm the controller, and each host would make
+// claims that can't succeed. Only hosts that can reach the store may claim.
+func TestNoClaimWhileStoreUnavailable(t *testing.T) {
 	g := New(Identity{Host: "one"}, Platform{}, logs.Discard())
 	c := &serviceControl{service: newService("s", Identity{Incarnation: 1}, true, g.now), claimDueSince: time.Second}
-	g.storeReach.lost()
+	g.storeReach.markUnavailable()
 	g.claimWhenDue(context.Background(), c, time.Hour, nil, 0, 0)
 	assert.Assert(t, !c.claimInFlight)
-	assert.Equal(t, c.claimDueSince, time.Duration(0), "the delay begins anew when the store is back")
+	assert.Equal(t, c.claimDueSince, time.Duration(0), "the delay starts again when the store is back")
 }
 
-// Symptom: a host sends to servers that left seconds ago; it hears of no change
-// of servers or assignments for up to 25 s.
-// Sequence: the store is away; all followers fail, and wait for the prober; the
-// store is back; the controller vouches for itself again, and the prober's next
-// watch waits 25 s at the controller for a change that does not come.
-// Cause: only an answer to the prober's watch told that the store is back, and
-// that watch was a long one.
+// Guards against a host that learns of no change of servers or assignments for up to 25 s
+// after an outage. All followers fail and wait for the prober; the store comes back, and the
+// controller confirms freshness again. If the prober's next watch then waited 25 s at the
+// controller for a change, no answer would show until then that the store is back.
 func TestProberDoesNotWaitForAChange(t *testing.T) {
-	waited := make(chan watchRequest, 16)
+	requests := make(chan watchRequest, 16)
 	controller := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var request watchRequest
-		_ = json.NewDecoder(r.Body).Decode(&request) // a zero wait then fails the test
-		waited <- request
-		_ = json.NewEncoder(w).Encode(watchAnswer{Listing: objects.Listing{Revision: request.Revision}})
+		_ = json.NewDecoder(r.Body).Decode(&request) // if it fails, the zero wait fails the test
+		requests <- request
+		_ = json.NewEncoder(w).Encode(watchResponse{Listing: objects.Listing{Revision: request.Revision}})
 	}))
 	defer controller.Close()
-	g := New(Identity{}, Platform{Store: memobjects.New(), Registry: kinds{}}, logs.Discard())
-	g.freshness.told(g.now(), wordOf(g.now(), strings.TrimPrefix(controller.URL, "http://"), nil))
-	g.storeReach.lost()
-	listing, _, err := g.next(context.Background(), follower{prober: true, kind: "configurations"}, true, 5)
+	g := New(Identity{}, Platform{Store: memobjects.New(), Registry: kindNames{}}, logs.Discard())
+	g.freshness.acceptConfirmation(g.now(), confirmationFrom(g.now(), strings.TrimPrefix(controller.URL, "http://"), nil))
+	g.storeReach.markUnavailable()
+	listing, _, err := g.fetchNext(context.Background(), follower{prober: true, kind: "configurations"}, true, 5)
 	assert.NilError(t, err)
 	assert.Equal(t, listing.Revision, uint64(5))
-	asked := <-waited
-	assert.Equal(t, time.Duration(asked.WaitMs)*time.Millisecond, awayWatch)
+	asked := <-requests
+	assert.Equal(t, time.Duration(asked.WaitMs)*time.Millisecond, probeWatchWait)
 }
 
-// A controller that answers and has the store brings the followers back at once.
-func TestControllersWordEndsTheWait(t *testing.T) {
+// The followers resume as soon as a controller that has the store answers a report.
+func TestControllerAnswerResumesFollowers(t *testing.T) {
 	g := New(Identity{}, Platform{}, logs.Discard())
-	g.storeReach.lost()
+	g.storeReach.markUnavailable()
 	c := &serviceControl{service: newService("s", Identity{Incarnation: 1}, true, g.now)}
 	ended := &reportResult{control: c, to: keyspace.Controller{Incarnation: 7}, answer: loadAnswer{Incarnation: 7, Controls: true}}
 	ended.apply(g, g.bootClock.Now())
-	assert.Assert(t, !g.storeReach.isAway())
+	assert.Assert(t, !g.storeReach.isUnavailable())
 }
--- a/gateway/freshness.go
+++ b/gateway/freshness.go
@@ -9,106 +9,108 @@
 	"time"
 )
 
-// Times of watches.
+// How long watches wait, and how long confirmations of freshness count.
 const (
-	// longWatch is how long a watch waits while another host vouches for its
-	// freshness: long, since each call has a price.
-	longWatch = 25 * time.Second
-	// firstWatch is how long it waits while the system starts for the first time
-	// and has no controller yet: hundreds of hosts would make short turns at once.
-	firstWatch = 5 * time.Second
-	// firstWatches is how long after the start of the process that is.
-	firstWatches = 8 * time.Second
-	// relayTurn is how long a watch of a relay waits that others rely on while no
-	// controller vouches: the relay's word is two turns and the pause between
-	// two watches old at most, 1 s.
-	relayTurn = 400 * time.Millisecond
-	// relayFor is for how long a host is a relay after it was last asked: four
-	// questions.
-	relayFor = 2 * time.Second
-	// relayAfter is the age of a source's word from which on relays are asked, if it
-	// was also too old when it came (oldWord), or the next one is overdue (nextWord).
-	// While all is well a word is 0.6 s old when it comes, one confirmation by the
-	// store, and 1.1 s when the next one does, after a report. Age alone would ask
-	// relays for nothing each time that a report is a little late.
-	relayAfter = 1200 * time.Millisecond
-	oldWord    = time.Second
-	nextWord   = 700 * time.Millisecond
-	// firstSource is how long a host that has just started waits for a relay's
-	// word before it watches the store itself.
-	firstSource = 1500 * time.Millisecond
-	// defaultObeyWithin is within which a change has to be obeyed where operators
-	// name no time.
-	defaultObeyWithin = 2 * time.Second
-	// vouchedShare and shortShare are the parts of that time for which another
-	// host's word counts, from when the store had last confirmed it, and after which
-	// a watch that nobody vouches for is made anew. A watch can miss changes without
-	// an error, when its connection fell silent or the store dropped its history.
-	// What remains is the way of the news to the hosts.
-	vouchedShare = 0.75
-	shortShare   = 0.6
+	// longWatchWait is how long a watch waits while another host confirms that this one is up
+	// to date. It is long because each call to the store is billed.
+	longWatchWait = 25 * time.Second
+	// startupWatchWait is how long a watch waits while the process starts and no controller is
+	// known yet: hundreds of hosts would make short watches at once.
+	startupWatchWait = 5 * time.Second
+	// startupPeriod is how long after its start a process uses startupWatchWait.
+	startupPeriod = 8 * time.Second
+	// relayWatchWait is how long a relay's watch of the store waits while no controller
+	// confirms freshness. A relay's confirmation is then at most two such watches and the
+	// pause between them old: 1 s.
+	relayWatchWait = 400 * time.Millisecond
+	// relayIdleTimeout is how long a host acts as a relay after it was last queried: four
+	// queries.
+	relayIdleTimeout = 2 * time.Second
+	// relayQueryAge is the age of the last confirmation from which on relays are queried, if
+	// it was also older than lateConfirmationAge when it arrived or the next one is later than
+	// confirmationOverdueAfter. In normal operation a confirmation is 0.6 s old when it
+	// arrives (one confirmation by the store) and 1.1 s old when the next one does, after a
+	// report. Age alone would query relays needlessly each time that a report is a little
+	// late.
+	relayQueryAge            = 1200 * time.Millisecond
+	lateConfirmationAge      = time.Second
+	confirmationOverdueAfter = 700 * time.Millisecond
+	// startupRelayWait is how long a host that has just started waits for a relay's
+	// confirmation before it watches the store itself.
+	startupRelayWait = 1500 * time.Millisecond
+	// defaultMaxChangeDelay is the time within which a change has to take effect if operators
+	// set none.
+	defaultMaxChangeDelay = 2 * time.Second
+	// confirmationShare and shortShare are shares of the time within which a change has
+	// to take effect. The first gives how long a confirmation counts after the store's answer
+	// it is based on; the second how long a watch of the store waits without a confirmation. A
+	// watch can miss changes without an error, when its connection goes silent or the store
+	// drops its history. The remaining time is for the change to reach the hosts.
+	confirmationShare = 0.75
+	shortShare        = 0.6
 )
 
-// freshness tells whom a host's watches ask and how long they may wait, and ends
-// those that have missed something. One controller a service watches the store in
-// short turns and tells the others, with its answers to their reports, at which
-// revision each kind last changed; so one host pays for short turns. While its
-// word is missing, a few relays do so for the others, and only where none of
-// them answers does a host watch the store itself: with one host's word between
-// them and the store, 295 hosts made some 900 calls each time it was missed.
+// freshness decides where a host's watches go (the store or another host) and how long they
+// may wait, and cancels watches that have missed a change. The controller of a service watches
+// the store with short waits and tells the others, in its answers to their reports, at which
+// revision each kind last changed, so that only one host pays for frequent calls. While its
+// confirmation is missing, a few relays do this for the others, and a host watches the store
+// itself only if none of them answers. Without relays, 295 hosts made some 900 calls each time
+// the controller's confirmation was missed.
 type freshness struct {
-	// within is the time in which a change has to be obeyed.
-	within time.Duration
-
-	mu    sync.Mutex
-	leads bool // this host is a controller
-	// vouched is the latest moment as of which a source had the store's word;
-	// source is whom to follow, empty if that failed.
-	vouched time.Duration
-	heard   bool
-	toldAt  time.Duration // when the last word came
-	toldAge time.Duration // how old it was then
-	source  string
-	teller  string // who gave the word: the source, or the controller that it follows
-	doubted bool   // a controller's word has been missed once: the system is under way
-	// askedAt is when another host last asked this one in a controller's place.
-	askedAt time.Duration
-	asked   bool
-	// confirmed is when the last call to the store by which it confirmed this
-	// controller began.
-	confirmed time.Duration
-	kinds     map[string]*kindState
-	news      chan struct{} // closed when a source has spoken
-}
-
-// kindState is a watched kind.
+	// maxDelay is the time in which a change has to take effect.
+	maxDelay time.Duration
+
+	mu          sync.Mutex
+	controlling bool // this host is a controller
+	// confirmedAt is the latest time as of which another host confirmed the state of the store.
+	// source is the host to follow; empty if it failed.
+	confirmedAt     time.Duration
+	hasConfirmation bool
+	receivedAt      time.Duration // when the last confirmation arrived
+	ageOnReceipt    time.Duration // its age on arrival
+	source          string
+	sender          string // who sent the confirmation: the source, or the controller that the source follows
+	sourceFailed    bool   // a controller or source has failed at least once, so the system is past its start
+	// queriedAt is when another host last queried this one as a relay.
+	queriedAt time.Duration
+	queried   bool
+	// roleConfirmedAt is the start of the last call in which the store confirmed this host as
+	// the controller.
+	roleConfirmedAt     time.Duration
+	kinds               map[string]*kindState
+	confirmationArrived chan struct{} // closed when a confirmation arrives
+}
+
+// kindState is what is known of a kind and of its current watch.
 type kindState struct {
-	revision uint64        // up to which this host knows the kind
-	changed  uint64        // of the listing that last brought a change
-	contact  time.Duration // when the last call to the store that brought it up to date began
-	touched  bool
-	cancel   context.CancelFunc
-	long     bool
-	source   string // whom it asks; empty for the store
-	behind   int    // words in a row by which the watch was behind
-	direct   bool   // the source was behind for long: the teller is asked
+	revision      uint64        // up to which this host knows the kind's objects
+	lastChange    uint64        // revision of the last listing that contained a change
+	storeReadAt   time.Duration // start of the last call to the store that brought the kind up to date
+	readFromStore bool          // there was such a call
+	cancelWatch   context.CancelFunc
+	isLong        bool   // the watch was started as a long one
+	source        string // the host that the watch asks; empty for the store
+	behindCount   int    // consecutive confirmations that showed the watch to be behind
+	bypassRelay   bool   // the source was behind repeatedly; ask the sender of the confirmation instead
 }
 
 func newFreshness(within time.Duration) freshness {
 	if within <= 0 {
-		within = defaultObeyWithin
+		within = defaultMaxChangeDelay
 	}
-	return freshness{within: within, kinds: map[string]*kindState{}, news: make(chan struct{})}
+	return freshness{maxDelay: within, kinds: map[string]*kindState{}, confirmationArrived: make(chan struct{})}
 }
 
-// vouchedFor is how long another host's word counts.
-func (f *freshness) vouchedFor() time.Duration {
-	return time.Duration(vouchedShare * float64(f.within))
+// validFor returns how long another host's confirmation counts.
+func (f *freshness) validFor() time.Duration {
+	return time.Duration(confirmationShare * float64(f.maxDelay))
 }
 
-// shortWatch is how long a watch of the store waits that nobody vouches for.
-func (f *freshness) shortWatch() time.Duration { return time.Duration(shortShare * float64(f.within)) }
+// shortWait returns how long a watch of the store waits without a confirmation.
+func (f *freshness) shortWait() time.Duration { return time.Duration(shortShare * float64(f.maxDelay)) }
 
+// kind returns the state of a kind, which it creates if needed.
 func (f *freshness) kind(name string) *kindState {
 	state := f.kinds[name]
 	if state == nil {
@@ -118,40 +120,40 @@
 	return state
 }
 
-// relaying reports whether other hosts rely on this one.
-func (f *freshness) relaying(now time.Duration) bool {
-	return !f.leads && f.asked && now-f.askedAt < relayFor
+// isRelay reports whether this host currently acts as a relay for others.
+func (f *freshness) isRelay(now time.Duration) bool {
+	return !f.controlling && f.queried && now-f.queriedAt < relayIdleTimeout
 }
 
-// wordAge returns how old the last source's word is.
-func (f *freshness) wordAge(now time.Duration) time.Duration {
-	if !f.heard {
+// confirmationAge returns the age of the last confirmation.
+func (f *freshness) confirmationAge(now time.Duration) time.Duration {
+	if !f.hasConfirmation {
 		return math.MaxInt64
 	}
-	return now - f.vouched
+	return now - f.confirmedAt
 }
 
-// vouchedNow reports whether the last source's word counts.
-func (f *freshness) vouchedNow(now time.Duration) bool { return f.wordAge(now) < f.vouchedFor() }
+// isConfirmed reports whether the last confirmation still counts.
+func (f *freshness) isConfirmed(now time.Duration) bool { return f.confirmationAge(now) < f.validFor() }
 
-// age returns how old this host's knowledge of the store may be: as old as what
-// the store last told it itself of the kind that it has not heard of for longest,
-// or as the word of the host that it follows.
+// age returns how old this host's view of the store may be: the smaller of the age of the
+// confirmation it has, and the time since the store itself last brought each kind up to date.
+// For a controller, it is the time since the store last confirmed its role.
 func (f *freshness) age(now time.Duration) time.Duration {
-	if f.leads {
-		return now - f.confirmed
+	if f.controlling {
+		return now - f.roleConfirmedAt
 	}
-	return min(f.contactAge(now), f.wordAge(now))
+	return min(f.storeReadAge(now), f.confirmationAge(now))
 }
 
-// contactAge returns how long ago the store itself brought all kinds up to date.
-func (f *freshness) contactAge(now time.Duration) time.Duration {
+// storeReadAge returns the time since the store itself last brought every kind up to date.
+func (f *freshness) storeReadAge(now time.Duration) time.Duration {
 	oldest := now
 	for _, state := range f.kinds {
-		if !state.touched {
+		if !state.readFromStore {
 			return math.MaxInt64
 		}
-		oldest = min(oldest, state.contact)
+		oldest = min(oldest, state.storeReadAt)
 	}
 	if len(f.kinds) == 0 {
 		return math.MaxInt64
@@ -159,258 +161,263 @@
 	return now - oldest
 }
 
-// ageNow is age for callers without the lock.
-func (f *freshness) ageNow(now time.Duration) time.Duration {
+// currentAge is age for callers that don't hold the lock.
+func (f *freshness) currentAge(now time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.age(now)
 }
 
-// touch notes that a call to the store which began at a time has brought a kind up
+// noteStoreRead records that a call to the store, started at the given time, brought a kind up
 // to date.
-func (f *freshness) touch(name string, began time.Duration) {
+func (f *freshness) noteStoreRead(name string, began time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	state := f.kind(name)
-	state.contact, state.touched = max(state.contact, began), true
+	state.storeReadAt, state.readFromStore = max(state.storeReadAt, began), true
 }
 
-// confirm notes that the store confirmed this controller by a call that began at a
-// time.
-func (f *freshness) confirm(began time.Duration) {
+// noteRoleConfirmed records that the store confirmed this host as the controller, by a call
+// started at the given time.
+func (f *freshness) noteRoleConfirmed(began time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.confirmed = max(f.confirmed, began)
+	f.roleConfirmedAt = max(f.roleConfirmedAt, began)
 }
 
-// follows returns the host whose word counts now; empty if none does.
-func (f *freshness) follows(now time.Duration) string {
+// currentSource returns the host that this one follows while its confirmation counts; else it
+// is empty.
+func (f *freshness) currentSource(now time.Duration) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.leads || !f.vouchedNow(now) {
+	if f.controlling || !f.isConfirmed(now) {
 		return ""
 	}
 	return f.source
 }
 
-// serves reports whether this host may pass on what it knows: it follows the store
-// in short turns itself, or a source whose word counts.
-func (f *freshness) serves(now time.Duration) bool {
+// canServe reports whether this host may pass on what it knows: as the controller, as a relay,
+// or while its view of the store is recent enough.
+func (f *freshness) canServe(now time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.leads || f.relaying(now) || f.age(now) < f.vouchedFor()
+	return f.controlling || f.isRelay(now) || f.age(now) < f.validFor()
 }
 
-// question notes that another host asks this one in a controller's place, and
-// returns the age of its knowledge and the revisions. A host that is asked follows
-// the store itself while no source vouches for it.
-func (f *freshness) question(now time.Duration) (age time.Duration, revisions map[string]uint64) {
+// noteRelayQuery records that another host queries this one as a relay, and returns the age of
+// this host's view of the store and the revisions at which the kinds last changed. From then
+// on this host watches the store itself while no controller confirms its freshness.
+func (f *freshness) noteRelayQuery(now time.Duration) (age time.Duration, revisions map[string]uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.askedAt, f.asked = now, true
-	f.endUntrusted(now)
-	return f.age(now), f.changes()
+	f.queriedAt, f.queried = now, true
+	f.cancelUnconfirmed(now)
+	return f.age(now), f.changeRevisionsLocked()
 }
 
-// vouchedOnce reports whether a source has ever vouched.
-func (f *freshness) vouchedOnce() bool {
+// sourceTried reports whether another host has ever confirmed freshness, or failed to.
+func (f *freshness) sourceTried() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.heard || f.doubted
+	return f.hasConfirmation || f.sourceFailed
 }
 
-// doubt notes that a controller failed to answer. What it vouched for before
-// counts until it is too old.
-func (f *freshness) doubt() {
+// noteControllerFailure records that a controller did not answer. Its last confirmation counts
+// until it expires.
+func (f *freshness) noteControllerFailure() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.doubted = true
+	f.sourceFailed = true
 }
 
-// failed notes that a source did not pass on what the store holds.
-func (f *freshness) failed(source string) {
+// noteSourceFailure records that a source did not answer a watch.
+func (f *freshness) noteSourceFailure(source string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.doubted = true
+	f.sourceFailed = true
 	if f.source == source {
 		f.source = ""
 	}
 }
 
-// needsSource reports whether relays are to be asked: the last word is getting
-// old, or its host failed.
-func (f *freshness) needsSource(now time.Duration) bool {
+// needsRelay reports whether relays are to be queried: the last confirmation is overdue, or
+// its source failed.
+func (f *freshness) needsRelay(now time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
-	case f.leads:
+	case f.controlling:
 		return false
-	case f.heard && f.source == "":
+	case f.hasConfirmation && f.source == "":
 		return true
 	}
-	return f.doubtful(now) && f.age(now) > relayAfter
+	return f.confirmationOverdue(now) && f.age(now) > relayQueryAge
 }
 
-// doubtful reports that the last source's word is getting old, and not only because
-// the next one is not due yet.
-func (f *freshness) doubtful(now time.Duration) bool {
-	if !f.vouchedNow(now) {
+// confirmationOverdue reports whether the last confirmation has expired or is being renewed
+// late. One that is old only because the next one isn't due yet doesn't count.
+func (f *freshness) confirmationOverdue(now time.Duration) bool {
+	if !f.isConfirmed(now) {
 		return true
 	}
-	return f.wordAge(now) > relayAfter && (f.toldAge > oldWord || now-f.toldAt > nextWord)
+	return f.confirmationAge(now) > relayQueryAge && (f.ageOnReceipt > lateConfirmationAge || now-f.receivedAt > confirmationOverdueAfter)
 }
 
-// renewal reports whether the word of a relay that this host follows is due again.
-func (f *freshness) renewal(now time.Duration, relay string) bool {
+// renewalDue reports whether the confirmation of a relay that this host follows has to be
+// renewed.
+func (f *freshness) renewalDue(now time.Duration, relay string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.leads && f.source == relay && f.wordAge(now) > reportInterval
+	return !f.controlling && f.source == relay && f.confirmationAge(now) > reportInterval
 }
 
-// trusted reports whether a kind's watch may wait long. A controller reads its
-// own record again and again, and nobody else changes it while it leads. A relay
-// must not wait for others while hosts wait for it.
-func (f *freshness) trusted(name string, now time.Duration) bool {
-	if f.leads {
+// mayWaitLong reports whether a kind's watch may wait long. A controller reads its own record
+// regularly, and nobody else changes it while it is in control. A relay must not rely on
+// others while hosts rely on it.
+func (f *freshness) mayWaitLong(name string, now time.Duration) bool {
+	if f.controlling {
 		return name == Assignments
 	}
-	if f.relaying(now) {
-		return !f.doubtful(now)
+	if f.isRelay(now) {
+		return !f.confirmationOverdue(now)
 	}
-	return f.starting(now) || f.vouchedNow(now)
+	return f.startingUp(now) || f.isConfirmed(now)
 }
 
-// starting reports whether the process has just started and has neither heard
-// of a controller nor missed one.
-func (f *freshness) starting(now time.Duration) bool {
-	return !f.leads && !f.heard && !f.doubted && now < firstWatches
+// startingUp reports whether the process has just started, no confirmation has arrived yet and
+// no controller or source has failed.
+func (f *freshness) startingUp(now time.Duration) bool {
+	return !f.controlling && !f.hasConfirmation && !f.sourceFailed && now < startupPeriod
 }
 
-// startingNow is starting for callers without the lock.
-func (f *freshness) startingNow(now time.Duration) bool {
+// isStartingUp is startingUp for callers that don't hold the lock.
+func (f *freshness) isStartingUp(now time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.starting(now)
+	return f.startingUp(now)
 }
 
-// known notes up to which revision a kind is known, and whether it changed.
-func (f *freshness) known(name string, revision uint64, changed bool) {
+// noteRevision records up to which revision a kind is known, and whether it changed.
+func (f *freshness) noteRevision(name string, revision uint64, changed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	state := f.kind(name)
 	state.revision = max(state.revision, revision)
-	state.behind, state.direct = 0, false
+	state.behindCount, state.bypassRelay = 0, false
 	if changed {
-		state.changed = max(state.changed, revision)
+		state.lastChange = max(state.lastChange, revision)
 	}
 }
 
-// revisions returns at which revision each kind last changed, as this host knows.
-func (f *freshness) revisions() map[string]uint64 {
+// changeRevisions returns the revisions at which this host saw each kind change last.
+func (f *freshness) changeRevisions() map[string]uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.changes()
+	return f.changeRevisionsLocked()
 }
 
-func (f *freshness) changes() map[string]uint64 {
+// changeRevisionsLocked is changeRevisions for callers that hold the lock.
+func (f *freshness) changeRevisionsLocked() map[string]uint64 {
 	revisions := make(map[string]uint64, len(f.kinds))
 	for name, state := range f.kinds {
-		revisions[name] = state.changed
+		revisions[name] = state.lastChange
 	}
 	return revisions
 }
 
-// word is what a host says of the store.
-type word struct {
-	// confirmed is when the store's word reached it, on this host's clock.
-	confirmed time.Duration
-	teller    string
-	// source is whom to follow: the teller, or a relay that follows it.
+// confirmation is a host's confirmation of the state of the store.
+type confirmation struct {
+	// confirmedAt is when the sender last knew the state of the store, on this host's clock.
+	confirmedAt time.Duration
+	sender      string
+	// source is the host to follow: the sender, or a relay that follows the sender.
 	source    string
 	revisions map[string]uint64
 }
 
-// relayLag is how many words in a row a watch that asks a relay must be behind: what
-// the teller knows takes some milliseconds to get there.
-const relayLag = 2
+// maxConsecutiveBehind is the number of consecutive confirmations showing a watch at a relay
+// to be behind from which on the watch is canceled. A single one says little: what the
+// controller knows takes some milliseconds to reach the relay.
+const maxConsecutiveBehind = 2
 
-// told takes a word, and returns the kinds whose watches it ended because they are
-// behind. A word that is older than the last one says nothing new.
+// acceptConfirmation records a confirmation, and returns the kinds whose watches it canceled
+// because they are behind. A confirmation that is older than the last one is ignored, unless
+// the source has failed since.
 //
-// It also ends watches of the store by which this host made do without a source: one
-// that the store leaves unanswered would keep a host ignorant for a second that its
-// source could tell. So would one that waits at a source which this host does not follow
-// any more: it hears of nothing there, and the next word that tells of it is 0.5 s away.
-func (f *freshness) told(now time.Duration, w word) []string {
+// It also cancels the watches of the store that this host made for lack of a source: the store
+// may leave them unanswered for a second, while the source could answer. And it cancels
+// watches at a source that this host no longer follows: they would miss changes until the next
+// confirmation, 0.5 s later.
+func (f *freshness) acceptConfirmation(now time.Duration, c confirmation) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.heard && w.confirmed < f.vouched && f.source != "" {
+	if f.hasConfirmation && c.confirmedAt < f.confirmedAt && f.source != "" {
 		return nil
 	}
-	f.vouched, f.heard, f.source, f.teller = max(f.vouched, w.confirmed), true, w.source, w.teller
-	f.toldAt, f.toldAge = now, now-w.confirmed
-	close(f.news)
-	f.news = make(chan struct{})
+	f.confirmedAt, f.hasConfirmation, f.source, f.sender = max(f.confirmedAt, c.confirmedAt), true, c.source, c.sender
+	f.receivedAt, f.ageOnReceipt = now, now-c.confirmedAt
+	close(f.confirmationArrived)
+	f.confirmationArrived = make(chan struct{})
 	var behind []string
 	for name, state := range f.kinds {
-		if state.cancel != nil && state.source == "" && !state.long && f.trusted(name, now) {
-			state.cancel()
+		if state.cancelWatch != nil && state.source == "" && !state.isLong && f.mayWaitLong(name, now) {
+			state.cancelWatch()
 		}
-		if state.cancel != nil && state.source != "" && state.source != w.source && state.source != w.teller {
-			state.cancel()
+		if state.cancelWatch != nil && state.source != "" && state.source != c.source && state.source != c.sender {
+			state.cancelWatch()
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(w.revisions)) {
+	for _, name := range slices.Sorted(maps.Keys(c.revisions)) {
 		state := f.kinds[name]
-		if state == nil || state.revision >= w.revisions[name] || !state.long || state.cancel == nil {
+		if state == nil || state.revision >= c.revisions[name] || !state.isLong || state.cancelWatch == nil {
 			continue
 		}
-		state.behind++
-		if state.source != "" && state.source != w.teller && state.behind < relayLag {
+		state.behindCount++
+		if state.source != "" && state.source != c.sender && state.behindCount < maxConsecutiveBehind {
 			continue
 		}
-		state.direct = true
-		state.cancel()
+		state.bypassRelay = true
+		state.cancelWatch()
 		behind = append(behind, name)
 	}
 	return behind
 }
 
-// recheck ends a kind's watch if it is behind a revision, and reports whether
-// it was.
-func (f *freshness) recheck(name string, revision uint64) bool {
+// cancelIfBehind cancels a kind's watch if it is behind a revision, and reports whether it was.
+func (f *freshness) cancelIfBehind(name string, revision uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	state := f.kind(name)
-	if state.revision >= revision || !state.long || state.cancel == nil {
+	if state.revision >= revision || !state.isLong || state.cancelWatch == nil {
 		return false
 	}
-	state.cancel()
-	state.long = false
+	state.cancelWatch()
+	state.isLong = false
 	return true
 }
 
-// leading reports whether this host is a controller.
-func (f *freshness) leading() bool {
+// isController reports whether this host is a controller.
+func (f *freshness) isController() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.leads
+	return f.controlling
 }
 
-// tend ends long watches that nobody vouches for any more. leads tells whether
-// this host is a controller.
-func (f *freshness) tend(now time.Duration, leads bool) {
+// setControlling records whether this host is a controller, and cancels long watches that are
+// no longer backed by a confirmation.
+func (f *freshness) setControlling(now time.Duration, controlling bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.leads = leads
-	f.endUntrusted(now)
+	f.controlling = controlling
+	f.cancelUnconfirmed(now)
 }
 
-func (f *freshness) endUntrusted(now time.Duration) {
+// cancelUnconfirmed cancels the long watches that are no longer backed by a confirmation.
+func (f *freshness) cancelUnconfirmed(now time.Duration) {
 	for name, state := range f.kinds {
-		if !f.trusted(name, now) && state.long && state.cancel != nil {
-			state.cancel()
-			state.long = false
+		if !f.mayWaitLong(name, now) && state.isLong && state.cancelWatch != nil {
+			state.cancelWatch()
+			state.isLong = false
 		}
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -99,7 +99,7 @@
 	control      control
 	freshness    freshness
 	sources      *sources
-	storeReach   reach
+	storeReach   storeAvailability
 	terminations terminationTracker
 	serverLimits noticeLedger[float64] // in requests per second
 	leaving      noticeLedger[bool]
@@ -109,10 +109,10 @@
 	// the control loop only.
 	leavingAsked time.Duration
 	hosts        hostCount
-	relay        relay
+	relay        relayCache
 	era          atomic.Uint64 // the store's era, as last reported by the store
 	storeCalls   storeCalls
-	deltas       deltas
+	deltas       deltaCache
 	unreadBytes  byteQuota // of response data that callers have not read
 	peerClient   *http.Client
 	wake         chan struct{} // wakes the control loop
@@ -124,12 +124,12 @@
 		identity: identity, codec: platform.Codec, registry: platform.Registry, keys: platform.Keys,
 		clock: clock.System(), bootClock: clock.Boot(), log: logger, metrics: newHostMetrics(),
 		directory: fleet.NewDirectory(), services: map[string]*service{},
-		stop: newShutdown(), control: newControl(), freshness: newFreshness(identity.ApplyWithin), sources: newSources(identity), deltas: newDeltas(identity), peerClient: newPeerClient(), wake: make(chan struct{}, 1),
+		stop: newShutdown(), control: newControl(), freshness: newFreshness(identity.ApplyWithin), sources: newSources(identity), deltas: newDeltaCache(identity), peerClient: newPeerClient(), wake: make(chan struct{}, 1),
 	}
 	g.unreadBytes.limit = cmp.Or(identity.ReadAheadLimit, defaultReadAheadTotalBytes)
 	g.metrics.set.NewGauge("cicada_unread_answer_bytes", func() float64 { return float64(g.unreadBytes.used.Load()) })
 	g.evacuationsListed.Store(identity.EvacuateWithin == 0) // without evacuations there is nothing to read
-	g.store = newCountedStore(platform.Store, g.noteStoreCall)
+	g.store = newCountingStore(platform.Store, g.countStoreCall)
 	g.metrics.set.NewGauge("cicada_in_flight", g.inFlight)
 	g.metrics.set.NewGauge("cicada_hosts", func() float64 { return float64(g.hosts.value()) })
 	g.metrics.set.NewGauge("cicada_limited_servers", g.serverLimits.count)
--- a/gateway/leaving.go
+++ b/gateway/leaving.go
@@ -91,7 +91,7 @@
 // registry is outdated.
 func (g *Gateway) leavingButReady() []fleet.Server {
 	now := g.now()
-	if g.freshness.ageNow(now) >= g.freshness.vouchedFor() {
+	if g.freshness.currentAge(now) >= g.freshness.validFor() {
 		return nil
 	}
 	g.mu.Lock()
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -193,7 +193,7 @@
 	c.news.reportInFlight = false
 	switch {
 	case e.err != nil:
-		g.freshness.doubt()
+		g.freshness.noteControllerFailure()
 		g.log.Info("controller did not answer a report", "service", c.service.name, "controller", e.to.Host,
 			"unheard-ms", (now - c.answeredAt).Milliseconds(), "error", e.err.Error())
 	case e.answer.Incarnation == e.to.Incarnation && e.answer.Claiming:
@@ -207,8 +207,8 @@
 		c.answeredAt = min(c.answeredAt, now-controllerTimeout)
 	default:
 		c.answeredAt = now
-		g.storeReach.back() // what this host can't read from the store, it gets from the controller
-		g.sources.name(e.answer.Relays, e.answer.FollowRelays)
+		g.storeReach.markAvailable() // what this host can't read from the store, it gets from the controller
+		g.sources.updateFromController(e.answer.Relays, e.answer.FollowRelays)
 		c.service.setKeyShares(e.answer.Shares)
 		if e.to.Incarnation == c.answeredBy { // a newer controller gets everything again
 			g.mergeReportedCases(c, e)
@@ -218,9 +218,9 @@
 		g.updateHostCount(e.answer.Hosts)
 		receivedAt := g.now()
 		confirmed := receivedAt - time.Duration(e.answer.StoreAgeMs)*time.Millisecond
-		vouch := word{confirmed: confirmed, teller: e.to.Address, source: g.sources.upstream(e.to.Address), revisions: e.answer.Revisions}
-		if behind := g.freshness.told(receivedAt, vouch); len(behind) > 0 {
-			g.sources.pass(vouch.source)
+		vouch := confirmation{confirmedAt: confirmed, sender: e.to.Address, source: g.sources.upstream(e.to.Address), revisions: e.answer.Revisions}
+		if behind := g.freshness.acceptConfirmation(receivedAt, vouch); len(behind) > 0 {
+			g.sources.skip(vouch.source)
 			g.log.Warn("watches were behind", "kinds", behind, "controller", e.to.Host, "source", vouch.source)
 		}
 	}
@@ -303,7 +303,7 @@
 	answer.Hosts = g.hosts.value()
 	answer.FollowRelays = len(c.members.hosts) > maxDirectFollowers
 	answer.Controls, answer.Shares = true, c.shares
-	answer.Revisions = g.freshness.revisions()
+	answer.Revisions = g.freshness.changeRevisions()
 	answer.StoreAgeMs = c.machine.ConfirmedAge(now).Milliseconds()
 	return answer
 }
@@ -345,9 +345,9 @@
 			g.serveInControlLoop(w, r, &peerRequest{places: &request})
 		}
 	})
-	mux.HandleFunc("POST "+pathWatch, g.answerWatch)
-	mux.HandleFunc("POST "+pathList, g.answerList)
-	mux.HandleFunc("POST "+pathSource, g.answerSource)
+	mux.HandleFunc("POST "+pathWatch, g.handleWatch)
+	mux.HandleFunc("POST "+pathList, g.handleList)
+	mux.HandleFunc("POST "+pathSource, g.handleSource)
 	return mux
 }
 
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -19,146 +19,149 @@
 )
 
 const (
-	// relayKept and relayBytes bound the earlier versions of long documents that are kept
-	// to make deltas from. A host that has none of them gets the document whole.
-	relayKept  = 32
-	relayBytes = 512 << 10
-	// mostGone bounds the deletions that are kept. A host that is further behind lists the
-	// kind anew.
-	mostGone = 4096
-	// mostTold is after how many changes an answer to a watch ends.
-	mostTold = 2000
-	// listTimeout bounds a page of a list between hosts.
-	listTimeout = 2 * time.Second
-	// listPage is the number of objects in a page: some 500 KB of servers' entries.
-	listPage = 2000
+	// maxDocumentChanges and maxDocumentChangeBytes bound the past changes of large documents
+	// that are kept to make deltas from. A host whose version is older gets the whole
+	// document.
+	maxDocumentChanges     = 32
+	maxDocumentChangeBytes = 512 << 10
+	// maxTombstones bounds the deletions that are kept. A host that is further behind lists the
+	// kind again.
+	maxTombstones = 4096
+	// maxChangesPerAnswer is the number of changes after which an answer to a watch ends.
+	maxChangesPerAnswer = 2000
+	// listPageTimeout bounds the call for one page of a list from another host.
+	listPageTimeout = 2 * time.Second
+	// listPageSize is the number of objects in a page: some 500 KB of servers' entries.
+	listPageSize = 2000
 )
 
-// relay passes what a host learns of the store on to others: each call to the
-// store has a price, a call between hosts has none. A host uses it only while the
-// other vouches for its knowledge of the store.
-type relay struct {
+// relayCache caches what this host has read of the store so that other hosts can list and
+// watch it here: calls to the store are billed, calls between hosts are not. Other hosts use
+// it only while this host confirms that it is up to date.
+type relayCache struct {
 	mu    sync.Mutex
-	kinds map[string]*relayed
+	kinds map[string]*kindCache
 }
 
-// relayed is what is known of one kind.
-type relayed struct {
+// kindCache is the cache of one kind.
+type kindCache struct {
 	revision uint64
-	// current are the objects as of the revision; nil before the first listing.
+	// current holds the objects as of the revision; nil before the first listing.
 	current map[string]objects.Object
-	// sorted are the names of current in order; nil if they are to be sorted again.
-	sorted []string
-	// steps tell which objects changed when, the earliest first, and floor as of which
-	// revision that is complete.
-	steps []relayedStep
-	floor uint64
-	gone  int // steps that are deletions
-	// first holds the long documents as they were before the kept changes.
-	first   map[string]objects.Object
-	kept    []relayedChange
-	changed chan struct{}
-}
-
-// relayedStep is a change of one object, of which the host learned with a listing.
-type relayedStep struct {
-	listed   uint64 // the listing's revision
-	revision uint64 // the object's
-	name     string
-	deletion *objects.Object // as it was told; nil for a change
-}
-
-// relayedChange holds the long documents that changed after one revision, up to that of
+	// sortedNames holds the names of current in order; nil if they have to be sorted again.
+	sortedNames []string
+	// history lists the changes, the earliest first. It is complete for changes after the
+	// revision historyStart.
+	history      []historyEntry
+	historyStart uint64
+	tombstones   int // number of deletions in history
+	// baseDocuments holds the large documents as they were before the first of
+	// documentChanges.
+	baseDocuments   map[string]objects.Object
+	documentChanges []documentChange
+	changed         chan struct{}
+}
+
+// historyEntry is a change of one object, read with one listing.
+type historyEntry struct {
+	listingRevision uint64 // revision of the listing
+	revision        uint64 // revision of the object
+	name            string
+	tombstone       *objects.Object // as it was listed; nil unless the object was deleted
+}
+
+// documentChange holds the large documents that changed after a revision, up to the revision of
 // the listing.
-type relayedChange struct {
+type documentChange struct {
 	after   uint64
 	listing objects.Listing
 }
 
-func (r *relay) kind(name string) *relayed {
+// kind returns the cache of a kind, which it creates if needed.
+func (r *relayCache) kind(name string) *kindCache {
 	if r.kinds == nil {
-		r.kinds = map[string]*relayed{}
+		r.kinds = map[string]*kindCache{}
 	}
-	known := r.kinds[name]
-	if known == nil {
-		known = &relayed{changed: make(chan struct{})}
-		r.kinds[name] = known
+	cache := r.kinds[name]
+	if cache == nil {
+		cache = &kindCache{changed: make(chan struct{})}
+		r.kinds[name] = cache
 	}
-	return known
+	return cache
 }
 
-// note takes a listing as this host's follower got it. A complete listing that
-// follows an earlier one is passed on as what differs: when a store dropped its
-// history, one host lists it anew, and those that follow this host need not.
+// update adds a listing that this host has read. A complete listing that follows an earlier
+// one is recorded as its differences from that one: if the store drops its history, this host
+// lists the kind again, and those that follow it need not.
 //
-// Long documents come in their canonical form: see canonical.
-func (r *relay) note(name string, listing objects.Listing, complete bool) {
+// Large documents are expected in their canonical form: see canonicalListing.
+func (r *relayCache) update(name string, listing objects.Listing, complete bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.kind(name)
-	if complete && known.current == nil {
-		known.begin(listing)
-		known.announce()
+	cache := r.kind(name)
+	if complete && cache.current == nil {
+		cache.initialize(listing)
+		cache.notifyWatchers()
 		return
 	}
-	if listing.Revision < known.revision {
-		return // a list that was made before what is known
+	if listing.Revision < cache.revision {
+		return // older than what is known
 	}
 	if complete {
-		listing.Objects = known.differences(listing)
+		listing.Objects = cache.diff(listing)
 	}
 	if len(listing.Objects) > 0 {
-		known.keep(listing)
-		known.take(listing)
-		known.trim()
-		known.announce()
+		cache.recordDocuments(listing)
+		cache.apply(listing)
+		cache.trim()
+		cache.notifyWatchers()
 	}
-	known.revision = listing.Revision
+	cache.revision = listing.Revision
 }
 
-// begin takes the first complete listing.
-func (k *relayed) begin(listing objects.Listing) {
-	k.current, k.first = make(map[string]objects.Object, len(listing.Objects)), map[string]objects.Object{}
-	k.revision, k.floor = listing.Revision, listing.Revision
+// initialize stores the first complete listing.
+func (k *kindCache) initialize(listing objects.Listing) {
+	k.current, k.baseDocuments = make(map[string]objects.Object, len(listing.Objects)), map[string]objects.Object{}
+	k.revision, k.historyStart = listing.Revision, listing.Revision
 	for _, object := range listing.Objects {
 		k.current[object.Name] = object
 	}
-	k.fold(listing.Objects)
+	k.foldIntoBase(listing.Objects)
 }
 
-// take makes the changes part of the current objects. A source that is behind may
-// tell of a version before the one known.
-func (k *relayed) take(listing objects.Listing) {
+// apply applies changes to the current objects and adds them to the history. It skips a version
+// older than the one known, which a source that is behind may send.
+func (k *kindCache) apply(listing objects.Listing) {
 	for _, object := range listing.Objects {
 		before, known := k.current[object.Name]
 		switch {
 		case object.Deleted:
 			delete(k.current, object.Name)
-			k.gone++
+			k.tombstones++
 		case object.Revision >= before.Revision:
 			k.current[object.Name] = object
 		default:
 			continue
 		}
 		if known == object.Deleted {
-			k.sorted = nil
+			k.sortedNames = nil
 		}
-		step := relayedStep{listed: listing.Revision, revision: object.Revision, name: object.Name}
+		entry := historyEntry{listingRevision: listing.Revision, revision: object.Revision, name: object.Name}
 		if object.Deleted {
-			step.deletion = &object
+			entry.tombstone = &object
 		}
-		k.steps = append(k.steps, step)
+		k.history = append(k.history, entry)
 	}
 }
 
-// announce wakes those that wait for a change.
-func (k *relayed) announce() {
+// notifyWatchers wakes the watchers of the kind.
+func (k *kindCache) notifyWatchers() {
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
 
-// differences returns how a complete listing differs from the current objects.
-func (k *relayed) differences(listing objects.Listing) []objects.Object {
+// diff returns the changes between the current objects and a complete listing.
+func (k *kindCache) diff(listing objects.Listing) []objects.Object {
 	var changes []objects.Object
 	present := make(map[string]bool, len(listing.Objects))
 	for _, object := range listing.Objects {
@@ -169,45 +172,46 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(k.current)) {
 		if !present[name] {
-			gone := k.current[name]
-			changes = append(changes, objects.Object{Kind: gone.Kind, Name: name, Revision: listing.Revision, Deleted: true})
+			last := k.current[name]
+			changes = append(changes, objects.Object{Kind: last.Kind, Name: name, Revision: listing.Revision, Deleted: true})
 		}
 	}
 	return changes
 }
 
 // names returns the names of the current objects in order.
-func (k *relayed) names() []string {
-	if k.sorted == nil {
-		k.sorted = slices.Sorted(maps.Keys(k.current))
+func (k *kindCache) names() []string {
+	if k.sortedNames == nil {
+		k.sortedNames = slices.Sorted(maps.Keys(k.current))
 	}
-	return k.sorted
+	return k.sortedNames
 }
 
-// page returns objects of a kind as this host knows it, at most some and those whose names
-// follow a given one, and whether there are more. ok is false before the host knows the kind.
-func (r *relay) page(name, after string, most int) (listing objects.Listing, more, ok bool) {
+// page returns at most a number of the known objects of a kind, in order of names and
+// beginning after a name, and whether there are more. ok is false if the kind has not been
+// listed yet.
+func (r *relayCache) page(name, after string, limit int) (listing objects.Listing, more, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.kind(name)
-	listing.Revision = known.revision
-	names := known.names()
+	cache := r.kind(name)
+	listing.Revision = cache.revision
+	names := cache.names()
 	from, found := slices.BinarySearch(names, after)
 	if found {
 		from++
 	}
-	to := min(from+most, len(names))
-	for _, each := range names[from:to] {
-		listing.Objects = append(listing.Objects, known.current[each])
+	to := min(from+limit, len(names))
+	for _, objectName := range names[from:to] {
+		listing.Objects = append(listing.Objects, cache.current[objectName])
 	}
-	return listing, to < len(names), known.current != nil
+	return listing, to < len(names), cache.current != nil
 }
 
-// canonical returns a listing of the store with its long documents in the one form
-// in which they pass between hosts. A delta is made of bytes, and the store may space
-// the same document differently. What comes from a host has that form already; to
-// make it again took a quarter of what a host spends on a change of an assignment.
-func canonical(listing objects.Listing) objects.Listing {
+// canonicalListing returns a listing of the store with its large documents in the one encoding
+// that hosts exchange. Deltas are made from bytes, and the store may space the same document
+// differently. What comes from another host already is in this form; encoding it again took a
+// quarter of the processor time that a host spends on a change of an assignment.
+func canonicalListing(listing objects.Listing) objects.Listing {
 	listing.Objects = slices.Clone(listing.Objects)
 	for i := range listing.Objects {
 		listing.Objects[i] = canonicalObject(listing.Objects[i])
@@ -215,10 +219,10 @@
 	return listing
 }
 
-// asPassedOn returns a listing of the store in the form in which it passes between hosts. An
-// entry of a server is read once, by the hosts that follow the store.
-func (g *Gateway) asPassedOn(kind string, listing objects.Listing) objects.Listing {
-	listing = canonical(listing)
+// peerListing returns a listing of the store in the form that hosts exchange. Only the hosts
+// that follow the store itself decode a server's entry from the registry's format.
+func (g *Gateway) peerListing(kind string, listing objects.Listing) objects.Listing {
+	listing = canonicalListing(listing)
 	if kind == g.registry.Servers() {
 		for i := range listing.Objects {
 			listing.Objects[i] = g.canonicalEntry(listing.Objects[i])
@@ -227,8 +231,9 @@
 	return listing
 }
 
-// canonicalEntry returns an entry that can't be read as it is, for each host to tell; a text in
-// a list, lest it be taken for one of a host.
+// canonicalEntry converts a server's entry to the text that hosts exchange. An entry that
+// can't be decoded stays as it is, so that every host reports it. If it is a JSON string, it
+// is wrapped in an array so that nobody takes it for the text of a host.
 func (g *Gateway) canonicalEntry(object objects.Object) objects.Object {
 	if object.Deleted {
 		return object
@@ -248,88 +253,91 @@
 	return object
 }
 
-// isEntryText reports whether an object is an entry as hosts tell it to each other.
+// isEntryText reports whether an object is an entry in the text form that hosts exchange.
 func isEntryText(object objects.Object) bool { return len(object.Spec) > 0 && object.Spec[0] == '"' }
 
-// canonicalObject is canonical for one object.
+// canonicalObject is canonicalListing for one object.
 func canonicalObject(object objects.Object) objects.Object {
-	if len(object.Spec) < longDocument {
+	if len(object.Spec) < minDeltaDocument {
 		return object
 	}
 	if encoded, err := json.Marshal(object.Spec); err == nil {
-		object.Spec = encoded // else it is left for whoever decodes it to report
+		object.Spec = encoded // an invalid document is reported by whoever decodes it
 	}
 	return object
 }
 
-// keep keeps the long documents of a change.
-func (k *relayed) keep(listing objects.Listing) {
+// recordDocuments records the large documents of a listing's changes, so that deltas can be
+// made from their versions.
+func (k *kindCache) recordDocuments(listing objects.Listing) {
 	long := objects.Listing{Revision: listing.Revision}
 	for _, object := range listing.Objects {
-		if _, was := k.first[object.Name]; len(object.Spec) >= longDocument || was || len(k.current[object.Name].Spec) >= longDocument {
+		if _, was := k.baseDocuments[object.Name]; len(object.Spec) >= minDeltaDocument || was || len(k.current[object.Name].Spec) >= minDeltaDocument {
 			long.Objects = append(long.Objects, object)
 		}
 	}
 	if len(long.Objects) > 0 {
-		k.kept = append(k.kept, relayedChange{after: k.revision, listing: long})
+		k.documentChanges = append(k.documentChanges, documentChange{after: k.revision, listing: long})
 	}
 }
 
-// fold takes the long documents of changes that are not kept any more.
-func (k *relayed) fold(changes []objects.Object) {
+// foldIntoBase moves the large documents of changes that are no longer kept into
+// baseDocuments.
+func (k *kindCache) foldIntoBase(changes []objects.Object) {
 	for _, object := range changes {
 		if object.Deleted {
-			delete(k.first, object.Name)
-		} else if len(object.Spec) >= longDocument {
-			k.first[object.Name] = object
+			delete(k.baseDocuments, object.Name)
+		} else if len(object.Spec) >= minDeltaDocument {
+			k.baseDocuments[object.Name] = object
 		}
 	}
 }
 
-// trim holds what is kept of earlier changes within its bounds.
-func (k *relayed) trim() {
+// trim drops the oldest changes beyond the bounds.
+func (k *kindCache) trim() {
 	size := 0
-	for _, change := range k.kept {
+	for _, change := range k.documentChanges {
 		size += change.bytes()
 	}
-	for len(k.kept) > relayKept || len(k.kept) > 1 && size > relayBytes {
-		size -= k.kept[0].bytes()
-		k.fold(k.kept[0].listing.Objects)
-		k.kept = k.kept[1:]
+	for len(k.documentChanges) > maxDocumentChanges || len(k.documentChanges) > 1 && size > maxDocumentChangeBytes {
+		size -= k.documentChanges[0].bytes()
+		k.foldIntoBase(k.documentChanges[0].listing.Objects)
+		k.documentChanges = k.documentChanges[1:]
 	}
-	if len(k.steps) > 2*len(k.current)+2*mostGone {
+	if len(k.history) > 2*len(k.current)+2*maxTombstones {
 		k.compact()
 	}
 }
 
-// compact drops the steps that later ones of the same objects have replaced, and the earliest
-// deletions.
-func (k *relayed) compact() {
-	last := make(map[string]int, len(k.steps))
-	for i, step := range k.steps {
-		last[step.name] = i
+// compact drops the history entries that later ones of the same object replace, and the oldest
+// deletions beyond the bound.
+func (k *kindCache) compact() {
+	last := make(map[string]int, len(k.history))
+	for i, entry := range k.history {
+		last[entry.name] = i
 	}
-	forget := k.gone - mostGone
-	var steps []relayedStep
-	k.gone = 0
-	for i, step := range k.steps {
-		if step.deletion != nil && forget > 0 {
-			forget--
-			k.floor = max(k.floor, step.listed)
+	excess := k.tombstones - maxTombstones
+	var kept []historyEntry
+	k.tombstones = 0
+	for i, entry := range k.history {
+		if entry.tombstone != nil && excess > 0 {
+			excess--
+			k.historyStart = max(k.historyStart, entry.listingRevision)
 			continue
 		}
-		if last[step.name] != i {
+		if last[entry.name] != i {
 			continue
 		}
-		if step.deletion != nil {
-			k.gone++
+		if entry.tombstone != nil {
+			k.tombstones++
 		}
-		steps = append(steps, step)
+		kept = append(kept, entry)
 	}
-	k.steps = steps
+	k.history = kept
 }
 
-func (c *relayedChange) bytes() int {
+// bytes returns the size of the documents in bytes.
+func (c *documentChange) bytes() int {
 	n := 0
 	for _, object := range c.listing.Objects {
 		n += len(object.Spec)
@@ -337,45 +345,46 @@
 	return n
 }
 
-// since returns what changed after a revision, and what is closed when more
-// does. ok is false if that is not known any more.
-func (r *relay) since(name string, after uint64) (listing objects.Listing, more <-chan struct{}, ok bool) {
+// changesSince returns the changes after a revision, and a channel that is closed at the next
+// change. ok is false if the history does not reach back that far, or the revision belongs to
+// an earlier era of the store.
+func (r *relayCache) changesSince(name string, after uint64) (listing objects.Listing, more <-chan struct{}, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.kind(name)
-	listing.Revision = max(known.revision, after)
-	if after >= known.revision {
-		return listing, known.changed, true
+	cache := r.kind(name)
+	listing.Revision = max(cache.revision, after)
+	if after >= cache.revision {
+		return listing, cache.changed, true
 	}
-	if revision.Era(after) < revision.Era(known.revision) {
-		return listing, known.changed, false // whoever asks may know what this host never did
+	if revision.Era(after) < revision.Era(cache.revision) {
+		return listing, cache.changed, false // the caller may know objects that the store has lost and this host never knew
 	}
-	listing.Objects, listing.Revision = known.changedSince(after)
-	return listing, known.changed, after >= known.floor
+	listing.Objects, listing.Revision = cache.changesSince(after)
+	return listing, cache.changed, after >= cache.historyStart
 }
 
-// changedSince returns the objects that changed after a revision, as they are now, and up to
-// which revision: as many as one answer may tell of.
-func (k *relayed) changedSince(after uint64) (changes []objects.Object, upTo uint64) {
-	from, _ := slices.BinarySearchFunc(k.steps, after+1, func(step relayedStep, want uint64) int { return cmp.Compare(step.listed, want) })
-	for i, step := range k.steps[from:] {
-		if i >= mostTold && step.listed > k.steps[from+i-1].listed {
-			return latest(changes), k.steps[from+i-1].listed
+// changesSince returns the objects that changed after a revision in their present state, and
+// the revision up to which the changes are complete: as many as fit in one answer.
+func (k *kindCache) changesSince(after uint64) (changes []objects.Object, upTo uint64) {
+	from, _ := slices.BinarySearchFunc(k.history, after+1, func(entry historyEntry, want uint64) int { return cmp.Compare(entry.listingRevision, want) })
+	for i, entry := range k.history[from:] {
+		if i >= maxChangesPerAnswer && entry.listingRevision > k.history[from+i-1].listingRevision {
+			return latestPerObject(changes), k.history[from+i-1].listingRevision
 		}
-		object, present := k.current[step.name]
+		object, present := k.current[entry.name]
 		switch {
-		case step.deletion != nil:
-			object = *step.deletion
-		case !present || object.Revision != step.revision:
-			continue // a later step tells what became of it
+		case entry.tombstone != nil:
+			object = *entry.tombstone
+		case !present || object.Revision != entry.revision:
+			continue // a later entry has the object's present state
 		}
 		changes = append(changes, object)
 	}
-	return latest(changes), k.revision
+	return latestPerObject(changes), k.revision
 }
 
-// latest leaves the last of the changes of each object.
-func latest(changes []objects.Object) []objects.Object {
+// latestPerObject keeps only the last change of each object.
+func latestPerObject(changes []objects.Object) []objects.Object {
 	last := make(map[string]int, len(changes))
 	for i, object := range changes {
 		last[object.Name] = i
@@ -389,32 +398,32 @@
 	return kept
 }
 
-// versionAt returns a long document as a host knows it that is up to date with
-// its kind at a revision; ok is false if that version is not kept.
-func (r *relay) versionAt(kind, name string, revision uint64) (found objects.Object, ok bool) {
+// versionAt returns the version of a large document that a host has which is up to date with
+// the kind at a revision; ok is false if that version is not kept.
+func (r *relayCache) versionAt(kind, name string, revision uint64) (found objects.Object, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.kind(kind)
-	take := func(object objects.Object) {
+	cache := r.kind(kind)
+	consider := func(object objects.Object) {
 		if object.Name == name && object.Revision <= revision && object.Revision >= found.Revision {
-			found, ok = object, !object.Deleted && len(object.Spec) >= longDocument
+			found, ok = object, !object.Deleted && len(object.Spec) >= minDeltaDocument
 		}
 	}
-	take(known.first[name])
-	for _, change := range known.kept {
+	consider(cache.baseDocuments[name])
+	for _, change := range cache.documentChanges {
 		for _, object := range change.listing.Objects {
-			take(object)
+			consider(object)
 		}
 	}
 	return found, ok
 }
 
 // watch waits until a kind has changed after a revision.
-func (r *relay) watch(ctx context.Context, name string, revision uint64, wait time.Duration) (objects.Listing, error) {
+func (r *relayCache) watch(ctx context.Context, name string, revision uint64, wait time.Duration) (objects.Listing, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		listing, more, ok := r.since(name, revision)
+		listing, more, ok := r.changesSince(name, revision)
 		if !ok {
 			return objects.Listing{}, objects.ErrCompacted
 		}
@@ -434,37 +443,37 @@
 // listRequest asks a host for a page of the objects of a kind.
 type listRequest struct {
 	Kind string `json:"kind"`
-	// After is the last name of the page before; empty for the first page.
+	// After is the last name of the previous page; empty for the first page.
 	After string `json:"after,omitempty"`
-	// Columns is set by hosts that take objects column by column. Earlier ones are to ask
-	// the store.
+	// Columns is set by hosts that can decode objects column by column. Hosts of earlier
+	// versions don't set it and are refused, so that they list from the store.
 	Columns bool `json:"columns"`
 }
 
-// listAnswer is what a host knows of a kind.
-type listAnswer struct {
+// listResponse is a page of the objects of a kind.
+type listResponse struct {
 	objects.Listing
 	// More is set if another page follows.
 	More bool
-	// AgeMs is how old the host's knowledge of the store may be, in milliseconds.
+	// AgeMs is how old the host's view of the store may be, in milliseconds.
 	AgeMs int64
 }
 
-// listAnswerWire is a listAnswer as it passes between hosts.
-type listAnswerWire struct {
+// listResponseWire is the JSON form of a listResponse.
+type listResponseWire struct {
 	columns
 	More  bool  `json:"more,omitempty"`
 	AgeMs int64 `json:"ageMs"`
 }
 
 // MarshalJSON implements json.Marshaler.
-func (a listAnswer) MarshalJSON() ([]byte, error) {
-	return json.Marshal(listAnswerWire{columns: columnsOf(a.Listing), More: a.More, AgeMs: a.AgeMs})
+func (a listResponse) MarshalJSON() ([]byte, error) {
+	return json.Marshal(listResponseWire{columns: columnsOf(a.Listing), More: a.More, AgeMs: a.AgeMs})
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (a *listAnswer) UnmarshalJSON(data []byte) error {
-	var wire listAnswerWire
+func (a *listResponse) UnmarshalJSON(data []byte) error {
+	var wire listResponseWire
 	err := json.Unmarshal(data, &wire)
 	if err == nil {
 		a.Listing, err = wire.listing()
@@ -473,14 +482,14 @@
 	return err
 }
 
-// relayedList asks another host in place of the store. The revision is that of the first page,
-// so that a watch from it misses nothing that changed between two pages. age is how old the
-// host's knowledge of the store may be.
-func (g *Gateway) relayedList(ctx context.Context, source, kind string) (listing objects.Listing, age time.Duration, err error) {
+// listFromPeer lists a kind from another host in place of the store. The listing's revision is
+// that of the first page, so that a watch from it misses nothing that changed between two
+// pages. age is how old that host's view of the store may be.
+func (g *Gateway) listFromPeer(ctx context.Context, source, kind string) (listing objects.Listing, age time.Duration, err error) {
 	request := listRequest{Kind: kind, Columns: true}
 	for first := true; ; first = false {
-		var page listAnswer
-		if err := g.callPeer(ctx, listTimeout, source, pathList, request, &page); err != nil {
+		var page listResponse
+		if err := g.callPeer(ctx, listPageTimeout, source, pathList, request, &page); err != nil {
 			return objects.Listing{}, 0, err
 		}
 		if first {
@@ -498,21 +507,22 @@
 	return listing, age, nil
 }
 
-// answerList answers another host's list, if this host knows the kind.
-func (g *Gateway) answerList(w http.ResponseWriter, r *http.Request) {
+// handleList handles another host's list request. It refuses if this host has not listed the
+// kind yet.
+func (g *Gateway) handleList(w http.ResponseWriter, r *http.Request) {
 	var request listRequest
 	if !g.decodePeerRequest(w, r, &request) {
 		return
 	}
-	listing, more, ok := g.relay.page(request.Kind, request.After, listPage)
+	listing, more, ok := g.relay.page(request.Kind, request.After, listPageSize)
 	if !ok || !request.Columns {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	g.writePeerResponse(w, r, listAnswer{Listing: listing, More: more, AgeMs: g.freshness.ageNow(g.now()).Milliseconds()})
+	g.writePeerResponse(w, r, listResponse{Listing: listing, More: more, AgeMs: g.freshness.currentAge(g.now()).Milliseconds()})
 }
 
-// watchRequest asks a host for the changes of a kind.
+// watchRequest asks a host for the changes of a kind after a revision.
 type watchRequest struct {
 	Kind     string `json:"kind"`
 	Revision uint64 `json:"revision"`
@@ -523,22 +533,23 @@
 	Columns bool `json:"columns"`
 }
 
-// relayedWatch asks another host in place of the store.
-func (g *Gateway) relayedWatch(ctx context.Context, source, kind string, revision uint64, wait time.Duration) (objects.Listing, error) {
+// watchFromPeer watches a kind at another host in place of the store. If a delta in the answer
+// can't be applied, it asks again for whole documents.
+func (g *Gateway) watchFromPeer(ctx context.Context, source, kind string, revision uint64, wait time.Duration) (objects.Listing, error) {
 	request := watchRequest{Kind: kind, Revision: revision, WaitMs: wait.Milliseconds(), Columns: true}
-	listing, err := g.askRelay(ctx, source, request)
-	var unfit *unfitError
-	if errors.As(err, &unfit) {
-		g.log.Info("document asked for whole", "kind", kind, "name", unfit.Name, "base", unfit.Base, "known", unfit.Known,
-			"source", source, "why", eris.ToString(unfit.Cause, false))
+	listing, err := g.requestWatch(ctx, source, request)
+	var failure *documentError
+	if errors.As(err, &failure) {
+		g.log.Info("answer to a watch can't be decoded; requesting whole documents", "kind", kind, "name", failure.Name, "base", failure.Base, "known", failure.Known,
+			"source", source, "why", eris.ToString(failure.Cause, false))
 		request.Whole = true
-		return g.askRelay(ctx, source, request)
+		return g.requestWatch(ctx, source, request)
 	}
 	return listing, err
 }
 
-func (g *Gateway) askRelay(ctx context.Context, source string, request watchRequest) (objects.Listing, error) {
-	var answer watchAnswer
+func (g *Gateway) requestWatch(ctx context.Context, source string, request watchRequest) (objects.Listing, error) {
+	var answer watchResponse
 	wait := time.Duration(request.WaitMs) * time.Millisecond
 	err := g.callPeer(ctx, wait+peerTimeout, source, pathWatch, request, &answer)
 	var status *peerStatusError
@@ -548,17 +559,17 @@
 	if err != nil {
 		return objects.Listing{}, err
 	}
-	return g.unfold(ctx, request.Kind, &answer)
+	return g.expandDeltas(ctx, request.Kind, &answer)
 }
 
-// answerWatch answers another host's watch, as long as this host's knowledge of
-// the store counts.
-func (g *Gateway) answerWatch(w http.ResponseWriter, r *http.Request) {
+// handleWatch handles another host's watch request. It refuses if this host's view of the
+// store is too old.
+func (g *Gateway) handleWatch(w http.ResponseWriter, r *http.Request) {
 	var request watchRequest
 	if !g.decodePeerRequest(w, r, &request) {
 		return
 	}
-	if !g.freshness.serves(g.now()) || !request.Columns {
+	if !g.freshness.canServe(g.now()) || !request.Columns {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -568,11 +579,11 @@
 		return
 	}
 	if err != nil {
-		return // the other host has gone
+		return // the other host closed the connection
 	}
-	answer := &watchAnswer{Listing: listing}
+	answer := &watchResponse{Listing: listing}
 	if !request.Whole {
-		answer = g.deltas.shorten(&g.relay, request.Kind, listing, request.Revision)
+		answer = g.deltas.encode(&g.relay, request.Kind, listing, request.Revision)
 	}
 	g.writePeerResponse(w, r, answer)
 }
--- a/gateway/scale_test.go
+++ b/gateway/scale_test.go
@@ -22,7 +22,7 @@
 	"cicadarouter/platform"
 )
 
-// Guards against a change of one server that costs each host a look at all servers.
+// Guards against a change of one server that makes each host go through all servers.
 func TestCostOfAChangeDoesNotGrowWithTheServers(t *testing.T) {
 	cost := func(servers int) float64 {
 		g := New(Identity{Domain: "d"}, Platform{}, logs.Discard())
@@ -47,7 +47,7 @@
 	assert.Assert(t, many <= few+2, "%v allocations with 100 servers, %v with 10,000", few, many)
 }
 
-// Guards against a service that goes on using a server which has become one of another service.
+// Guards against a service that keeps using a server which has moved to another service.
 func TestServerOfAnotherServiceIsGone(t *testing.T) {
 	g := New(Identity{Domain: "d"}, Platform{}, logs.Discard())
 	g.services["s"], g.services["t"] = g.newService("s", true), g.newService("t", false)
@@ -64,34 +64,34 @@
 	assert.Equal(t, len(g.services["t"].serverStates()), 1)
 }
 
-func entryOf(i int) objects.Object {
+func serverEntry(i int) objects.Object {
 	return objects.Object{Kind: "servers", Name: fmt.Sprintf("i-%06d", i), Revision: uint64(i + 1),
 		Spec: fmt.Appendf(nil, `{"service":"s","address":"10.0.%d.%d:8080","zone":"a","version":"v1","slots":4,"state":"ready","cold-remaining":"0ms","seq":1}`, i/250, i%250)}
 }
 
-func entries(from, to int) objects.Listing {
+func serverEntries(from, to int) objects.Listing {
 	listing := objects.Listing{Revision: uint64(to)}
 	for i := from; i < to; i++ {
-		listing.Objects = append(listing.Objects, entryOf(i))
+		listing.Objects = append(listing.Objects, serverEntry(i))
 	}
 	return listing
 }
 
-// Guards against hosts that list thousands of servers anew because they were some hundreds of
-// changes behind, while all servers register.
-func TestHostFarBehindIsToldTheChanges(t *testing.T) {
+// Guards against hosts that list thousands of servers again because they are some hundreds of
+// changes behind while all servers register.
+func TestHostFarBehindGetsChanges(t *testing.T) {
 	const servers, batch = 10000, 500
-	var r relay
-	r.note("servers", objects.Listing{Revision: 1}, true)
+	var r relayCache
+	r.update("servers", objects.Listing{Revision: 1}, true)
 	for from := 1; from < servers; from += batch {
-		r.note("servers", entries(from, min(from+batch, servers)), false)
+		r.update("servers", serverEntries(from, min(from+batch, servers)), false)
 	}
-	assert.Equal(t, len(r.kind("servers").kept), 0, "versions of entries that nobody makes deltas from")
+	assert.Equal(t, len(r.kind("servers").documentChanges), 0, "versions of entries are kept although no deltas are made from them")
 	known := map[string]bool{}
 	for after := uint64(1); after < servers; {
-		listing, _, ok := r.since("servers", after)
+		listing, _, ok := r.changesSince("servers", after)
 		assert.Assert(t, ok)
-		assert.Assert(t, len(listing.Objects) <= mostTold+batch, "%d in one answer", len(listing.Objects))
+		assert.Assert(t, len(listing.Objects) <= maxChangesPerAnswer+batch, "%d in one answer", len(listing.Objects))
 		for _, object := range listing.Objects {
 			known[object.Name] = true
 		}
@@ -100,21 +100,21 @@
 	assert.Equal(t, len(known), servers-1)
 }
 
-// Guards against deletions that a host is not told of, or that are kept without bound.
-func TestRelayTellsDeletions(t *testing.T) {
-	var r relay
-	r.note("servers", entries(0, 100), true)
+// Guards against deletions that a host does not learn of, or that are kept without bound.
+func TestRelayReportsDeletions(t *testing.T) {
+	var r relayCache
+	r.update("servers", serverEntries(0, 100), true)
 	revision := uint64(100)
-	for i := range 5 * mostGone {
-		object := entryOf(i % 50)
+	for i := range 5 * maxTombstones {
+		object := serverEntry(i % 50)
 		revision++
 		object.Revision, object.Deleted = revision, i%100 < 50
-		r.note("servers", objects.Listing{Revision: revision, Objects: []objects.Object{object}}, false)
+		r.update("servers", objects.Listing{Revision: revision, Objects: []objects.Object{object}}, false)
 	}
-	_, _, ok := r.since("servers", 100)
-	assert.Assert(t, !ok, "it is to list again")
-	assert.Assert(t, len(r.kind("servers").steps) <= 2*100+2*mostGone)
-	listing, _, ok := r.since("servers", revision-200)
+	_, _, ok := r.changesSince("servers", 100)
+	assert.Assert(t, !ok, "the host has to list again")
+	assert.Assert(t, len(r.kind("servers").history) <= 2*100+2*maxTombstones)
+	listing, _, ok := r.changesSince("servers", revision-200)
 	assert.Assert(t, ok)
 	last := map[string]bool{}
 	for _, object := range listing.Objects {
@@ -127,11 +127,11 @@
 	assert.Equal(t, len(last), 50)
 }
 
-// A list of thousands of servers passes between hosts in pages, compressed.
+// A list of thousands of servers is sent between hosts in compressed pages.
 func TestListsPassInPages(t *testing.T) {
-	const servers = 2*listPage + 10
+	const servers = 2*listPageSize + 10
 	source := New(Identity{Host: "source"}, Platform{}, logs.Discard())
-	source.relay.note("servers", entries(0, servers), true)
+	source.relay.update("servers", serverEntries(0, servers), true)
 	var pages, bodies int
 	handler := source.PeerHandler()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -146,19 +146,19 @@
 	}))
 	defer server.Close()
 	host := New(Identity{Host: "host"}, Platform{}, logs.Discard())
-	listing, _, err := host.relayedList(context.Background(), strings.TrimPrefix(server.URL, "http://"), "servers")
+	listing, _, err := host.listFromPeer(context.Background(), strings.TrimPrefix(server.URL, "http://"), "servers")
 	assert.NilError(t, err)
-	assert.DeepEqual(t, listing, entries(0, servers))
+	assert.DeepEqual(t, listing, serverEntries(0, servers))
 	assert.Equal(t, pages, 3)
 	assert.Assert(t, bodies < 100<<10, "%d bytes of a page", bodies)
 }
 
-// Guards against hosts of an earlier version that take nothing from what they can't read: they
-// are to ask the store.
-func TestEarlierHostsAreNotTold(t *testing.T) {
+// Guards against hosts of an earlier version that can't decode columns and would take an
+// answer for an empty one: they are refused, so that they call the store.
+func TestEarlierHostsAreRefused(t *testing.T) {
 	g := New(Identity{Host: "h"}, Platform{}, logs.Discard())
-	g.relay.note("servers", entries(0, 3), true)
-	g.freshness.told(g.now(), wordOf(g.now(), "controller", nil))
+	g.relay.update("servers", serverEntries(0, 3), true)
+	g.freshness.acceptConfirmation(g.now(), confirmationFrom(g.now(), "controller", nil))
 	for path, body := range map[string]string{pathList: `{"kind":"servers"}`, pathWatch: `{"kind":"servers","revision":1,"waitMs":1}`} {
 		recorder := httptest.NewRecorder()
 		g.PeerHandler().ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, path, strings.NewReader(body)))
@@ -166,14 +166,14 @@
 	}
 }
 
-// A host that does not say that it takes compressed answers gets others.
+// A host that does not accept compressed answers gets uncompressed ones.
 func TestAnswersAreCompressedForThoseWhoTakeIt(t *testing.T) {
 	g := New(Identity{}, Platform{}, logs.Discard())
 	for _, accepted := range []string{"", "gzip"} {
 		recorder := httptest.NewRecorder()
 		request := httptest.NewRequest(http.MethodPost, pathList, nil)
 		request.Header.Set("Accept-Encoding", accepted)
-		g.writePeerResponse(recorder, request, entries(0, 100))
+		g.writePeerResponse(recorder, request, serverEntries(0, 100))
 		body := recorder.Body.Bytes()
 		assert.Equal(t, recorder.Header().Get("Content-Encoding"), accepted)
 		if accepted != "" {
@@ -186,22 +186,23 @@
 		}
 		var got objects.Listing
 		assert.NilError(t, json.Unmarshal(body, &got))
-		assert.DeepEqual(t, got, entries(0, 100))
+		assert.DeepEqual(t, got, serverEntries(0, 100))
 	}
 }
 
-// Guards against an entry of another writer that is taken for what a host has read.
+// Guards against a forged entry that is taken for one that another host has decoded.
 func TestTextInTheRegistryIsNoEntry(t *testing.T) {
 	g := New(Identity{}, Platform{Registry: platform.Registry{}}, logs.Discard())
 	forged := objects.Object{Kind: "servers", Name: "i-1", Revision: 1, Spec: []byte(`"s\t10.0.0.1:80\ta\t4\tready\t0\t0"`)}
 	reader := &entryReader{gateway: g, reported: map[string]uint64{}}
-	assert.Assert(t, !reader.read(forged).Unreadable, "as a host tells it")
-	listing := g.asPassedOn("servers", objects.Listing{Objects: []objects.Object{forged, entryOf(1)}})
+	assert.Assert(t, !reader.read(forged).Unreadable, "as another host sends it")
+	listing := g.peerListing("servers", objects.Listing{Objects: []objects.Object{forged, serverEntry(1)}})
 	assert.Assert(t, reader.read(listing.Objects[0]).Unreadable, "as the registry holds it")
 	assert.Equal(t, reader.read(listing.Objects[1]).Service, "s")
 }
 
-// Guards against relays, or a controller, that as many hosts follow as there are hosts.
+// Guards against a number of followers of a relay or controller that grows in proportion to
+// the number of hosts.
 func TestFollowersGrowWithTheRootOfTheHosts(t *testing.T) {
 	for _, hosts := range []int{100, 400, 1000, 4000} {
 		m := newMembers()
@@ -222,8 +223,8 @@
 	}
 }
 
-// Guards against relays that are named while the first few hosts report, and that all hosts
-// then follow.
+// Guards against relays that are chosen while only the first few hosts report, and that all
+// hosts then follow.
 func TestRelaysAreNamedAnewAsHostsCome(t *testing.T) {
 	const hosts = 1000
 	m := newMembers()
@@ -235,14 +236,15 @@
 			named[relays[0]]++
 		}
 	}
-	// Each time that the hosts double, a relay is named to as many as may follow it.
+	// Each time that the number of hosts doubles, new relays are chosen, each for as many
+	// hosts as may follow it.
 	most := int(maxDirectFollowers * math.Ceil(math.Log2(hosts/maxDirectFollowers)))
 	for relay, n := range named {
 		assert.Assert(t, n <= most, "%s is named to %d of %d hosts", relay, n, hosts)
 	}
 }
 
-// Guards against first reports that all reach a new controller within the same milliseconds.
+// Guards against first reports that all reach a new controller within a few milliseconds.
 func TestFirstReportsAreSpread(t *testing.T) {
 	within := map[time.Duration]int{}
 	for i := range 1000 {
--- a/gateway/sources.go
+++ b/gateway/sources.go
@@ -11,101 +11,103 @@
 	"cicadarouter/keyspace"
 )
 
-// Times of asking relays.
+// Times and bounds of queries to relays.
 const (
-	// askEvery is how often a host without a source's word asks a relay.
-	askEvery = 100 * time.Millisecond
-	// askTimeout bounds the question: hosts answer within milliseconds.
-	askTimeout = 300 * time.Millisecond
-	// fewHosts is how many hosts may read the entries of all servers in the store at once.
-	fewHosts = 64
-	// askPause is left when no relay had the store's word: all of them may be cut
-	// off together, or the store is away for all.
-	askPause = 400 * time.Millisecond
+	// relayQueryInterval is the interval at which a host checks whether it has to query a
+	// relay.
+	relayQueryInterval = 100 * time.Millisecond
+	// relayQueryTimeout bounds a query: hosts answer within milliseconds.
+	relayQueryTimeout = 300 * time.Millisecond
+	// maxDirectListHosts is how many hosts may read the entries of all servers from the store
+	// at once.
+	maxDirectListHosts = 64
+	// relayQueryPause is the pause after no relay could confirm the state of the store: all of
+	// them may be cut off together, or the store is unavailable for all.
+	relayQueryPause = 400 * time.Millisecond
 )
 
-// sources are the hosts that this one may ask in a controller's place.
+// sources are the hosts that this one may follow or query when the controller does not answer.
 type sources struct {
 	self string // this host's address
-	// turn differs between hosts, so that they do not all begin with the same relay.
-	turn int
+	// offset differs between hosts, so that they don't all start with the same relay.
+	offset int
 
 	mu sync.Mutex
-	// named are those that the last answer of a controller named, written those
-	// that an assignment in the store names. A host that has just started knows
-	// the latter only.
-	named, written []string
-	// hosts is how many hosts an assignment names, and serves is set if this one is a relay
-	// by it or was its controller.
-	hosts  int
-	serves bool
-	// controller is the one that an assignment names. All hosts report to it, so it is not
-	// asked in its own place.
+	// fromController are the relays that a controller named last, fromAssignment the
+	// controller and relays that an assignment in the store names. A host that has just
+	// started knows only the latter.
+	fromController, fromAssignment []string
+	// assignedHosts is how many hosts an assignment names, and isRelay is set if this host is
+	// a relay by that assignment or its controller.
+	assignedHosts int
+	isRelay       bool
+	// controller is the address of the controller that an assignment names. It is not queried
+	// as a relay, since all hosts report to it.
 	controller string
-	// follow is set if this host is to follow a relay in the controller's place also
-	// while that vouches.
-	follow bool
-	// seeds are those of the settings, for a host that has just started and does not
+	// followRelay is set if this host should follow a relay even while the controller answers.
+	followRelay bool
+	// seeds are the addresses from the settings, for a host that has just started and can't
 	// reach the store.
 	seeds  []string
-	next   int // index of the one to ask
-	missed int // that had nothing to tell, one after the other
+	next   int // index of the current candidate
+	misses int // consecutive candidates that could not help
 }
 
-// newSources returns the hosts that one which has just started may ask. While the
-// whole system starts for the first time nobody knows more than the store tells
-// everybody at a tenth of the price, and hundreds of hosts would ask three.
+// newSources returns the hosts that a host that has just started may ask: its seeds. While the
+// whole system starts for the first time there are none: no host knows more than stale reads
+// of the store return at a tenth of the cost, and hundreds of hosts would ask three seeds.
 func newSources(identity Identity) *sources {
-	s := &sources{self: identity.PeerAddress, turn: int(hashName(identity.Host))}
+	s := &sources{self: identity.PeerAddress, offset: int(hashName(identity.Host))}
 	if !identity.FirstStart {
 		s.seeds = identity.Seeds
 	}
 	return s
 }
 
-// name takes the relays that a controller names.
-func (s *sources) name(relays []string, follow bool) {
+// updateFromController sets the relays that a controller named, and whether to follow one of
+// them.
+func (s *sources) updateFromController(relays []string, follow bool) {
 	if len(relays) == 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.follow = follow && !slices.Contains(relays, s.self)
-	if !slices.Equal(s.named, relays) {
-		s.named, s.next, s.missed = slices.Clone(relays), 0, 0
+	s.followRelay = follow && !slices.Contains(relays, s.self)
+	if !slices.Equal(s.fromController, relays) {
+		s.fromController, s.next, s.misses = slices.Clone(relays), 0, 0
 	}
 }
 
-// upstream returns whom to follow while a controller vouches: a relay in a large
-// fleet, else the controller itself.
+// upstream returns the host to follow while a controller answers: a relay in a large fleet,
+// else the controller itself.
 func (s *sources) upstream(controller string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if relay := s.pick(); s.follow && relay != "" {
+	if relay := s.currentLocked(); s.followRelay && relay != "" {
 		return relay
 	}
 	return controller
 }
 
-// read takes the hosts that an assignment names: its controller and the relays.
-func (s *sources) read(controller keyspace.Controller) {
+// updateFromAssignment takes the relays and the controller from an assignment.
+func (s *sources) updateFromAssignment(controller keyspace.Controller) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hosts = max(s.hosts, controller.Hosts)
-	s.serves = controller.Address == s.self || slices.Contains(controller.Relays, s.self)
+	s.assignedHosts = max(s.assignedHosts, controller.Hosts)
+	s.isRelay = controller.Address == s.self || slices.Contains(controller.Relays, s.self)
 	relays := slices.Clone(controller.Relays)
 	if n := len(relays); n > 0 {
-		relays = slices.Concat(relays[s.turn%n:], relays[:s.turn%n])
+		relays = slices.Concat(relays[s.offset%n:], relays[:s.offset%n])
 	}
-	s.written, s.controller = append(relays, controller.Address), controller.Address
+	s.fromAssignment, s.controller = append(relays, controller.Address), controller.Address
 }
 
-// asksHosts reports whether this host is to learn of the servers from others when it starts:
-// there are many hosts, and it is not one of those that the others ask.
-func (s *sources) asksHosts() bool {
+// listsFromHosts reports whether this host should list the servers from other hosts when it
+// starts: there are many hosts, and it is neither a relay nor the controller.
+func (s *sources) listsFromHosts() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.hosts > fewHosts && !s.serves
+	return s.assignedHosts > maxDirectListHosts && !s.isRelay
 }
 
 func (s *sources) controllerAddress() string {
@@ -114,25 +116,25 @@
 	return s.controller
 }
 
-// hostsNamed returns how many hosts an assignment names; 0 if none does.
-func (s *sources) hostsNamed() int {
+// hostCount returns how many hosts an assignment names; 0 if none does.
+func (s *sources) hostCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.hosts
+	return s.assignedHosts
 }
 
-// known reports whether there is anybody to ask.
-func (s *sources) known() bool { return s.current() != "" }
+// hasCandidate reports whether there is a host to ask.
+func (s *sources) hasCandidate() bool { return s.current() != "" }
 
-// current returns whom to ask; empty if nobody is known.
+// current returns the host to ask; empty if none is known.
 func (s *sources) current() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.pick()
+	return s.currentLocked()
 }
 
-// pick is current for callers with the lock.
-func (s *sources) pick() string {
+// currentLocked is current for callers that hold the lock.
+func (s *sources) currentLocked() string {
 	candidates := s.candidates()
 	if len(candidates) == 0 {
 		return ""
@@ -140,7 +142,7 @@
 	return candidates[s.next%len(candidates)]
 }
 
-// relay returns whom to ask in the controller's place; empty if nobody is known.
+// relay returns the relay to query; empty if none is known.
 func (s *sources) relay() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,10 +153,12 @@
 	return candidates[s.next%len(candidates)]
 }
 
+// candidates returns the hosts to ask: those that a controller named, else those of an
+// assignment, else the seeds. The caller holds the lock.
 func (s *sources) candidates() []string {
-	candidates := s.named
+	candidates := s.fromController
 	if len(candidates) == 0 {
-		candidates = s.written
+		candidates = s.fromAssignment
 	}
 	if len(candidates) == 0 {
 		candidates = s.seeds
@@ -162,74 +166,76 @@
 	return slices.DeleteFunc(slices.Clone(candidates), func(address string) bool { return address == s.self || address == "" })
 }
 
-// miss notes that a host had nothing to tell, and reports whether none has.
-func (s *sources) miss() (all bool) {
+// noteMiss records that the current host could not help and moves on to the next. It reports
+// whether none of the candidates could.
+func (s *sources) noteMiss() (all bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.next++
-	s.missed++
-	if s.missed < len(s.candidates()) {
+	s.misses++
+	if s.misses < len(s.candidates()) {
 		return false
 	}
-	s.missed = 0
+	s.misses = 0
 	return true
 }
 
-// pass goes on to the next host if a host that failed is the current one.
-func (s *sources) pass(failed string) {
+// skip moves on to the next host if the host that failed is the current one.
+func (s *sources) skip(failed string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.pick() == failed {
+	if s.currentLocked() == failed {
 		s.next++
 	}
 }
 
-// found notes that the current host had the store's word.
-func (s *sources) found() {
+// resetMisses records that the current host confirmed the state of the store.
+func (s *sources) resetMisses() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.missed = 0
+	s.misses = 0
 }
 
-// sourceQuestion asks a host whether it has the store's word.
-type sourceQuestion struct {
+// sourceRequest asks a relay how recent its view of the store is.
+type sourceRequest struct {
 	Host string `json:"host"`
 }
 
-// sourceAnswer tells how old a host's knowledge of the store may be.
-type sourceAnswer struct {
+// sourceResponse tells how old a host's view of the store may be.
+type sourceResponse struct {
 	// AgeMs is that age in milliseconds.
 	AgeMs int64 `json:"ageMs"`
-	// Revisions tells at which revision each watched kind last changed.
+	// Revisions are the revisions at which each watched kind last changed.
 	Revisions map[string]uint64 `json:"revisions"`
 }
 
-// followSources asks relays for the store's word while no controller gives it.
-func (g *Gateway) followSources(ctx context.Context) {
+// queryRelays queries relays for a confirmation of the state of the store while no
+// controller sends one.
+func (g *Gateway) queryRelays(ctx context.Context) {
 	following := ""
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, askEvery)
+		clock.Sleep(ctx, relayQueryInterval)
 		now := g.now()
-		if !g.freshness.needsSource(now) && (following == "" || !g.freshness.renewal(now, following)) {
+		if !g.freshness.needsRelay(now) && (following == "" || !g.freshness.renewalDue(now, following)) {
 			continue
 		}
 		address := g.sources.relay()
 		if address == "" {
 			continue
 		}
-		answer, err := g.askSource(ctx, address)
+		answer, err := g.queryRelay(ctx, address)
 		age := time.Duration(answer.AgeMs) * time.Millisecond
-		if err != nil || age >= g.freshness.vouchedFor() {
+		if err != nil || age >= g.freshness.validFor() {
 			following = ""
-			if g.sources.miss() {
+			if g.sources.noteMiss() {
 				g.log.Info("no relay has the store's word", "last", address, "age-ms", answer.AgeMs, "error", errorText(err))
-				clock.Sleep(ctx, askPause)
+				clock.Sleep(ctx, relayQueryPause)
 			}
 			continue
 		}
-		g.sources.found()
-		g.storeReach.back() // what this host can't read in the store it hears from the relay
-		behind := g.freshness.told(g.now(), word{confirmed: now - age, teller: address, source: address, revisions: answer.Revisions})
+		g.sources.resetMisses()
+		g.storeReach.markAvailable() // the relay passes on what this host can't read from the store
+		behind := g.freshness.acceptConfirmation(g.now(), confirmation{confirmedAt: now - age, sender: address, source: address, revisions: answer.Revisions})
 		if following != address || len(behind) > 0 {
 			g.log.Info("relay vouches for the store's state", "relay", address, "age-ms", answer.AgeMs, "behind", behind)
 		}
@@ -237,18 +243,18 @@
 	}
 }
 
-func (g *Gateway) askSource(ctx context.Context, address string) (sourceAnswer, error) {
-	var answer sourceAnswer
-	err := g.callPeer(ctx, askTimeout, address, pathSource, sourceQuestion{Host: g.identity.Host}, &answer)
+func (g *Gateway) queryRelay(ctx context.Context, address string) (sourceResponse, error) {
+	var answer sourceResponse
+	err := g.callPeer(ctx, relayQueryTimeout, address, pathSource, sourceRequest{Host: g.identity.Host}, &answer)
 	return answer, err
 }
 
-// answerSource answers a host that asks this one in a controller's place.
-func (g *Gateway) answerSource(w http.ResponseWriter, r *http.Request) {
-	var question sourceQuestion
+// handleSource handles a query to this host as a relay.
+func (g *Gateway) handleSource(w http.ResponseWriter, r *http.Request) {
+	var question sourceRequest
 	if !g.decodePeerRequest(w, r, &question) {
 		return
 	}
-	age, revisions := g.freshness.question(g.now())
-	g.writePeerResponse(w, r, sourceAnswer{AgeMs: age.Milliseconds(), Revisions: revisions})
+	age, revisions := g.freshness.noteRelayQuery(g.now())
+	g.writePeerResponse(w, r, sourceResponse{AgeMs: age.Milliseconds(), Revisions: revisions})
 }
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -15,7 +15,7 @@
 	}
 	tasks.Go(func() { g.followAssignments(ctx) })
 	tasks.Go(func() { g.runControl(ctx) })
-	tasks.Go(func() { g.followSources(ctx) })
-	tasks.Go(func() { g.tellStoreCalls(ctx) })
+	tasks.Go(func() { g.queryRelays(ctx) })
+	tasks.Go(func() { g.logStoreCalls(ctx) })
 	return &tasks
 }
