--- a/balance/limited_replay_test.go
+++ b/balance/limited_replay_test.go
@@ -203,7 +203,7 @@
 			if limited == 9 {
 				assert.Assert(t, slices.ContainsFunc(each.limitUses, func(use limitUse) bool { return float64(use.maxInWindow) > use.allowed() }))
 			}
-			assert.Assert(t, got.timedOut < got.requests/50)
+			assert.Assert(t, got.timedOut < got.total/50)
 		}
 	}
 }
--- a/balance/reject.go
+++ b/balance/reject.go
@@ -40,7 +40,7 @@
 	if server != nil && p.closedToOwnedKeys(now, server) {
 		server, ownedAt = nil, now+p.overdueMoveWait(now, server)
 	}
-	if server != nil && server.repeatedlyUnreachable(now) {
+	if server != nil && server.unreachable(now) {
 		return &RejectedError{Reason: NoOwner, RetryAfter: clampRetryAfter(server.suspectUntil - now), Expected: server.suspectUntil - now}
 	}
 	if server != nil {
--- a/balance/replay_test.go
+++ b/balance/replay_test.go
@@ -72,7 +72,7 @@
 
 // results counts the requests of a run by result.
 type results struct {
-	requests, inTime, late, rejected, timedOut int
+	total, inTime, late, rejected, timedOut int
 	// rejectedWait is the mean time that rejected requests waited.
 	rejectedWait time.Duration
 	// offeredValue is the value of all requests, completedValue that of the completed ones. The value
@@ -88,13 +88,11 @@
 func (v results) valueFraction() float64 { return v.completedValue / v.offeredValue }
 
 // score returns the fraction of requests answered in time; late answers count half.
-func (v results) score() float64 {
-	return (float64(v.inTime) + float64(v.late)/2) / float64(v.requests)
-}
+func (v results) score() float64 { return (float64(v.inTime) + float64(v.late)/2) / float64(v.total) }
 
 func (v results) String() string {
 	return fmt.Sprintf("requests %d, in time %d, late %d, rejected %d after %v, timed out %d, score %.3f; value %.3f, retries %d, rejected again %d",
-		v.requests, v.inTime, v.late, v.rejected, v.rejectedWait, v.timedOut, v.score(), v.valueFraction(), v.retried, v.rejectedAgain)
+		v.total, v.inTime, v.late, v.rejected, v.rejectedWait, v.timedOut, v.score(), v.valueFraction(), v.retried, v.rejectedAgain)
 }
 
 // modelServer is a simulated server.
@@ -197,7 +195,7 @@
 			r.work = time.Duration(random.ExpFloat64() * float64(r.class.mean))
 		}
 		r.key = w.random.IntN(keyCount)
-		w.counts.requests++
+		w.counts.total++
 		w.counts.offeredValue += r.class.value
 		w.at(t, func(now time.Duration) { w.arrive(now, r) })
 	}
@@ -423,7 +421,7 @@
 	t.Log("round robin:", baseline)
 	assert.Assert(t, got.score() > 0.9)
 	assert.Assert(t, got.score() > baseline.score())
-	assert.Assert(t, got.rejected < got.requests/50)
+	assert.Assert(t, got.rejected < got.total/50)
 }
 
 // In a burst of 1.7 times the usual load, requests that can't be answered in time are rejected
@@ -447,7 +445,7 @@
 	t.Log("this package:", got)
 	t.Log("round robin:", baseline)
 	assert.Assert(t, got.score() > baseline.score()+0.05)
-	assert.Assert(t, got.timedOut < got.requests/20)
+	assert.Assert(t, got.timedOut < got.total/20)
 }
 
 // twoClasses is an overloaded service with urgent short requests, which are worth twice as much,
@@ -530,6 +528,6 @@
 		t.Log("this package:", got)
 		t.Log("round robin:", baseline)
 		assert.Assert(t, got.valueFraction() > baseline.valueFraction()+0.05)
-		assert.Assert(t, got.timedOut < got.requests/10, "too many requests time out at the servers")
+		assert.Assert(t, got.timedOut < got.total/10, "too many requests time out at the servers")
 	}
 }
--- a/balance/server.go
+++ b/balance/server.go
@@ -132,12 +132,12 @@
 	// evacuatedSince is when the server was first seen evacuated.
 	evacuatedSince     time.Duration
 	suspectUntil       time.Duration // the server is avoided until then
-	unreachableCount   int
+	unreached          int           // attempts that could not reach the server since it last ran a request
 	completionInterval time.Duration // smoothed interval between this host's completions while requests wait
 	lastCompletionAt   time.Duration // time of the last completion
 	queuedAtCompletion bool          // whether requests waited for the server at the last completion
 	failedWaits        int           // requests that waited for the server in vain since one was last assigned to it
-	failedWait         time.Duration // how long the last of them waited, or the estimate before if that was longer
+	failedWait         time.Duration // how long the last of them waited, or the estimate before it if that was longer
 	failedWaitAt       time.Duration // when the last of them was rejected
 }
 
@@ -229,16 +229,14 @@
 	return s.Draining && now-s.drainingSince >= drainGrace || s.Evacuated && now-s.evacuatedSince >= p.evacuationGrace
 }
 
-// repeatedlyUnreachable reports whether at least two attempts in a row could not reach the
-// server, the last of them recently.
-func (s *Server) repeatedlyUnreachable(now time.Duration) bool {
-	return s.unreachableCount > 1 && now < s.suspectUntil
-}
+// unreachable reports whether at least two attempts could not reach the server since it last ran
+// a request, the last of them recently.
+func (s *Server) unreachable(now time.Duration) bool { return s.unreached > 1 && now < s.suspectUntil }
 
 // reachable reports whether the server may be used: it is not currently avoided and, after
 // being unreachable or after a backoff, has no other request of this host in flight.
 func (s *Server) reachable(now time.Duration) bool {
-	if (s.unreachableCount > 0 || s.backoff.probing) && s.inFlight > 0 {
+	if (s.unreached > 0 || s.backoff.probing) && s.inFlight > 0 {
 		return false
 	}
 	return now >= s.suspectUntil
@@ -284,11 +282,11 @@
 		s.endProbing(now)
 	}
 	if outcome != Unreachable {
-		s.unreachableCount = 0
+		s.unreached = 0
 		return
 	}
-	s.suspectUntil = now + min(minSuspectTime<<min(s.unreachableCount, 8), maxSuspectTime)
-	s.unreachableCount++
+	s.suspectUntil = now + min(minSuspectTime<<min(s.unreached, 8), maxSuspectTime)
+	s.unreached++
 }
 
 // addServiceTimes merges samples of the server's service time.
--- a/tools/mutants/balance.go
+++ b/tools/mutants/balance.go
@@ -32,7 +32,7 @@
 		in("pool.go", "use draining servers", "	case server.Leaving():\n		return unusable\n", ""),
 		in("pool.go", "ignore which servers have had the request", "	case slices.Contains(waiter.Tried, server.ID):\n		return tried\n", ""),
 		in("pool.go", "prefer a server with room to a reachable one", "		best = min(best, p.preference(now, waiter, server))\n", "		if server.hasRoom(now, p.meanServiceTime) {\n			best = min(best, p.preference(now, waiter, server))\n		}\n"),
-		in("server.go", "trust an unreachable server again at once", "	if (s.unreachableCount > 0 || s.backoff.probing) && s.inFlight > 0 {", "	if s.backoff.probing && s.inFlight > 0 {"),
+		in("server.go", "trust an unreachable server again at once", "	if (s.unreached > 0 || s.backoff.probing) && s.inFlight > 0 {", "	if s.backoff.probing && s.inFlight > 0 {"),
 		in("server.go", "assume that there is room", "	return s.estimatedLoad(now, mean)+1 <= float64(s.Slots)*(1+maxQueuePerSlot)", "	return true"),
 		in("reject.go", "ignore earlier unsuccessful waits", "server.expectedFailedWait(now)*(ahead+1)", "0"),
 		in("server.go", "never retry after unsuccessful waits", "float64(s.failedWait) * math.Exp2(-float64(now-s.failedWaitAt)/float64(failedWaitHalfLife))", "float64(s.failedWait)"),
