--- a/fleet/era_test.go
+++ b/fleet/era_test.go
@@ -9,8 +9,8 @@
 	"cicadarouter/revision"
 )
 
-// Guards against servers that a host loses, or uses again, because the store has come back from
-// a copy.
+// Guards against servers that a host removes, or uses again, because the store was restored from a
+// backup.
 func TestEntriesThatTheStoreForgets(t *testing.T) {
 	entry := func(id string, draining bool, version uint64) Version {
 		return Version{Server: Server{ID: id, Start: 1, Draining: draining}, Revision: version}
@@ -32,7 +32,7 @@
 	d.Replace(back, revision.New(2, 45), []Version{entry("a", false, revision.New(2, 40)), entry("b", false, revision.New(2, 41))})
 	want := map[string]bool{"a": false, "b": true, "c": false}
 	assert.DeepEqual(t, known(d), want)
-	assert.Equal(t, d.Put(back, entry("a", true, revision.New(1, 60))), Outdated, "late news of the era before")
+	assert.Equal(t, d.Put(back, entry("a", true, revision.New(1, 60))), Outdated, "a late version of the previous era")
 	d.Put(back, entry("b", false, revision.New(2, 46)))
 	assert.DeepEqual(t, known(d), want)
 	assert.Assert(t, !d.Expire(back+time.Second))
@@ -46,21 +46,21 @@
 	assert.DeepEqual(t, known(d), map[string]bool{"b": true, "c": false})
 }
 
-// Guards against a domain that is used again because the store has forgotten its evacuation.
+// Guards against using a domain again because a restored store has lost its evacuation.
 func TestEvacuationThatTheStoreForgets(t *testing.T) {
 	e := NewEvacuations()
 	e.Replace(0, revision.New(1, 50), map[string]uint64{"north": revision.New(1, 50)})
 	assert.Equal(t, len(e.Replace(time.Second, revision.New(2, 45), nil)), 0)
 	assert.Assert(t, e.InForce("north"))
-	assert.Assert(t, !e.End(2*time.Second, "north", revision.New(2, 46)), "told by another host as removed")
+	assert.Assert(t, !e.End(2*time.Second, "north", revision.New(2, 46)), "reported as removed by another host")
 	e.Begin("north", revision.New(2, 47))
 	assert.Assert(t, !e.expire(time.Minute))
-	assert.Assert(t, e.InForce("north"), "asked for again")
-	assert.Assert(t, e.End(time.Minute, "north", revision.New(2, 48)), "taken back")
+	assert.Assert(t, e.InForce("north"), "requested again")
+	assert.Assert(t, e.End(time.Minute, "north", revision.New(2, 48)), "ended by its operator")
 
 	e.Begin("south", revision.New(2, 49))
 	e.Replace(time.Minute, revision.New(3, 45), nil)
 	assert.Assert(t, !e.expire(time.Minute+forgottenKept-1))
 	assert.Assert(t, e.expire(time.Minute+forgottenKept))
-	assert.Assert(t, !e.InForce("south"), "nobody has asked again")
+	assert.Assert(t, !e.InForce("south"), "not requested again")
 }
--- a/fleet/evacuation_test.go
+++ b/fleet/evacuation_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// in returns a server's entry in a domain.
+// in returns a server in a domain.
 func in(id, domain string) Server { return Server{ID: id, Domain: domain} }
 
 func twoDomains() *Directory {
@@ -16,7 +16,7 @@
 	return d
 }
 
-// leaving returns the IDs of the servers that are to get nothing.
+// leaving returns the IDs of the servers that must get no new requests.
 func leaving(d *Directory) []string {
 	var names []string
 	for _, server := range d.Snapshot() {
@@ -37,12 +37,10 @@
 	assert.Equal(t, len(leaving(d)), 0)
 }
 
-// Symptom: a domain that was taken back gets nothing, or one that is evacuated gets
-// requests.
-// Sequence: an operator evacuates a domain, takes it back and evacuates it again
-// within a second; a host hears of it from a watch, and of the first request or its
-// end once more from a list that is behind.
-// Cause: whatever came last was believed.
+// Guards against a domain that gets no requests after its evacuation has ended, or gets requests
+// during one. An operator evacuates a domain, ends the evacuation and evacuates it again within a
+// second; a host learns of this from a watch, and once more of an earlier version from a list that
+// lags.
 func TestLateNewsOfAnEvacuationIsRefused(t *testing.T) {
 	e := NewEvacuations()
 	assert.Assert(t, e.Begin("a", 3))
@@ -58,10 +56,9 @@
 	assert.DeepEqual(t, e.Domains(), []string{"b"})
 }
 
-// Symptom: the servers of a domain that is taken back fall over at once.
-// Sequence: they have become cold while they got nothing; hosts learn of the end of
-// the evacuation before the next heartbeats.
-// Cause: the entries that were known still said that the servers are warm.
+// Guards against overloading the servers of a domain when its evacuation ends. They became cold
+// while they got no requests, but hosts learn of the end before the next heartbeats, so the known
+// entries still say that the servers are warm.
 func TestServersThatAreTakenBackAreColdUntilTheySayOtherwise(t *testing.T) {
 	const back = 10 * time.Second
 	d := twoDomains()
@@ -70,11 +67,11 @@
 	assert.Equal(t, d.Snapshot()[0].ColdUntil, back+coldDoubt)
 	assert.Equal(t, d.Snapshot()[1].ColdUntil, time.Duration(0), "a server of another domain")
 	d.Put(back, Version{Server: in("a1", "a"), Revision: 6})
-	assert.Equal(t, d.Snapshot()[0].ColdUntil, time.Duration(0), "a later entry that says it is warm")
+	assert.Equal(t, d.Snapshot()[0].ColdUntil, time.Duration(0), "a later entry says that it is warm")
 }
 
-// A server is cold for as long as its entry says, counted from when it came: the same
-// entry is handed on again with every change of another.
+// A server is cold for as long as its entry says, counted from when the entry arrived, although the
+// server is returned again with later changes of other servers.
 func TestColdServerIsWarmAfterItsTime(t *testing.T) {
 	d := NewDirectory()
 	cold := named("a")
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -35,10 +35,9 @@
 	assert.DeepEqual(t, ids(d), []string{"b"})
 }
 
-// Symptom: a service has no servers for seconds after every outage of the store.
-// Sequence: the store is away for longer than the entries' lease; when it is
-// back, the entries are missing until their servers renew them.
-// Cause: the list was believed at once.
+// Guards against a service without servers for seconds after each outage of the store. If the
+// outage is longer than the lease of the entries, they are missing afterwards until their servers
+// renew them.
 func TestEntriesMissingAfterAnOutageMayReturn(t *testing.T) {
 	d := two()
 	d.Away(10 * time.Second)
@@ -53,7 +52,7 @@
 	assert.Assert(t, d.Snapshot()[0].Draining)
 }
 
-// While the store is still away, nothing expires.
+// Nothing expires while the store is still unavailable.
 func TestOutageExtendsTheGrace(t *testing.T) {
 	d := two()
 	d.Away(10 * time.Second)
@@ -63,10 +62,9 @@
 	assert.DeepEqual(t, ids(d), []string{"a", "b"})
 }
 
-// Symptom: requests go to a server that has left.
-// Sequence: a host hears from the store that the entry ended; a list that is
-// seconds behind, or another host, then tells an earlier version of the entry.
-// Cause: whatever came last was believed.
+// Guards against requests to a server that has left. A host learns from the store that the entry
+// was removed, and then receives an earlier version from a list that lags by seconds or from
+// another host.
 func TestEarlierVersionIsRefused(t *testing.T) {
 	draining := named("a")
 	draining.Draining = true
@@ -81,11 +79,11 @@
 	d.Replace(0, 5, []Version{{Server: draining, Revision: 5}, {Server: named("b"), Revision: 2}})
 	assert.DeepEqual(t, ids(d), []string{"b"})
 	assert.Equal(t, d.Put(0, Version{Server: named("a"), Revision: 7}), Taken)
-	d.Replace(0, 5, nil) // a list that is behind does not end what came after it
+	d.Replace(0, 5, nil) // a list that lags does not remove later entries
 	assert.DeepEqual(t, ids(d), []string{"a"})
 }
 
-// An end is remembered for a while, not for ever.
+// Removals are remembered for a limited time only.
 func TestEndsAreForgotten(t *testing.T) {
 	d := two()
 	d.Remove(0, "a", 3)
@@ -95,12 +93,9 @@
 	assert.Equal(t, len(d.entries), 1)
 }
 
-// Symptom: a server that has just started again is taken for its predecessor:
-// its requests are counted with those that ended with the process, and it is
-// believed to hold keys.
-// Sequence: a server crashes and starts again under its ID; a heartbeat that
-// the predecessor had sent is written after the first of the new process.
-// Cause: an entry was told from another by its ID alone.
+// Guards against taking a restarted server for its predecessor, which would count its requests with
+// those that failed with the process and let it own keys. The server crashes and restarts under its
+// ID, and a heartbeat of the predecessor is written after the first one of the new process.
 func TestEarlierStartIsRefused(t *testing.T) {
 	d := NewDirectory()
 	d.Put(0, Version{Server: started("a", 1000), Revision: 1})
@@ -112,11 +107,9 @@
 	assert.Equal(t, len(d.Snapshot()), 0)
 }
 
-// Symptom: a server is never used again.
-// Sequence: the time of day of a server's machine is set back between two
-// starts, so that the later one names the earlier time.
-// Cause: an earlier start was never believed. One that goes on writing, with
-// nothing of the later start in between, is the one that lives.
+// Guards against a server that is never used again. Its machine's clock is set back between two
+// starts, so that the later start has the earlier time. A start that is repeated without a version
+// of the later start in between belongs to the live process.
 func TestServerWhoseClockWasSetBackIsUsed(t *testing.T) {
 	d := NewDirectory()
 	d.Put(0, Version{Server: started("a", 2000), Revision: 1})
@@ -130,12 +123,11 @@
 	assert.Equal(t, d.Snapshot()[0].Start, int64(1000))
 }
 
-// Symptom: requests go on to an address that nobody vouches for.
-// Sequence: another writer puts something else into a server's entry.
-// Cause: the last entry that could be read was kept in use.
+// Guards against requests to an address that is no longer registered, when another writer
+// overwrites a server's entry and the last readable version would stay in use.
 func TestEntryThatNamesNoServerEndsItsUse(t *testing.T) {
 	d := two()
-	d.Away(0) // also right after an outage: this entry is not missing
+	d.Away(0) // also right after an outage, since the entry is present
 	d.Put(0, Version{Server: named("a"), Revision: 3, Unreadable: true})
 	assert.DeepEqual(t, ids(d), []string{"b"})
 	assert.Equal(t, d.Put(0, Version{Server: named("a"), Revision: 4}), Taken)
@@ -152,7 +144,7 @@
 	}
 }
 
-// Guards against a cost of each change that grows with the servers that are registered.
+// Guards against a cost of each change that grows with the number of registered servers.
 func TestChangesAreThoseOfTheEntriesThatChanged(t *testing.T) {
 	for _, n := range []int{10, 1000, 10000} {
 		d := NewDirectory()
@@ -168,13 +160,13 @@
 		changed, gone := d.Changes()
 		assert.Equal(t, len(changed), 1)
 		assert.DeepEqual(t, gone, []string{"s00005"})
-		assert.Equal(t, len(d.fading), 1, "entries that each look has to pass")
+		assert.Equal(t, len(d.fading), 1, "entries that each call of Expire visits")
 		changed, gone = d.Changes()
 		assert.Equal(t, len(changed)+len(gone), 0)
 	}
 }
 
-// An entry that comes back, or a domain that is evacuated, shows among the changes.
+// Changes also returns servers whose entries return in time and servers whose domain is evacuated.
 func TestChangesOfTimeAndOfDomains(t *testing.T) {
 	d := twoDomains()
 	d.Changes()
@@ -196,7 +188,7 @@
 	assert.Assert(t, !d.Lists(Incarnation{ID: "a1", Start: 9}))
 }
 
-// Snapshot returns the servers in order of their IDs.
+// Snapshot returns the servers ordered by ID.
 func (d *Directory) Snapshot() []Server {
 	servers := make([]Server, 0, len(d.entries))
 	for _, id := range slices.Sorted(maps.Keys(d.entries)) {
--- a/fleet/text_test.go
+++ b/fleet/text_test.go
@@ -16,7 +16,7 @@
 			ColdFor: time.Duration(rapid.IntRange(0, 1<<20).Draw(t, "cold")) * time.Millisecond, Start: rapid.Int64Min(0).Draw(t, "start")}
 		text, ok := EntryText(&want)
 		if !ok {
-			return // told as the registry has it
+			return // hosts send such entries in the registry's format
 		}
 		got, err := ReadEntryText("i-1", text)
 		assert.NilError(t, err)
--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -113,32 +113,32 @@
 	debug.SetGCPercent(heapGrowth)
 	debug.SetMemoryLimit(int64(float64(d.settings.MemoryMB) * memoryShare * (1 << 20)))
 	stopLog := make(chan struct{})
-	var writing sync.WaitGroup
-	writing.Go(func() { d.lines.Run(os.Stdout, stopLog) })
-	defer writing.Wait()
+	var logWriter sync.WaitGroup
+	logWriter.Go(func() { d.lines.Run(os.Stdout, stopLog) })
+	defer logWriter.Wait()
 	defer close(stopLog)
-	open, err := d.listen()
+	sockets, err := d.listen()
 	if err != nil {
 		return err
 	}
-	running, cancel := context.WithCancel(context.Background())
+	gatewayCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	callers := &http.Server{Handler: d.gateway, ReadHeaderTimeout: firstHeaderTimeout, IdleTimeout: firstIdleTimeout,
 		MaxHeaderBytes: headerBytes, ConnState: noteState, ErrorLog: d.log.StandardLog()}
 	ready := d.server(d.readyHandler())
 	peers := d.server(d.gateway.PeerHandler())
 	metrics := d.server(d.metricsHandler())
-	go d.serve(callers, callerListener{Listener: open.callers, limits: d.gateway.Limits})
-	go d.serve(ready, open.ready)
-	go d.serve(peers, open.peers)
-	go d.serve(metrics, open.metrics)
-	go d.watchSettings(running)
-	duties := d.gateway.Start(running)
+	go d.serve(callers, callerListener{Listener: sockets.callers, limits: d.gateway.Limits})
+	go d.serve(ready, sockets.ready)
+	go d.serve(peers, sockets.peers)
+	go d.serve(metrics, sockets.metrics)
+	go d.watchSettings(gatewayCtx)
+	tasks := d.gateway.Start(gatewayCtx)
 	d.log.Info("started", "domain", d.settings.Domain, "callers", d.settings.Callers, "store", d.settings.Store)
 	<-ctx.Done()
 	err = d.leave(callers)
 	cancel()
-	duties.Wait()
+	tasks.Wait()
 	d.log.Info("stopped", "log-lines-dropped", d.lines.Dropped())
 	return err
 }
@@ -147,22 +147,22 @@
 func (d *Daemon) leave(callers *http.Server) error {
 	d.log.Info("stopping", "leave-for-ms", d.settings.LeaveFor.Milliseconds(), "within-ms", d.settings.StopWithin.Milliseconds())
 	within := d.settings.StopWithin - stopMargin
-	until, cancel := context.WithTimeout(context.Background(), within)
+	stopCtx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	d.gateway.Stop(within)
 	select {
 	case <-time.After(min(d.settings.LeaveFor, within)):
-	case <-until.Done():
+	case <-stopCtx.Done():
 	}
-	err := callers.Shutdown(until)
+	err := callers.Shutdown(stopCtx)
 	if err == nil {
 		return nil
 	}
 	d.log.Warn("requests are still in progress at the end of the shutdown time; aborting them", "error", err.Error())
 	d.gateway.AbortRequests()
-	answering, cancel := context.WithTimeout(context.Background(), lastAnswers)
+	abortCtx, cancel := context.WithTimeout(context.Background(), lastAnswers)
 	defer cancel()
-	if err := callers.Shutdown(answering); err != nil {
+	if err := callers.Shutdown(abortCtx); err != nil {
 		d.log.Warn("aborted requests were not answered before the process ended", "error", err.Error())
 	}
 	return nil
@@ -204,7 +204,7 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	seen := modified(d.settings.File)
+	lastModified := modified(d.settings.File)
 	ticker := time.NewTicker(lookEvery)
 	defer ticker.Stop()
 	for {
@@ -213,11 +213,11 @@
 			return
 		case <-hangups:
 		case <-ticker.C:
-			if now := modified(d.settings.File); now.IsZero() || now.Equal(seen) {
+			if now := modified(d.settings.File); now.IsZero() || now.Equal(lastModified) {
 				continue
 			}
 		}
-		seen = modified(d.settings.File)
+		lastModified = modified(d.settings.File)
 		d.reload()
 	}
 }
@@ -233,14 +233,14 @@
 // reload applies the settings that can change while the process runs: the store's address and the
 // log level. Other changes take effect at the next start.
 func (d *Daemon) reload() {
-	fresh, err := Load(d.settings.File)
+	reloaded, err := Load(d.settings.File)
 	if err != nil {
 		d.log.Error("settings left aside; the last valid ones stay in effect", "error", err.Error())
 		return
 	}
-	d.store.SetAddress(fresh.Store)
-	d.log.SetLevel(logs.Level(fresh.LogLevel))
-	kept := fresh
-	kept.Store, kept.LogLevel = d.settings.Store, d.settings.LogLevel
-	d.log.Info("settings read again", "store", fresh.Store, "level", fresh.LogLevel, "others-wait-for-restart", !reflect.DeepEqual(kept, d.settings))
+	d.store.SetAddress(reloaded.Store)
+	d.log.SetLevel(logs.Level(reloaded.LogLevel))
+	others := reloaded
+	others.Store, others.LogLevel = d.settings.Store, d.settings.LogLevel
+	d.log.Info("settings read again", "store", reloaded.Store, "level", reloaded.LogLevel, "others-wait-for-restart", !reflect.DeepEqual(others, d.settings))
 }
--- a/gateway/daemon/daemon_test.go
+++ b/gateway/daemon/daemon_test.go
@@ -28,7 +28,7 @@
 	return name
 }
 
-// free returns an address that nobody listens on.
+// free returns an address on which nothing listens.
 func free(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,36 +54,37 @@
 		strings.Replace(good, "address = 127.0.0.1:5", "# address = ", 1): "address",
 	} {
 		_, err := Load(file(t, broken))
-		var named *settings.Error
-		assert.Assert(t, errors.As(err, &named), "got %v", err)
-		assert.Equal(t, named.Option, option)
+		var invalid *settings.Error
+		assert.Assert(t, errors.As(err, &invalid), "got %v", err)
+		assert.Equal(t, invalid.Option, option)
 	}
 }
 
-// A daemon starts, is ready when it knows the configuration, and stops by itself.
+// A daemon starts, becomes ready once it knows the configuration, and stops when its context is
+// done.
 func TestDaemonRunsAndStops(t *testing.T) {
 	site := platformtest.NewSite("127.0.0.1", 0)
 	store := free(t)
-	serving, end := context.WithCancel(context.Background())
-	defer end()
-	assert.NilError(t, site.Start(serving, store, 0))
+	siteCtx, stopSite := context.WithCancel(context.Background())
+	defer stopSite()
+	assert.NilError(t, site.Start(siteCtx, store, 0))
 	addresses := [4]string{free(t), free(t), free(t), free(t)}
 	s, err := Load(file(t, text(addresses, store)))
 	assert.NilError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- New(s).Run(ctx) }()
-	const patience = 10 * time.Second
+	result := make(chan error, 1)
+	go func() { result <- New(s).Run(ctx) }()
+	const timeout = 10 * time.Second
 	for begin := time.Now(); !answers(addresses[1], platform.ReadyPath); time.Sleep(10 * time.Millisecond) {
-		assert.Assert(t, time.Since(begin) < patience, "the daemon is not ready")
+		assert.Assert(t, time.Since(begin) < timeout, "the daemon did not become ready")
 	}
 	assert.Assert(t, answers(addresses[3], "/metrics"))
 	stop()
 	select {
-	case err := <-ended:
+	case err := <-result:
 		assert.NilError(t, err)
-	case <-time.After(patience):
-		t.Fatal("the daemon does not stop")
+	case <-time.After(timeout):
+		t.Fatal("the daemon did not stop")
 	}
 }
 
@@ -96,7 +97,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// A change of the store's address takes effect; a broken file changes nothing.
+// A change of the store's address takes effect; an invalid file changes nothing.
 func TestReload(t *testing.T) {
 	first, second := platformtest.NewStore(), platformtest.NewStore()
 	one, two := httptest.NewServer(first), httptest.NewServer(second)
@@ -109,7 +110,7 @@
 	assert.NilError(t, err)
 	d := New(s)
 	call := func() {
-		_, _ = d.store.List(context.Background(), "things") // only who is called matters
+		_, _ = d.store.List(context.Background(), "things") // only the number of calls matters
 	}
 	assert.NilError(t, os.WriteFile(name, []byte("nonsense"), 0o600))
 	d.reload()
@@ -122,18 +123,18 @@
 	assert.Equal(t, second.Calls(), 1)
 }
 
-// Callers' connections are held to the limits in force, which may change.
+// The limits in force apply to callers' connections and may change.
 func TestCallersAreHeldToTheLimits(t *testing.T) {
 	limits := routing.Limits{HeaderTimeout: time.Second, IdleTimeout: 10 * time.Second}
-	near, far := net.Pipe()
-	defer near.Close()
-	defer far.Close()
-	noted := &deadlines{Conn: near}
-	conn := &callerConn{Conn: noted, limits: func() routing.Limits { return limits }}
-	within := func(least, most time.Duration) {
+	local, remote := net.Pipe()
+	defer local.Close()
+	defer remote.Close()
+	recorded := &deadlines{Conn: local}
+	conn := &callerConn{Conn: recorded, limits: func() routing.Limits { return limits }}
+	within := func(lower, upper time.Duration) {
 		t.Helper()
-		left := time.Until(noted.last)
-		assert.Assert(t, left > least && left <= most, "%v is left", left)
+		left := time.Until(recorded.last)
+		assert.Assert(t, left > lower && left <= upper, "%v is left", left)
 	}
 	assert.NilError(t, conn.SetReadDeadline(time.Now().Add(time.Hour)))
 	within(0, time.Second)
@@ -144,10 +145,10 @@
 	assert.NilError(t, conn.SetReadDeadline(time.Now().Add(time.Hour)))
 	within(10*time.Second, firstIdleTimeout)
 	assert.NilError(t, conn.SetReadDeadline(time.Time{}))
-	assert.Assert(t, noted.last.IsZero())
+	assert.Assert(t, recorded.last.IsZero())
 }
 
-// deadlines notes the read deadline of a connection.
+// deadlines records the last read deadline set on a connection.
 type deadlines struct {
 	net.Conn
 	last time.Time
--- a/notice/ledger.go
+++ b/notice/ledger.go
@@ -24,15 +24,15 @@
 // without a notice ends an earlier notice only if its request was sent no earlier than the notice
 // arrived. Of two news that arrived at different times, every host keeps the same one, whichever it
 // learns of first.
-func (n News[V]) newer(known News[V]) bool {
-	var nothing V
+func (n News[V]) newer(current News[V]) bool {
+	var zero V
 	switch {
-	case n.Value == nothing && known.Value != nothing:
-		return n.Sent >= known.Heard
-	case n.Value != nothing && known.Value == nothing:
-		return n.Heard > known.Sent
+	case n.Value == zero && current.Value != zero:
+		return n.Sent >= current.Heard
+	case n.Value != zero && current.Value == zero:
+		return n.Heard > current.Sent
 	}
-	return n.Heard > known.Heard
+	return n.Heard > current.Heard
 }
 
 // mostServers bounds the servers whose notices a ledger stores.
@@ -55,24 +55,24 @@
 // Take applies the news of a server and reports whether its value changed. Servers that have never
 // sent a notice are not stored.
 func (l *Ledger[V]) Take(server fleet.Incarnation, news News[V]) (changed bool) {
-	var nothing V
-	known, present := l.known[server]
-	if !present && (news.Value == nothing || len(l.known) >= mostServers) {
+	var zero V
+	current, present := l.known[server]
+	if !present && (news.Value == zero || len(l.known) >= mostServers) {
 		return false
 	}
-	if present && !news.newer(known.News) {
+	if present && !news.newer(current.News) {
 		return false
 	}
-	changed = known.Value != news.Value
+	changed = current.Value != news.Value
 	if changed {
 		l.changes++
-		known.change = l.changes
+		current.change = l.changes
 	}
-	known.News = news
+	current.News = news
 	if l.known == nil {
 		l.known = map[fleet.Incarnation]entry[V]{}
 	}
-	l.known[server] = known
+	l.known[server] = current
 	return changed
 }
 
@@ -87,11 +87,11 @@
 
 // Values returns the values in effect, by server.
 func (l *Ledger[V]) Values() map[fleet.Incarnation]V {
-	var nothing V
+	var zero V
 	values := map[fleet.Incarnation]V{}
-	for server, known := range l.known {
-		if known.Value != nothing {
-			values[server] = known.Value
+	for server, current := range l.known {
+		if current.Value != zero {
+			values[server] = current.Value
 		}
 	}
 	return values
@@ -137,29 +137,29 @@
 }
 
 // Tell returns the values that changed after the change numbered since, oldest change first and at
-// most the given number, and the number of the last change that they cover.
-func (l *Ledger[V]) Tell(now time.Duration, since uint64, most int) (told []Told[V], upTo uint64) {
-	type changed struct {
+// most limit of them, and the number of the last change that they cover.
+func (l *Ledger[V]) Tell(now time.Duration, since uint64, limit int) (messages []Told[V], upTo uint64) {
+	type changedEntry struct {
 		server fleet.Incarnation
 		entry[V]
 	}
-	var news []changed
-	for server, known := range l.known {
-		if known.change > since {
-			news = append(news, changed{server, known})
+	var due []changedEntry
+	for server, current := range l.known {
+		if current.change > since {
+			due = append(due, changedEntry{server, current})
 		}
 	}
-	if len(news) == 0 {
+	if len(due) == 0 {
 		return nil, l.changes
 	}
-	slices.SortFunc(news, func(a, b changed) int { return cmp.Compare(a.change, b.change) })
+	slices.SortFunc(due, func(a, b changedEntry) int { return cmp.Compare(a.change, b.change) })
 	upTo = l.changes
-	if len(news) > most {
-		news = news[:most]
-		upTo = news[most-1].change
+	if len(due) > limit {
+		due = due[:limit]
+		upTo = due[limit-1].change
 	}
-	for _, each := range news {
-		told = append(told, TellOf(now, each.server, each.News))
+	for _, each := range due {
+		messages = append(messages, TellOf(now, each.server, each.News))
 	}
-	return told, upTo
+	return messages, upTo
 }
--- a/poison/fuzz_test.go
+++ b/poison/fuzz_test.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	// inTouchAfter is for how long nothing may have been wrong with a host and the
-	// collector before the host is held to what others know.
+	// inTouchAfter is how long a host and the collector must have been free of faults before the
+	// host must know what others know.
 	inTouchAfter = 3 * time.Second
-	// exchangeEvery is how often a host and the collector tell each other.
+	// exchangeEvery is the interval at which a host and the collector exchange cases.
 	exchangeEvery = 500 * time.Millisecond
 	perMessage    = 4
-	// messageWay is how long a message is under way.
+	// messageWay is the transmission time of a message.
 	messageWay = 5 * time.Millisecond
 	deadlyPath = "/deadly"
 )
 
-// simHost is a host of the simulated world.
+// simHost is a simulated host.
 type simHost struct {
 	ledger    Ledger
-	told      uint64 // up to which change the collector has heard of its ledger
-	known     uint64 // and it of the collector's
+	told      uint64 // last change of its ledger that the collector has received
+	known     uint64 // last change of the collector's ledger that it has received
 	exchanged time.Duration
-	// calmSince is since when nothing has been wrong with it.
+	// calmSince is when its last fault ended.
 	calmSince time.Duration
 	cutUntil  time.Duration
 }
 
-// simWorld is several hosts, of which one collects, and a store. One request ends each
-// server that runs it; the oracle counts over all hosts.
+// simWorld simulates several hosts, one of which is the collector, and a store. A deadly request
+// terminates each server that runs it; the expected results are counted over all hosts.
 type simWorld struct {
 	now       time.Duration
 	hosts     []*simHost
@@ -46,11 +46,11 @@
 	messages  []simMessage
 	servers   int
 
-	ends  []time.Duration // of servers under the deadly request
-	after int             // copies sent by hosts in touch when all had to know
+	ends  []time.Duration // terminations during the deadly request
+	after int             // copies sent by hosts in touch that had to know the request
 }
 
-// simMessage is what a host was told once.
+// simMessage is a message to a host. It may be delivered again.
 type simMessage struct {
 	to    int
 	sent  time.Duration
@@ -67,12 +67,12 @@
 
 func (w *simWorld) hub() *simHost { return w.hosts[w.collector] }
 
-// inTouch reports whether a host is held to what others know.
+// inTouch reports whether a host must know what others know.
 func (w *simWorld) inTouch(h *simHost) bool {
 	return w.now-h.calmSince >= inTouchAfter && w.now-w.hub().calmSince >= inTouchAfter
 }
 
-// copy has a copy of the deadly request come to a host.
+// copy lets a copy of the deadly request arrive at a host.
 func (w *simWorld) copy(h *simHost) {
 	const maxAttempts = 2
 	for attempt := range maxAttempts {
@@ -87,10 +87,10 @@
 		w.ends = append(w.ends, w.now)
 		h.ledger.Blame(w.now, run(fmt.Sprint("s", w.servers)), ended(deadlyPath, w.now))
 	}
-	w.exchange(h) // a host tells of an end at once
+	w.exchange(h) // a host reports a termination at once
 }
 
-// exchange has a host and the collector tell each other, if they can.
+// exchange lets a host and the collector exchange cases unless one of them is disconnected.
 func (w *simWorld) exchange(h *simHost) {
 	hub := w.hub()
 	h.exchanged = w.now
@@ -98,17 +98,17 @@
 		return
 	}
 	if h != hub {
-		told, upTo := h.ledger.Tell(w.now, h.told, perMessage, Collector)
-		hub.ledger.Take(w.now+messageWay, told)
-		answer, known := hub.ledger.Tell(w.now, h.known, perMessage, Everyone)
-		h.ledger.Take(w.now+2*messageWay, answer)
+		report, upTo := h.ledger.Tell(w.now, h.told, perMessage, Collector)
+		hub.ledger.Take(w.now+messageWay, report)
+		response, known := hub.ledger.Tell(w.now, h.known, perMessage, Everyone)
+		h.ledger.Take(w.now+2*messageWay, response)
 		h.told, h.known = upTo, known
-		w.messages = append(w.messages, simMessage{to: slices.Index(w.hosts, h), sent: w.now, cases: answer}, simMessage{to: w.collector, sent: w.now, cases: told})
+		w.messages = append(w.messages, simMessage{to: slices.Index(w.hosts, h), sent: w.now, cases: response}, simMessage{to: w.collector, sent: w.now, cases: report})
 	}
 	w.stored, w.storedAt = hub.ledger.Proven(w.now), w.now
 }
 
-// pass lets time pass.
+// pass advances the time.
 func (w *simWorld) pass(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.now += 50 * time.Millisecond
@@ -123,11 +123,11 @@
 	}
 }
 
-// restart has a host start again, knowing nothing.
+// restart restarts a host, which loses its state.
 func (w *simWorld) restart(i int) { w.hosts[i] = &simHost{calmSince: w.now} }
 
-// collect makes another host the collector. It reads what is stored; hosts tell it all
-// that they know.
+// collect makes another host the collector. It reads the stored cases, and the hosts send it
+// everything that they know.
 func (w *simWorld) collect(i int) {
 	w.collector = i
 	for _, h := range w.hosts {
@@ -144,8 +144,8 @@
 	w.hub().calmSince = w.now
 }
 
-// bystander has a harmless request be under way at a server that ends, and be answered
-// at another host later.
+// bystander lets a harmless request be in flight at a server that terminates, and be answered at
+// another host later.
 func (w *simWorld) bystander(at, answeredAt *simHost, path string) {
 	w.servers++
 	at.ledger.Blame(w.now, run(fmt.Sprint("s", w.servers)), ended(path, w.now))
@@ -153,64 +153,64 @@
 	answeredAt.ledger.Acquit(w.now, mark(path))
 }
 
-// However hosts are cut off and start again, whoever collects, and in whatever order
-// and however often they hear of each other: once three servers have ended under a
-// request and all hosts in touch had time to hear of it, they send it no more than
-// three times, counted over all hosts.
+// Once three servers have terminated during a request and all hosts in touch have had time to learn
+// of it, they send it at most three more times, counted over all hosts. This must hold whichever
+// hosts are disconnected or restart, whichever host is the collector, and in whatever order and
+// however often messages arrive.
 func TestDeadlyRequestIsStoppedEverywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSimWorld(rapid.IntRange(2, 6).Draw(t, "hosts"))
 		host := func(what string) int { return rapid.IntRange(0, len(w.hosts)-1).Draw(t, what) }
 		t.Repeat(map[string]func(*rapid.T){
-			"copy": func(t *rapid.T) { w.copy(w.hosts[host("at")]) },
+			"copy arrives": func(t *rapid.T) { w.copy(w.hosts[host("at")]) },
 			"time passes": func(t *rapid.T) {
 				w.pass(time.Duration(rapid.IntRange(50, 4000).Draw(t, "ms")) * time.Millisecond)
 			},
-			"host cut off": func(t *rapid.T) {
+			"host disconnected": func(t *rapid.T) {
 				h := w.hosts[host("cut")]
 				h.cutUntil, h.calmSince = w.now+time.Duration(rapid.IntRange(100, 8000).Draw(t, "ms"))*time.Millisecond, w.now
 			},
-			"host starts again": func(t *rapid.T) {
+			"host restarts": func(t *rapid.T) {
 				if i := host("started"); i != w.collector {
 					w.restart(i)
 				}
 			},
-			"another collects": func(t *rapid.T) { w.collect(host("collector")) },
-			"collector lost": func(t *rapid.T) {
+			"another host collects": func(t *rapid.T) { w.collect(host("collector")) },
+			"collector restarts": func(t *rapid.T) {
 				w.restart(w.collector)
 				w.collect(host("collector"))
 			},
-			"all lost": func(t *rapid.T) {
+			"all hosts restart": func(t *rapid.T) {
 				for i := range w.hosts {
 					w.restart(i)
 				}
 				w.collect(host("collector"))
 				if !slices.ContainsFunc(w.stored, func(c Case) bool { return c.Request == mark(deadlyPath) }) {
-					w.ends, w.after = nil, 0 // nobody is left who knows
+					w.ends, w.after = nil, 0 // no host and no stored case knows the request
 				}
 			},
-			"told once more": func(t *rapid.T) {
+			"update redelivered": func(t *rapid.T) {
 				if len(w.messages) > 0 {
 					old := w.messages[rapid.IntRange(0, len(w.messages)-1).Draw(t, "message")]
 					w.hosts[old.to].ledger.Take(w.now, old.cases)
 				}
 			},
-			"server that was taken to have ended answers": func(t *rapid.T) {
+			"server considered terminated answers": func(t *rapid.T) {
 				h := w.hosts[host("answered at")]
 				h.ledger.Blame(w.now, run("cut off"), ended(deadlyPath, w.now))
 				w.pass(time.Second)
 				w.hosts[host("answered at")].ledger.Alive(run("cut off"), Lived{To: w.now})
 			},
-			"bystander": func(t *rapid.T) {
+			"bystander request": func(t *rapid.T) {
 				w.bystander(w.hosts[host("under way at")], w.hosts[host("answered at")], fmt.Sprint("/", rapid.IntRange(0, 3).Draw(t, "path")))
 			},
 			"": func(t *rapid.T) {
 				if w.after > provenAfter {
-					t.Fatalf("%d copies sent when all had to know; %d servers ended", w.after, len(w.ends))
+					t.Fatalf("%d copies sent by hosts that had to know the request; %d servers terminated", w.after, len(w.ends))
 				}
 				for _, h := range w.hosts {
 					if len(h.ledger.cases) > mostCases {
-						t.Fatalf("%d cases", len(h.ledger.cases))
+						t.Fatalf("a ledger holds %d cases", len(h.ledger.cases))
 					}
 				}
 			},
@@ -218,8 +218,8 @@
 	})
 }
 
-// Two ledgers that have told each other everything judge alike. A server ends at one
-// moment, whoever sees it and when.
+// Two ledgers that have exchanged all their cases give the same verdicts. Both know the same
+// termination time of a server, whichever of them records it.
 func TestLedgersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var ledgers [2]Ledger
@@ -244,10 +244,10 @@
 			}
 			l.Blame(now, fleet.Incarnation{ID: fmt.Sprint(server)}, ended(path, endedAt[server]))
 		}
-		for range 2 { // a message, and its echo
+		for range 2 { // a message and the response to it
 			for i := range ledgers {
-				told, _ := ledgers[i].Tell(now, 0, mostCases, Collector)
-				ledgers[1-i].Take(now, told)
+				cases, _ := ledgers[i].Tell(now, 0, mostCases, Collector)
+				ledgers[1-i].Take(now, cases)
 			}
 		}
 		for _, path := range paths {
--- a/poison/ledger.go
+++ b/poison/ledger.go
@@ -145,27 +145,27 @@
 
 // blame adds a termination and reports whether that changed the case. If there are more than
 // endsKept, the latest are kept.
-func (r *record) blame(server fleet.Incarnation, told end) bool {
-	known, have := r.ends[server]
+func (r *record) blame(server fleet.Incarnation, added end) bool {
+	existing, exists := r.ends[server]
 	switch {
-	case r.isAcquitted && told.at <= r.acquitted:
+	case r.isAcquitted && added.at <= r.acquitted:
 		return false
-	case have:
-		if known.withdrawn || !told.withdrawn {
+	case exists:
+		if existing.withdrawn || !added.withdrawn {
 			return false
 		}
-		known.withdrawn = true
-		r.ends[server] = known
+		existing.withdrawn = true
+		r.ends[server] = existing
 		return true
 	}
 	if len(r.ends) >= endsKept {
 		least, oldest := r.oldest()
-		if !oldest.withdrawn && told.at <= oldest.at {
+		if !oldest.withdrawn && added.at <= oldest.at {
 			return false
 		}
 		delete(r.ends, least)
 	}
-	r.ends[server] = told
+	r.ends[server] = added
 	r.suspected = r.suspected || r.standing() >= suspectAfter
 	return true
 }
@@ -187,27 +187,27 @@
 // Blame records that a server terminated during a request, and reports whether that changed the
 // ledger.
 func (l *Ledger) Blame(now time.Duration, server fleet.Incarnation, blame Blame) bool {
-	held := l.hold(now, blame.Request)
-	return l.blame(held, server, end{at: blame.At}) && l.changed(held)
+	rec := l.hold(now, blame.Request)
+	return l.blame(rec, server, end{at: blame.At}) && l.changed(rec)
 }
 
 // Acquit clears a request as of a time at which a server gave a complete answer to it, and reports
 // whether that changed the ledger.
 func (l *Ledger) Acquit(at time.Duration, request Fingerprint) bool {
-	held := l.cases[request]
-	return held != nil && held.standing() > 0 && held.acquit(at) && l.changed(held)
+	rec := l.cases[request]
+	return rec != nil && rec.standing() > 0 && rec.acquit(at) && l.changed(rec)
 }
 
 // Release clears a request on behalf of an operator. Unlike Acquit it also records the clearance of
 // a request without a case, because other hosts may still report terminations during it.
 func (l *Ledger) Release(now, at time.Duration, request Fingerprint) bool {
-	held := l.hold(now, request)
-	return held.acquit(at) && l.changed(held)
+	rec := l.hold(now, request)
+	return rec.acquit(at) && l.changed(rec)
 }
 
 // blame adds a termination to a case and reports whether that changed the case.
-func (l *Ledger) blame(held *record, server fleet.Incarnation, told end) bool {
-	if !held.blame(server, told) {
+func (l *Ledger) blame(rec *record, server fleet.Incarnation, added end) bool {
+	if !rec.blame(server, added) {
 		return false
 	}
 	if l.servers == nil || len(l.servers) >= mostCases*endsKept {
@@ -227,16 +227,16 @@
 // about a termination because something between it and the server refuses connections, for example
 // during a network failure.
 func (l *Ledger) Alive(server fleet.Incarnation, lived Lived) []Fingerprint {
-	if _, held := l.servers[server]; !held {
+	if _, tracked := l.servers[server]; !tracked {
 		return nil // fast path of nearly every answer
 	}
 	var cleared []Fingerprint
-	for request, held := range l.cases {
-		known, have := held.ends[server]
-		if have && !known.withdrawn && lived.during(known.at) {
-			known.withdrawn = true
-			held.ends[server] = known
-			l.changed(held)
+	for request, rec := range l.cases {
+		existing, exists := rec.ends[server]
+		if exists && !existing.withdrawn && lived.during(existing.at) {
+			existing.withdrawn = true
+			rec.ends[server] = existing
+			l.changed(rec)
 			cleared = append(cleared, request)
 		}
 	}
@@ -244,9 +244,9 @@
 }
 
 // changed assigns the next change number to a case. It always returns true.
-func (l *Ledger) changed(held *record) bool {
+func (l *Ledger) changed(rec *record) bool {
 	l.change++
-	held.change = l.change
+	rec.change = l.change
 	return true
 }
 
@@ -255,13 +255,13 @@
 	if l.cases == nil {
 		l.cases = map[Fingerprint]*record{}
 	}
-	held := l.cases[request]
-	if held == nil {
+	rec := l.cases[request]
+	if rec == nil {
 		l.makeRoom(now)
-		held = &record{ends: map[fleet.Incarnation]end{}}
-		l.cases[request] = held
+		rec = &record{ends: map[fleet.Incarnation]end{}}
+		l.cases[request] = rec
 	}
-	return held
+	return rec
 }
 
 // makeRoom removes expired cases when the ledger is full. If none has expired, it evicts the least
@@ -272,12 +272,12 @@
 	if len(l.cases) < mostCases {
 		return
 	}
-	maps.DeleteFunc(l.cases, func(_ Fingerprint, held *record) bool { return now-held.touched() > EndKept })
+	maps.DeleteFunc(l.cases, func(_ Fingerprint, rec *record) bool { return now-rec.touched() > EndKept })
 	if len(l.cases) < mostCases {
 		return
 	}
-	order := slices.SortedFunc(maps.Keys(l.cases), func(a, b Fingerprint) int { return l.cases[a].compare(l.cases[b]) })
-	for _, least := range order[:forgottenAtOnce] {
+	ordered := slices.SortedFunc(maps.Keys(l.cases), func(a, b Fingerprint) int { return l.cases[a].compare(l.cases[b]) })
+	for _, least := range ordered[:forgottenAtOnce] {
 		delete(l.cases, least)
 	}
 }
@@ -289,11 +289,11 @@
 
 // Judge returns how a request is to be handled.
 func (l *Ledger) Judge(now time.Duration, request Fingerprint) Judgement {
-	held := l.cases[request]
-	if held == nil || held.standing() == 0 {
+	rec := l.cases[request]
+	if rec == nil || rec.standing() == 0 {
 		return Judgement{}
 	}
-	ends, last := held.standing(), held.latest()
+	ends, last := rec.standing(), rec.latest()
 	judgement := Judgement{Ends: ends, LastEnd: last}
 	switch {
 	case ends >= provenAfter && now < last+term(ends):
@@ -317,8 +317,8 @@
 
 // Suspects reports whether any request may be suspected or quarantined.
 func (l *Ledger) Suspects() bool {
-	for _, held := range l.cases {
-		if held.standing() >= suspectAfter {
+	for _, rec := range l.cases {
+		if rec.standing() >= suspectAfter {
 			return true
 		}
 	}
@@ -348,46 +348,46 @@
 
 // tell returns the case with ages as of now and its terminations ordered by age.
 func (r *record) tell(now time.Duration, request Fingerprint) Case {
-	told := Case{Request: request}
+	result := Case{Request: request}
 	for server, known := range r.ends {
-		told.Ends = append(told.Ends, End{Server: server, AgeMs: (now - known.at).Milliseconds(), Withdrawn: known.withdrawn})
+		result.Ends = append(result.Ends, End{Server: server, AgeMs: (now - known.at).Milliseconds(), Withdrawn: known.withdrawn})
 	}
-	slices.SortFunc(told.Ends, func(a, b End) int {
+	slices.SortFunc(result.Ends, func(a, b End) int {
 		return cmp.Or(cmp.Compare(b.AgeMs, a.AgeMs), cmp.Compare(a.Server.String(), b.Server.String()))
 	})
 	if r.isAcquitted {
 		age := (now - r.acquitted).Milliseconds()
-		told.AcquittedAgeMs = &age
+		result.AcquittedAgeMs = &age
 	}
-	return told
+	return result
 }
 
 // Take merges cases from another ledger, and returns the requests whose cases changed.
-func (l *Ledger) Take(now time.Duration, told []Case) []Fingerprint {
-	var news []Fingerprint
-	for i := range told {
-		if l.take(now, &told[i]) {
-			news = append(news, told[i].Request)
+func (l *Ledger) Take(now time.Duration, cases []Case) []Fingerprint {
+	var changed []Fingerprint
+	for i := range cases {
+		if l.take(now, &cases[i]) {
+			changed = append(changed, cases[i].Request)
 		}
 	}
-	return news
+	return changed
 }
 
 // take merges one case and reports whether that changed the ledger.
-func (l *Ledger) take(now time.Duration, told *Case) bool {
-	if l.cases[told.Request] == nil && len(told.Ends) == 0 {
+func (l *Ledger) take(now time.Duration, received *Case) bool {
+	if l.cases[received.Request] == nil && len(received.Ends) == 0 {
 		return false // a clearance of a request without a case
 	}
-	held := l.hold(now, told.Request)
-	news := false
-	if told.AcquittedAgeMs != nil {
-		news = held.acquit(now - time.Duration(*told.AcquittedAgeMs)*time.Millisecond)
+	rec := l.hold(now, received.Request)
+	changed := false
+	if received.AcquittedAgeMs != nil {
+		changed = rec.acquit(now - time.Duration(*received.AcquittedAgeMs)*time.Millisecond)
 	}
-	for _, each := range told.Ends {
+	for _, each := range received.Ends {
 		at := now - time.Duration(each.AgeMs)*time.Millisecond
-		news = l.blame(held, each.Server, end{at: at, withdrawn: each.Withdrawn}) || news
+		changed = l.blame(rec, each.Server, end{at: at, withdrawn: each.Withdrawn}) || changed
 	}
-	return news && l.changed(held)
+	return changed && l.changed(rec)
 }
 
 // Audience is the group of ledgers that cases are sent to.
@@ -409,37 +409,37 @@
 }
 
 // Tell returns the cases that changed after the change numbered after, oldest change first and at
-// most the given number, and the number of the last change that they cover.
-func (l *Ledger) Tell(now time.Duration, after uint64, most int, to Audience) ([]Case, uint64) {
+// most limit of them, and the number of the last change that they cover.
+func (l *Ledger) Tell(now time.Duration, after uint64, limit int, to Audience) ([]Case, uint64) {
 	if after >= l.change {
 		return nil, l.change
 	}
 	var due []Fingerprint
-	for request, held := range l.cases {
-		if held.change > after && held.owes(to) {
+	for request, rec := range l.cases {
+		if rec.change > after && rec.owes(to) {
 			due = append(due, request)
 		}
 	}
 	slices.SortFunc(due, func(a, b Fingerprint) int { return cmp.Compare(l.cases[a].change, l.cases[b].change) })
 	upTo := l.change
-	if len(due) > most {
-		due = due[:most]
-		upTo = l.cases[due[most-1]].change
+	if len(due) > limit {
+		due = due[:limit]
+		upTo = l.cases[due[limit-1]].change
 	}
-	var told []Case
+	var cases []Case
 	for _, request := range due {
-		told = append(told, l.cases[request].tell(now, request))
+		cases = append(cases, l.cases[request].tell(now, request))
 	}
-	return told, upTo
+	return cases, upTo
 }
 
 // Proven returns the cases with enough unexpired terminations for a quarantine, ordered by
 // fingerprint.
 func (l *Ledger) Proven(now time.Duration) []Case {
 	var proven []Case
-	for request, held := range l.cases {
-		if held.standing() >= provenAfter && now-held.latest() <= EndKept {
-			proven = append(proven, held.tell(now, request))
+	for request, rec := range l.cases {
+		if rec.standing() >= provenAfter && now-rec.latest() <= EndKept {
+			proven = append(proven, rec.tell(now, request))
 		}
 	}
 	slices.SortFunc(proven, func(a, b Case) int { return slices.Compare(a.Request[:], b.Request[:]) })
--- a/poison/witness.go
+++ b/poison/witness.go
@@ -48,15 +48,15 @@
 // Unanswered records that a request was sent to a server and got no answer. It reports whether the
 // server is already known to have terminated; the caller must then blame the request.
 func (w *Witness) Unanswered(now time.Duration, server fleet.Incarnation, address string, request Fingerprint) bool {
-	seen := w.at(now, server, address)
-	if seen == nil {
+	state := w.at(now, server, address)
+	if state == nil {
 		return false
 	}
-	if seen.ended {
+	if state.ended {
 		return true
 	}
-	if len(seen.open) < mostAtServer {
-		seen.open = append(seen.open, Blame{Request: request, At: now})
+	if len(state.open) < mostAtServer {
+		state.open = append(state.open, Blame{Request: request, At: now})
 	}
 	return false
 }
@@ -67,17 +67,17 @@
 	if w.servers == nil {
 		w.servers = map[fleet.Incarnation]*sighting{}
 	}
-	seen := w.servers[server]
-	if seen == nil {
+	state := w.servers[server]
+	if state == nil {
 		w.expire(now)
 		if len(w.servers) >= mostServers {
 			return nil
 		}
-		seen = &sighting{address: address}
-		w.servers[server] = seen
+		state = &sighting{address: address}
+		w.servers[server] = state
 	}
-	seen.last = now
-	return seen
+	state.last = now
+	return state
 }
 
 // Lived is a time span during which a server's process is known to have been running.
@@ -89,32 +89,32 @@
 // Alive records that a server's process was running during a time span. Requests that went
 // unanswered within it were not caused by the termination of the server.
 func (w *Witness) Alive(server fleet.Incarnation, lived Lived) {
-	seen := w.servers[server]
-	if seen == nil {
+	state := w.servers[server]
+	if state == nil {
 		return
 	}
-	if lived.during(seen.endedAt) {
-		seen.ended = false // the server had not terminated
+	if lived.during(state.endedAt) {
+		state.ended = false // the server had not terminated
 	}
-	seen.open = slices.DeleteFunc(seen.open, func(b Blame) bool { return lived.during(b.At) })
+	state.open = slices.DeleteFunc(state.open, func(b Blame) bool { return lived.during(b.At) })
 }
 
 // Ended records proof that a server has terminated, and returns the requests that were in flight
 // there, each once.
 func (w *Witness) Ended(now time.Duration, server fleet.Incarnation) []Blame {
-	seen := w.servers[server]
-	if seen == nil || seen.ended {
+	state := w.servers[server]
+	if state == nil || state.ended {
 		return nil
 	}
-	seen.ended, seen.endedAt, seen.last = true, now, now
+	state.ended, state.endedAt, state.last = true, now, now
 	var blamed []Blame
-	for _, each := range seen.open {
-		known := slices.ContainsFunc(blamed, func(b Blame) bool { return b.Request == each.Request })
-		if now-each.At <= proofWithin && !known {
+	for _, each := range state.open {
+		duplicate := slices.ContainsFunc(blamed, func(b Blame) bool { return b.Request == each.Request })
+		if now-each.At <= proofWithin && !duplicate {
 			blamed = append(blamed, each)
 		}
 	}
-	seen.open = nil
+	state.open = nil
 	return blamed
 }
 
@@ -122,24 +122,25 @@
 // known to have terminated.
 func (w *Witness) Watched() (ids, addresses map[string]bool) {
 	ids, addresses = map[string]bool{}, map[string]bool{}
-	for server, seen := range w.servers {
-		if !seen.ended && len(seen.open) > 0 {
-			ids[server.ID], addresses[seen.address] = true, true
+	for server, state := range w.servers {
+		if !state.ended && len(state.open) > 0 {
+			ids[server.ID], addresses[state.address] = true, true
 		}
 	}
 	return ids, addresses
 }
 
 // Replaced returns the servers of Watched that must have terminated, because another incarnation is
-// registered at their address or a later one under their ID.
-func (w *Witness) Replaced(present map[string]fleet.Incarnation, atAddress map[string]fleet.Incarnation) []fleet.Incarnation {
+// registered at their address or a later one under their ID. The registered incarnations are given
+// by ID and by address.
+func (w *Witness) Replaced(byID map[string]fleet.Incarnation, byAddress map[string]fleet.Incarnation) []fleet.Incarnation {
 	var replaced []fleet.Incarnation
-	for server, seen := range w.servers {
-		if seen.ended || len(seen.open) == 0 {
+	for server, state := range w.servers {
+		if state.ended || len(state.open) == 0 {
 			continue
 		}
-		at, taken := atAddress[seen.address]
-		if taken && at != server || present[server.ID].Replaces(server) {
+		current, taken := byAddress[state.address]
+		if taken && current != server || byID[server.ID].Replaces(server) {
 			replaced = append(replaced, server)
 		}
 	}
@@ -152,8 +153,8 @@
 		return
 	}
 	w.swept = now
-	for server, seen := range w.servers {
-		if now-seen.last > proofWithin {
+	for server, state := range w.servers {
+		if now-state.last > proofWithin {
 			delete(w.servers, server)
 		}
 	}
--- a/poison/witness_test.go
+++ b/poison/witness_test.go
@@ -49,8 +49,8 @@
 	assert.ErrorContains(t, got.UnmarshalText([]byte("zz345678901234567890123456789012")), "fingerprint")
 }
 
-// A connection that breaks proves nothing by itself; the server's end does, whether
-// it is proven before or after the request is seen to be unanswered.
+// A broken connection proves nothing by itself. The termination of the server does, whether it is
+// proven before or after the request is found to be unanswered.
 func TestWitnessBlamesWhatWasUnderWay(t *testing.T) {
 	var w Witness
 	assert.Assert(t, !w.Unanswered(0, run("s"), address, mark("/a")))
@@ -58,37 +58,37 @@
 	assert.Assert(t, !w.Unanswered(0, run("other"), address, mark("/b")))
 	assert.DeepEqual(t, w.Ended(time.Millisecond, run("s")), []Blame{{Request: mark("/a")}})
 	assert.Equal(t, len(w.Ended(time.Millisecond, run("s"))), 0, "blamed twice")
-	assert.Assert(t, w.Unanswered(2*time.Millisecond, run("s"), address, mark("/c")), "its break was seen after that of another")
+	assert.Assert(t, w.Unanswered(2*time.Millisecond, run("s"), address, mark("/c")), "the server is already known to have terminated")
 }
 
-// A server that answers a later call has not ended: connections are cut, reset and
-// forgotten, and requests time out, at servers that live.
+// A server that answers a later call has not terminated. Connections break and requests time out at
+// live servers too.
 func TestWitnessAcquitsAtServersThatLive(t *testing.T) {
 	var w Witness
 	w.Unanswered(10, run("s"), address, mark("/before"))
 	w.Alive(run("s"), Lived{To: 20})
 	w.Unanswered(30, run("s"), address, mark("/after"))
 	assert.DeepEqual(t, w.Ended(40, run("s")), []Blame{{Request: mark("/after"), At: 30}})
-	w.Alive(run("s"), Lived{To: 35}) // the call began before the end
+	w.Alive(run("s"), Lived{To: 35}) // the call began before the termination
 	assert.Assert(t, w.Unanswered(45, run("s"), address, mark("/later")))
 	w.Alive(run("s"), Lived{To: 50})
-	assert.Assert(t, !w.Unanswered(55, run("s"), address, mark("/later")), "the proof was wrong")
+	assert.Assert(t, !w.Unanswered(55, run("s"), address, mark("/later")), "the server had not terminated")
 }
 
-// A server that started again under its ID answered before its new start was registered.
-// That was taken for a sign that the first process had never ended, and what it had ended
-// under was forgotten: 9 servers ended, of which hosts held 4 against the request.
+// Guards against forgetting a termination when the next process answers under the same ID before
+// its start is registered. The answer was taken as a sign that the first process had never
+// terminated: 9 servers terminated, but hosts counted only 4.
 func TestWitnessIsNotMisledByTheNextProcess(t *testing.T) {
 	var w Witness
 	w.Unanswered(10, run("s"), address, mark("/a"))
-	w.Alive(run("s"), Lived{From: 11, To: 20}) // on a connection that was opened later
+	w.Alive(run("s"), Lived{From: 11, To: 20}) // on a connection opened after the request
 	assert.DeepEqual(t, w.Ended(30, run("s")), []Blame{{Request: mark("/a"), At: 10}})
 	w.Unanswered(40, run("t"), address, mark("/a"))
-	w.Alive(run("t"), Lived{From: 9, To: 50}) // on one that had been opened before
+	w.Alive(run("t"), Lived{From: 9, To: 50}) // on a connection opened before the request
 	assert.Equal(t, len(w.Ended(60, run("t"))), 0)
 }
 
-// What went unanswered long before a server's end was not due to it.
+// Requests that went unanswered long before a server's termination are not blamed for it.
 func TestWitnessForgets(t *testing.T) {
 	var w Witness
 	w.Unanswered(0, run("s"), address, mark("/old"))
@@ -96,7 +96,8 @@
 	assert.DeepEqual(t, w.Ended(proofWithin+1, run("s")), []Blame{{Request: mark("/new"), At: proofWithin}})
 }
 
-// A server that ended silently shows when another incarnation stands in its place.
+// A server that terminated without notice is detected when another incarnation takes its address or
+// ID.
 func TestWitnessSeesThatServersWereReplaced(t *testing.T) {
 	var w Witness
 	w.Unanswered(0, run("s"), address, mark("/a"))
@@ -110,7 +111,7 @@
 	assert.DeepEqual(t, replaced, []fleet.Incarnation{run("s"), run("u")})
 }
 
-// Callers choose what they send: what is kept of it is bounded.
+// Callers choose what they send, so the stored state must be bounded.
 func TestWitnessIsBounded(t *testing.T) {
 	var w Witness
 	for i := range 3 * mostServers {
@@ -121,5 +122,5 @@
 	assert.Equal(t, len(w.servers), mostServers)
 	assert.Equal(t, len(w.Ended(1, fleet.Incarnation{ID: "s", Start: 0})), mostAtServer)
 	w.Unanswered(2*proofWithin, run("later"), address, mark("/a"))
-	assert.Equal(t, len(w.servers), 1, "there is room again when the old is forgotten")
+	assert.Equal(t, len(w.servers), 1, "expired servers make room for new ones")
 }
