--- a/balance/limited_fuzz_test.go
+++ b/balance/limited_fuzz_test.go
@@ -118,37 +118,37 @@
 	w.at(now+w.randomDelay("run time", 1, 150), func(completed time.Duration) {
 		perSecond := w.currentLimit()
 		w.at(completed+w.randomDelay("return delay", 1, 60), func(received time.Duration) {
-			w.answer(received, h, pool, waiter, notice.News[float64]{Value: perSecond, Sent: now, Heard: received})
+			w.answer(received, h, pool, waiter, notice.Update[float64]{Value: perSecond, SentAt: now, ReceivedAt: received})
 		})
 	})
 }
 
-func (w *limitSimulation) answer(now time.Duration, h *simulatedHost, pool *Pool, waiter *Waiter, news notice.News[float64]) {
+func (w *limitSimulation) answer(now time.Duration, h *simulatedHost, pool *Pool, waiter *Waiter, news notice.Update[float64]) {
 	if h.pool != pool {
 		return
 	}
 	if news.Value > 0 && h.toldAt < 0 {
 		h.toldAt = now
 	}
-	if h.ledger.Take(w.server.Incarnation(), news) {
+	if h.ledger.Apply(w.server.Incarnation(), news) {
 		pool.SetLimits(now, h.ledger.Values(), len(w.hosts))
 		w.notifyOthers(now, h)
 	}
-	pool.Done(now, waiter.Server, AttemptResult{Outcome: Answered, Took: now - news.Sent, Objective: time.Second})
+	pool.Done(now, waiter.Server, AttemptResult{Outcome: Answered, Took: now - news.SentAt, Objective: time.Second})
 	w.reservePermits(now, h)
 }
 
 // notifyOthers forwards the limit to the other hosts, with a random delay; some messages are lost.
 func (w *limitSimulation) notifyOthers(now time.Duration, from *simulatedHost) {
-	told, _ := from.ledger.Tell(now, 0, 8)
+	told, _ := from.ledger.ChangesSince(now, 0, 8)
 	for _, h := range w.hosts {
 		if h == from || rapid.IntRange(0, 3).Draw(w.t, "lost") == 0 {
 			continue
 		}
 		w.at(now+w.randomDelay("notification delay", 1, 1500), func(now time.Duration) {
 			for _, each := range told {
-				each.SentAgo, each.HeardAgo = each.SentAgo+1, each.HeardAgo+1
-				if h.ledger.Take(each.Server, each.News(now)) {
+				each.SentAgoMs, each.ReceivedAgoMs = each.SentAgoMs+1, each.ReceivedAgoMs+1
+				if h.ledger.Apply(each.Server, each.ToUpdate(now)) {
 					h.pool.SetLimits(now, h.ledger.Values(), len(w.hosts))
 				}
 			}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -11,9 +11,9 @@
 	"gotest.tools/v3/assert"
 )
 
-func named(id string) Server { return Server{ID: id} }
+func serverWithID(id string) Server { return Server{ID: id} }
 
-func started(id string, start int64) Server { return Server{ID: id, Start: start} }
+func serverWithStart(id string, start int64) Server { return Server{ID: id, Start: start} }
 
 func ids(d *Directory) []string {
 	var names []string
@@ -23,14 +23,14 @@
 	return names
 }
 
-func two() *Directory {
+func twoServers() *Directory {
 	d := NewDirectory()
-	d.Replace(0, 2, []Version{{Server: named("a"), Revision: 1}, {Server: named("b"), Revision: 2}})
+	d.Replace(0, 2, []Version{{Server: serverWithID("a"), Revision: 1}, {Server: serverWithID("b"), Revision: 2}})
 	return d
 }
 
-func TestEntryThatEndsIsGone(t *testing.T) {
-	d := two()
+func TestRemovedEntryIsNotListed(t *testing.T) {
+	d := twoServers()
 	d.Remove(time.Second, "a", 3)
 	assert.DeepEqual(t, ids(d), []string{"b"})
 }
@@ -39,11 +39,11 @@
 // outage is longer than the lease of the entries, they are missing afterwards until their servers
 // renew them.
 func TestEntriesMissingAfterAnOutageMayReturn(t *testing.T) {
-	d := two()
-	d.Away(10 * time.Second)
+	d := twoServers()
+	d.MarkUnavailable(10 * time.Second)
 	d.Replace(11*time.Second, 3, nil)
 	assert.DeepEqual(t, ids(d), []string{"a", "b"})
-	draining := named("a")
+	draining := serverWithID("a")
 	draining.Draining = true
 	d.Put(11*time.Second, Version{Server: draining, Revision: 4})
 	assert.Assert(t, !d.Expire(11500*time.Millisecond))
@@ -54,10 +54,10 @@
 
 // Nothing expires while the store is still unavailable.
 func TestOutageExtendsTheGrace(t *testing.T) {
-	d := two()
-	d.Away(10 * time.Second)
+	d := twoServers()
+	d.MarkUnavailable(10 * time.Second)
 	d.Remove(11*time.Second, "a", 3)
-	d.Away(12900 * time.Millisecond)
+	d.MarkUnavailable(12900 * time.Millisecond)
 	assert.Assert(t, !d.Expire(13*time.Second))
 	assert.DeepEqual(t, ids(d), []string{"a", "b"})
 }
@@ -65,45 +65,45 @@
 // Guards against requests to a server that has left. A host learns from the store that the entry
 // was removed, and then receives an earlier version from a list that lags by seconds or from
 // another host.
-func TestEarlierVersionIsRefused(t *testing.T) {
-	draining := named("a")
+func TestEarlierVersionIsRejected(t *testing.T) {
+	draining := serverWithID("a")
 	draining.Draining = true
-	d := two()
-	assert.Equal(t, d.Put(0, Version{Server: draining, Revision: 5}), Taken)
-	assert.Equal(t, d.Put(0, Version{Server: named("a"), Revision: 4}), Outdated)
+	d := twoServers()
+	assert.Equal(t, d.Put(0, Version{Server: draining, Revision: 5}), Applied)
+	assert.Equal(t, d.Put(0, Version{Server: serverWithID("a"), Revision: 4}), Outdated)
 	assert.Assert(t, d.Snapshot()[0].Draining)
 	d.Remove(0, "a", 4)
 	assert.DeepEqual(t, ids(d), []string{"a", "b"})
 	d.Remove(0, "a", 6)
 	assert.Equal(t, d.Put(0, Version{Server: draining, Revision: 5}), Outdated)
-	d.Replace(0, 5, []Version{{Server: draining, Revision: 5}, {Server: named("b"), Revision: 2}})
+	d.Replace(0, 5, []Version{{Server: draining, Revision: 5}, {Server: serverWithID("b"), Revision: 2}})
 	assert.DeepEqual(t, ids(d), []string{"b"})
-	assert.Equal(t, d.Put(0, Version{Server: named("a"), Revision: 7}), Taken)
+	assert.Equal(t, d.Put(0, Version{Server: serverWithID("a"), Revision: 7}), Applied)
 	d.Replace(0, 5, nil) // a list that lags does not remove later entries
 	assert.DeepEqual(t, ids(d), []string{"a"})
 }
 
 // Removals are remembered for a limited time only.
-func TestEndsAreForgotten(t *testing.T) {
-	d := two()
+func TestRemovalsExpire(t *testing.T) {
+	d := twoServers()
 	d.Remove(0, "a", 3)
-	d.Expire(endKept - 1)
+	d.Expire(removalTTL - 1)
 	assert.Equal(t, len(d.entries), 2)
-	d.Expire(endKept)
+	d.Expire(removalTTL)
 	assert.Equal(t, len(d.entries), 1)
 }
 
 // Guards against taking a restarted server for its predecessor, which would count its requests with
 // those that failed with the process and let it own keys. The server crashes and restarts under its
 // ID, and a heartbeat of the predecessor is written after the first one of the new process.
-func TestEarlierStartIsRefused(t *testing.T) {
+func TestEarlierStartIsRejected(t *testing.T) {
 	d := NewDirectory()
-	d.Put(0, Version{Server: started("a", 1000), Revision: 1})
-	assert.Equal(t, d.Put(0, Version{Server: started("a", 2000), Revision: 2}), Taken)
-	assert.Equal(t, d.Put(0, Version{Server: started("a", 1000), Revision: 3}), EarlierStart)
+	d.Put(0, Version{Server: serverWithStart("a", 1000), Revision: 1})
+	assert.Equal(t, d.Put(0, Version{Server: serverWithStart("a", 2000), Revision: 2}), Applied)
+	assert.Equal(t, d.Put(0, Version{Server: serverWithStart("a", 1000), Revision: 3}), EarlierStart)
 	assert.Equal(t, d.Snapshot()[0].Start, int64(2000))
 	d.Remove(0, "a", 4)
-	assert.Equal(t, d.Put(0, Version{Server: started("a", 1000), Revision: 5}), EarlierStart)
+	assert.Equal(t, d.Put(0, Version{Server: serverWithStart("a", 1000), Revision: 5}), EarlierStart)
 	assert.Equal(t, len(d.Snapshot()), 0)
 }
 
@@ -112,25 +112,25 @@
 // of the later start in between belongs to the live process.
 func TestServerWhoseClockWasSetBackIsUsed(t *testing.T) {
 	d := NewDirectory()
-	d.Put(0, Version{Server: started("a", 2000), Revision: 1})
-	assert.Equal(t, d.Put(0, Version{Server: started("a", 1000), Revision: 2}), EarlierStart)
-	assert.Equal(t, d.Put(0, Version{Server: started("a", 1000), Revision: 3}), EarlierStart)
-	assert.Equal(t, d.Put(0, Version{Server: started("a", 2000), Revision: 4}), Taken)
-	for revision := uint64(5); revision < 5+believedWrites-1; revision++ {
-		assert.Equal(t, d.Put(0, Version{Server: started("a", 1000), Revision: revision}), EarlierStart)
+	d.Put(0, Version{Server: serverWithStart("a", 2000), Revision: 1})
+	assert.Equal(t, d.Put(0, Version{Server: serverWithStart("a", 1000), Revision: 2}), EarlierStart)
+	assert.Equal(t, d.Put(0, Version{Server: serverWithStart("a", 1000), Revision: 3}), EarlierStart)
+	assert.Equal(t, d.Put(0, Version{Server: serverWithStart("a", 2000), Revision: 4}), Applied)
+	for revision := uint64(5); revision < 5+acceptEarlierStartAfter-1; revision++ {
+		assert.Equal(t, d.Put(0, Version{Server: serverWithStart("a", 1000), Revision: revision}), EarlierStart)
 	}
-	assert.Equal(t, d.Put(0, Version{Server: started("a", 1000), Revision: 9}), Taken)
+	assert.Equal(t, d.Put(0, Version{Server: serverWithStart("a", 1000), Revision: 9}), Applied)
 	assert.Equal(t, d.Snapshot()[0].Start, int64(1000))
 }
 
 // Guards against requests to an address that is no longer registered, when another writer
 // overwrites a server's entry and the last readable version would stay in use.
-func TestEntryThatNamesNoServerEndsItsUse(t *testing.T) {
-	d := two()
-	d.Away(0) // also right after an outage, since the entry is present
-	d.Put(0, Version{Server: named("a"), Revision: 3, Unreadable: true})
+func TestUnreadableEntryRemovesTheServer(t *testing.T) {
+	d := twoServers()
+	d.MarkUnavailable(0) // also right after an outage, since the entry is present
+	d.Put(0, Version{Server: serverWithID("a"), Revision: 3, Unreadable: true})
 	assert.DeepEqual(t, ids(d), []string{"b"})
-	assert.Equal(t, d.Put(0, Version{Server: named("a"), Revision: 4}), Taken)
+	assert.Equal(t, d.Put(0, Version{Server: serverWithID("a"), Revision: 4}), Applied)
 	assert.DeepEqual(t, ids(d), []string{"a", "b"})
 }
 
@@ -149,43 +149,44 @@
 	for _, n := range []int{10, 1000, 10000} {
 		d := NewDirectory()
 		for i := range n {
-			d.Put(0, Version{Server: named(fmt.Sprintf("s%05d", i)), Revision: uint64(i + 1)})
+			d.Put(0, Version{Server: serverWithID(fmt.Sprintf("s%05d", i)), Revision: uint64(i + 1)})
 		}
-		all, gone := d.Changes()
+		all, gone := d.TakeChanges()
 		assert.Equal(t, len(all), n)
 		assert.Equal(t, len(gone), 0)
 
-		d.Put(time.Second, Version{Server: named("s00003"), Revision: uint64(n + 1)})
+		d.Put(time.Second, Version{Server: serverWithID("s00003"), Revision: uint64(n + 1)})
 		d.Remove(time.Second, "s00005", uint64(n+2))
-		changed, gone := d.Changes()
+		changed, gone := d.TakeChanges()
 		assert.Equal(t, len(changed), 1)
 		assert.DeepEqual(t, gone, []string{"s00005"})
-		assert.Equal(t, len(d.fading), 1, "entries that each call of Expire visits")
-		changed, gone = d.Changes()
+		assert.Equal(t, len(d.expiring), 1, "entries that each call of Expire visits")
+		changed, gone = d.TakeChanges()
 		assert.Equal(t, len(changed)+len(gone), 0)
 	}
 }
 
-// Changes also returns servers whose entries return in time and servers whose domain is evacuated.
-func TestChangesOfTimeAndOfDomains(t *testing.T) {
-	d := twoDomains()
-	d.Changes()
-	d.Away(time.Second)
+// TakeChanges also returns servers whose entries return in time and servers whose domain is
+// evacuated.
+func TestChangesByTimeAndByEvacuations(t *testing.T) {
+	d := serversInTwoDomains()
+	d.TakeChanges()
+	d.MarkUnavailable(time.Second)
 	d.Remove(time.Second, "a1", 3)
 	assert.Assert(t, !d.Expire(2*time.Second))
-	d.Put(2*time.Second, Version{Server: in("a1", "a"), Revision: 4})
+	d.Put(2*time.Second, Version{Server: serverInDomain("a1", "a"), Revision: 4})
 	assert.Assert(t, !d.Expire(time.Minute))
-	changed, gone := d.Changes()
+	changed, gone := d.TakeChanges()
 	assert.Equal(t, len(changed), 1)
 	assert.Equal(t, len(gone), 0)
 
 	d.Evacuations.Begin("b", 5)
-	d.TouchAll()
-	changed, _ = d.Changes()
+	d.MarkAllChanged()
+	changed, _ = d.TakeChanges()
 	assert.Equal(t, len(changed), 2)
 	assert.Assert(t, changed[1].Evacuated)
-	assert.Assert(t, d.Lists(changed[0].Incarnation()))
-	assert.Assert(t, !d.Lists(Incarnation{ID: "a1", Start: 9}))
+	assert.Assert(t, d.Contains(changed[0].Incarnation()))
+	assert.Assert(t, !d.Contains(Incarnation{ID: "a1", Start: 9}))
 }
 
 // Snapshot returns the servers ordered by ID.
--- a/fleet/incarnation.go
+++ b/fleet/incarnation.go
@@ -21,16 +21,16 @@
 	return i.ID == other.ID && i.Start > other.Start
 }
 
-// startMark separates the ID and the start time in the text of an incarnation.
-const startMark = "@"
+// startSeparator separates the ID and the start time in the text of an incarnation.
+const startSeparator = "@"
 
 // String returns "ID@START", or only the ID if the start time is unknown and the ID contains no
 // separator.
 func (i Incarnation) String() string {
-	if i.Start == 0 && !strings.Contains(i.ID, startMark) {
+	if i.Start == 0 && !strings.Contains(i.ID, startSeparator) {
 		return i.ID
 	}
-	return i.ID + startMark + strconv.FormatInt(i.Start, 10)
+	return i.ID + startSeparator + strconv.FormatInt(i.Start, 10)
 }
 
 // MarshalText implements encoding.TextMarshaler, which keys of JSON objects need.
@@ -39,7 +39,7 @@
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (i *Incarnation) UnmarshalText(text []byte) error {
 	*i = Incarnation{ID: string(text)}
-	at := strings.LastIndex(i.ID, startMark)
+	at := strings.LastIndex(i.ID, startSeparator)
 	if at < 0 {
 		return nil
 	}
--- a/fleet/text.go
+++ b/fleet/text.go
@@ -24,10 +24,10 @@
 	entryDraining  = "draining"
 )
 
-// EntryText returns an entry without its ID in the compact form that hosts exchange: a starting
+// EncodeEntry returns an entry without its ID in the compact form that hosts exchange: a starting
 // host receives thousands of entries. ok is false if a field contains a character that the format
 // does not allow.
-func EntryText(s *Server) (text string, ok bool) {
+func EncodeEntry(s *Server) (text string, ok bool) {
 	if strings.ContainsAny(s.Service+s.Address+s.Domain, "\t\n\r\"\\") {
 		return "", false
 	}
@@ -39,8 +39,8 @@
 		strconv.FormatInt(s.ColdFor.Milliseconds(), 10), strconv.FormatInt(s.Start, 10)}, entrySeparator), true
 }
 
-// ReadEntryText parses a text written by EntryText. The error is an *EntryError.
-func ReadEntryText(id, text string) (Server, error) {
+// DecodeEntry parses a text written by EncodeEntry. The error is an *EntryError.
+func DecodeEntry(id, text string) (Server, error) {
 	parts := strings.Split(text, entrySeparator)
 	if len(parts) != entryFields {
 		return Server{}, &EntryError{Field: "fields", Value: text, Fix: "must be " + strconv.Itoa(entryFields)}
--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -23,26 +23,26 @@
 )
 
 const (
-	// logLines is the maximum number of log lines that wait to be written.
-	logLines = 512
-	// heapGrowth is the garbage collector's target percentage. It is below the default of 100
+	// maxQueuedLogLines is the maximum number of log lines that wait to be written.
+	maxQueuedLogLines = 512
+	// gcPercent is the garbage collector's target percentage. It is below the default of 100
 	// because peak memory is scarcer than the processor time of the additional collections.
-	heapGrowth = 40
-	// memoryShare is the fraction of the allowed memory that the Go runtime may use.
-	memoryShare = 0.6
-	// unreadShare is the fraction of the allowed memory that may buffer responses that callers have
+	gcPercent = 40
+	// runtimeMemoryFraction is the fraction of the allowed memory that the Go runtime may use.
+	runtimeMemoryFraction = 0.6
+	// readAheadFraction is the fraction of the allowed memory that may buffer responses that callers have
 	// not read yet.
-	unreadShare = 0.0625
+	readAheadFraction = 0.0625
 	// stopMargin is the time reserved before the process is killed.
 	stopMargin = 600 * time.Millisecond
-	// lastAnswers bounds the time for sending the responses to requests that are aborted at
+	// abortTimeout bounds the time for sending the responses to requests that are aborted at
 	// shutdown.
-	lastAnswers = 200 * time.Millisecond
-	// lookEvery is the interval of checks whether the settings file has changed, which works
+	abortTimeout = 200 * time.Millisecond
+	// settingsCheckInterval is the interval of checks whether the settings file has changed, which works
 	// without a signal.
-	lookEvery = 2 * time.Second
-	// headerBytes bounds a request's header before a configuration is in force.
-	headerBytes = 64 << 10
+	settingsCheckInterval = 2 * time.Second
+	// maxHeaderBytes bounds a request's header before a configuration is in force.
+	maxHeaderBytes = 64 << 10
 )
 
 // A host below one of these is small. A controller sends each change of an assignment, some 12 KB,
@@ -59,10 +59,10 @@
 	gateway  *gateway.Gateway
 	store    *platform.Store
 	log      *log.Logger
-	lines    *logs.Bounded
+	logQueue *logs.Bounded
 }
 
-func newLines() *logs.Bounded { return logs.NewBounded(logLines) }
+func newLines() *logs.Bounded { return logs.NewBounded(maxQueuedLogLines) }
 
 func newLog(s Settings, lines *logs.Bounded) *log.Logger {
 	return logs.New(lines, "cicada-gateway", s.Host, logs.Level(s.LogLevel))
@@ -72,7 +72,7 @@
 
 func newIdentity(s Settings) gateway.Identity {
 	return gateway.Identity{Host: s.Host, Domain: s.Domain, PeerAddress: s.Peers, Incarnation: rand.Uint64() >> 1, FirstStart: s.FirstStart, RetryRatio: s.RetryRatio, RetryReserve: s.RetryReserve,
-		ReadAheadLimit: int64(float64(s.MemoryMB) * unreadShare * (1 << 20)),
+		ReadAheadLimit: int64(float64(s.MemoryMB) * readAheadFraction * (1 << 20)),
 		Seeds:          s.Seeds, ApplyWithin: min(s.ConfigurationWithin, s.DrainWithin), EvacuateWithin: s.EvacuateWithin,
 		Small: s.Processor < smallProcessor || s.LinkMbps < smallLinkMbps}
 }
@@ -82,7 +82,7 @@
 }
 
 func newDaemon(s Settings, g *gateway.Gateway, store *platform.Store, logger *log.Logger, lines *logs.Bounded) *Daemon {
-	return &Daemon{settings: s, gateway: g, store: store, log: logger, lines: lines}
+	return &Daemon{settings: s, gateway: g, store: store, log: logger, logQueue: lines}
 }
 
 // listeners are the listening sockets of the process.
@@ -110,11 +110,11 @@
 // are served until the load balancer has noticed, requests in progress are completed, and the
 // process ends before it would be killed.
 func (d *Daemon) Run(ctx context.Context) error {
-	debug.SetGCPercent(heapGrowth)
-	debug.SetMemoryLimit(int64(float64(d.settings.MemoryMB) * memoryShare * (1 << 20)))
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(float64(d.settings.MemoryMB) * runtimeMemoryFraction * (1 << 20)))
 	stopLog := make(chan struct{})
 	var logWriter sync.WaitGroup
-	logWriter.Go(func() { d.lines.Run(os.Stdout, stopLog) })
+	logWriter.Go(func() { d.logQueue.Run(os.Stdout, stopLog) })
 	defer logWriter.Wait()
 	defer close(stopLog)
 	sockets, err := d.listen()
@@ -123,11 +123,11 @@
 	}
 	gatewayCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	callers := &http.Server{Handler: d.gateway, ReadHeaderTimeout: firstHeaderTimeout, IdleTimeout: firstIdleTimeout,
-		MaxHeaderBytes: headerBytes, ConnState: noteState, ErrorLog: d.log.StandardLog()}
-	ready := d.server(d.readyHandler())
-	peers := d.server(d.gateway.PeerHandler())
-	metrics := d.server(d.metricsHandler())
+	callers := &http.Server{Handler: d.gateway, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout,
+		MaxHeaderBytes: maxHeaderBytes, ConnState: updateConnState, ErrorLog: d.log.StandardLog()}
+	ready := d.newServer(d.readinessHandler())
+	peers := d.newServer(d.gateway.PeerHandler())
+	metrics := d.newServer(d.metricsHandler())
 	go d.serve(callers, callerListener{Listener: sockets.callers, limits: d.gateway.Limits})
 	go d.serve(ready, sockets.ready)
 	go d.serve(peers, sockets.peers)
@@ -136,15 +136,15 @@
 	tasks := d.gateway.Start(gatewayCtx)
 	d.log.Info("started", "domain", d.settings.Domain, "callers", d.settings.Callers, "store", d.settings.Store)
 	<-ctx.Done()
-	err = d.leave(callers)
+	err = d.shutdown(callers)
 	cancel()
 	tasks.Wait()
-	d.log.Info("stopped", "log-lines-dropped", d.lines.Dropped())
+	d.log.Info("stopped", "log-lines-dropped", d.logQueue.Dropped())
 	return err
 }
 
-// leave stops serving callers.
-func (d *Daemon) leave(callers *http.Server) error {
+// shutdown stops serving callers.
+func (d *Daemon) shutdown(callers *http.Server) error {
 	d.log.Info("stopping", "leave-for-ms", d.settings.LeaveFor.Milliseconds(), "within-ms", d.settings.StopWithin.Milliseconds())
 	within := d.settings.StopWithin - stopMargin
 	stopCtx, cancel := context.WithTimeout(context.Background(), within)
@@ -160,7 +160,7 @@
 	}
 	d.log.Warn("requests are still in progress at the end of the shutdown time; aborting them", "error", err.Error())
 	d.gateway.AbortRequests()
-	abortCtx, cancel := context.WithTimeout(context.Background(), lastAnswers)
+	abortCtx, cancel := context.WithTimeout(context.Background(), abortTimeout)
 	defer cancel()
 	if err := callers.Shutdown(abortCtx); err != nil {
 		d.log.Warn("aborted requests were not answered before the process ended", "error", err.Error())
@@ -168,8 +168,8 @@
 	return nil
 }
 
-func (d *Daemon) server(handler http.Handler) *http.Server {
-	return &http.Server{Handler: handler, ReadHeaderTimeout: firstHeaderTimeout, IdleTimeout: firstIdleTimeout, ErrorLog: d.log.StandardLog()}
+func (d *Daemon) newServer(handler http.Handler) *http.Server {
+	return &http.Server{Handler: handler, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout, ErrorLog: d.log.StandardLog()}
 }
 
 func (d *Daemon) serve(server *http.Server, listener net.Listener) {
@@ -179,7 +179,7 @@
 	}
 }
 
-func (d *Daemon) readyHandler() http.Handler {
+func (d *Daemon) readinessHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+platform.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !d.gateway.Ready() {
@@ -204,8 +204,8 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	lastModified := modified(d.settings.File)
-	ticker := time.NewTicker(lookEvery)
+	lastModified := modificationTime(d.settings.File)
+	ticker := time.NewTicker(settingsCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -213,16 +213,16 @@
 			return
 		case <-hangups:
 		case <-ticker.C:
-			if now := modified(d.settings.File); now.IsZero() || now.Equal(lastModified) {
+			if now := modificationTime(d.settings.File); now.IsZero() || now.Equal(lastModified) {
 				continue
 			}
 		}
-		lastModified = modified(d.settings.File)
+		lastModified = modificationTime(d.settings.File)
 		d.reload()
 	}
 }
 
-func modified(file string) time.Time {
+func modificationTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
 		return time.Time{}
--- a/gateway/daemon/daemon_test.go
+++ b/gateway/daemon/daemon_test.go
@@ -21,15 +21,15 @@
 	"cicadarouter/routing"
 )
 
-func file(t *testing.T, text string) string {
+func writeSettings(t *testing.T, text string) string {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "settings.ini")
 	assert.NilError(t, os.WriteFile(name, []byte(text), 0o600))
 	return name
 }
 
-// free returns an address on which nothing listens.
-func free(t *testing.T) string {
+// freeAddress returns an address on which nothing listens.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -37,14 +37,14 @@
 	return listener.Addr().String()
 }
 
-func text(addresses [4]string, store string) string {
+func settingsText(addresses [4]string, store string) string {
 	return fmt.Sprintf("[host]\nname = one\ndomain = a\n[listen]\ncallers = %s\nready = %s\npeers = %s\nmetrics = %s\n[store]\naddress = %s\n[stop]\nleave-for = 0s\nwithin = 2s\n",
 		addresses[0], addresses[1], addresses[2], addresses[3], store)
 }
 
 func TestBadSettingsNameTheOption(t *testing.T) {
-	good := text([4]string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"}, "127.0.0.1:5")
-	_, err := Load(file(t, good))
+	good := settingsText([4]string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"}, "127.0.0.1:5")
+	_, err := Load(writeSettings(t, good))
 	assert.NilError(t, err)
 	for broken, option := range map[string]string{
 		strings.Replace(good, "name = one", "name = ", 1):                 "name",
@@ -53,7 +53,7 @@
 		strings.Replace(good, "domain = a", "domain = a\nregion = b", 1):  "region",
 		strings.Replace(good, "address = 127.0.0.1:5", "# address = ", 1): "address",
 	} {
-		_, err := Load(file(t, broken))
+		_, err := Load(writeSettings(t, broken))
 		var invalid *settings.Error
 		assert.Assert(t, errors.As(err, &invalid), "got %v", err)
 		assert.Equal(t, invalid.Option, option)
@@ -64,21 +64,21 @@
 // done.
 func TestDaemonRunsAndStops(t *testing.T) {
 	site := platformtest.NewSite("127.0.0.1", 0)
-	store := free(t)
+	store := freeAddress(t)
 	siteCtx, stopSite := context.WithCancel(context.Background())
 	defer stopSite()
 	assert.NilError(t, site.Start(siteCtx, store, 0))
-	addresses := [4]string{free(t), free(t), free(t), free(t)}
-	s, err := Load(file(t, text(addresses, store)))
+	addresses := [4]string{freeAddress(t), freeAddress(t), freeAddress(t), freeAddress(t)}
+	s, err := Load(writeSettings(t, settingsText(addresses, store)))
 	assert.NilError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
 	result := make(chan error, 1)
 	go func() { result <- New(s).Run(ctx) }()
 	const timeout = 10 * time.Second
-	for begin := time.Now(); !answers(addresses[1], platform.ReadyPath); time.Sleep(10 * time.Millisecond) {
+	for begin := time.Now(); !respondsOK(addresses[1], platform.ReadyPath); time.Sleep(10 * time.Millisecond) {
 		assert.Assert(t, time.Since(begin) < timeout, "the daemon did not become ready")
 	}
-	assert.Assert(t, answers(addresses[3], "/metrics"))
+	assert.Assert(t, respondsOK(addresses[3], "/metrics"))
 	stop()
 	select {
 	case err := <-result:
@@ -88,7 +88,7 @@
 	}
 }
 
-func answers(address, path string) bool {
+func respondsOK(address, path string) bool {
 	response, err := http.Get("http://" + address + path)
 	if err != nil {
 		return false
@@ -104,8 +104,8 @@
 	defer one.Close()
 	defer two.Close()
 	address := func(server *httptest.Server) string { return strings.TrimPrefix(server.URL, "http://") }
-	addresses := [4]string{free(t), free(t), free(t), free(t)}
-	name := file(t, text(addresses, address(one)))
+	addresses := [4]string{freeAddress(t), freeAddress(t), freeAddress(t), freeAddress(t)}
+	name := writeSettings(t, settingsText(addresses, address(one)))
 	s, err := Load(name)
 	assert.NilError(t, err)
 	d := New(s)
@@ -116,7 +116,7 @@
 	d.reload()
 	call()
 	assert.Equal(t, first.Calls(), 1)
-	assert.NilError(t, os.WriteFile(name, []byte(text(addresses, address(two))), 0o600))
+	assert.NilError(t, os.WriteFile(name, []byte(settingsText(addresses, address(two))), 0o600))
 	d.reload()
 	call()
 	assert.Equal(t, first.Calls(), 1)
@@ -124,12 +124,12 @@
 }
 
 // The limits in force apply to callers' connections and may change.
-func TestCallersAreHeldToTheLimits(t *testing.T) {
+func TestLimitsApplyToCallerConnections(t *testing.T) {
 	limits := routing.Limits{HeaderTimeout: time.Second, IdleTimeout: 10 * time.Second}
 	local, remote := net.Pipe()
 	defer local.Close()
 	defer remote.Close()
-	recorded := &deadlines{Conn: local}
+	recorded := &deadlineRecorder{Conn: local}
 	conn := &callerConn{Conn: recorded, limits: func() routing.Limits { return limits }}
 	within := func(lower, upper time.Duration) {
 		t.Helper()
@@ -138,23 +138,23 @@
 	}
 	assert.NilError(t, conn.SetReadDeadline(time.Now().Add(time.Hour)))
 	within(0, time.Second)
-	noteState(conn, http.StateIdle)
+	updateConnState(conn, http.StateIdle)
 	assert.NilError(t, conn.SetReadDeadline(time.Now().Add(time.Hour)))
 	within(time.Second, 10*time.Second)
 	limits = routing.Limits{}
 	assert.NilError(t, conn.SetReadDeadline(time.Now().Add(time.Hour)))
-	within(10*time.Second, firstIdleTimeout)
+	within(10*time.Second, defaultIdleTimeout)
 	assert.NilError(t, conn.SetReadDeadline(time.Time{}))
 	assert.Assert(t, recorded.last.IsZero())
 }
 
-// deadlines records the last read deadline set on a connection.
-type deadlines struct {
+// deadlineRecorder records the last read deadline set on a connection.
+type deadlineRecorder struct {
 	net.Conn
 	last time.Time
 }
 
-func (d *deadlines) SetReadDeadline(t time.Time) error {
+func (d *deadlineRecorder) SetReadDeadline(t time.Time) error {
 	d.last = t
 	return nil
 }
--- a/gateway/daemon/listener.go
+++ b/gateway/daemon/listener.go
@@ -11,8 +11,8 @@
 
 // Timeouts of callers' connections before a configuration is in force, and where it sets none.
 const (
-	firstHeaderTimeout = 5 * time.Second
-	firstIdleTimeout   = 60 * time.Second
+	defaultHeaderTimeout = 5 * time.Second
+	defaultIdleTimeout   = 60 * time.Second
 )
 
 // callerListener accepts callers' connections and applies the limits in force to them. The timeouts
@@ -48,9 +48,9 @@
 		return c.Conn.SetReadDeadline(t)
 	}
 	limits := c.limits()
-	bound, otherwise := limits.HeaderTimeout, firstHeaderTimeout
+	bound, otherwise := limits.HeaderTimeout, defaultHeaderTimeout
 	if c.idle.Load() {
-		bound, otherwise = limits.IdleTimeout, firstIdleTimeout
+		bound, otherwise = limits.IdleTimeout, defaultIdleTimeout
 	}
 	if bound <= 0 {
 		bound = otherwise
@@ -58,8 +58,8 @@
 	return c.Conn.SetReadDeadline(now.Add(bound))
 }
 
-// noteState records whether the server waits for the next request on a connection.
-func noteState(conn net.Conn, state http.ConnState) {
+// updateConnState records whether the server waits for the next request on a connection.
+func updateConnState(conn net.Conn, state http.ConnState) {
 	if caller, ok := conn.(*callerConn); ok {
 		caller.idle.Store(state == http.StateIdle)
 	}
--- a/gateway/evacuations.go
+++ b/gateway/evacuations.go
@@ -71,7 +71,7 @@
 	}
 	g.mu.Lock()
 	evacuated := g.directory.Evacuations.Domains()
-	g.directory.TouchAll()
+	g.directory.MarkAllChanged()
 	g.mu.Unlock()
 	g.log.Info("evacuations changed", "revision", listing.Revision, "domains", changed, "evacuated", evacuated,
 		"store-age-ms", g.freshness.ageNow(g.now()).Milliseconds())
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -174,7 +174,7 @@
 func (g *Gateway) newService(name string, keyed bool) *service {
 	s := newService(name, g.identity, keyed, g.now)
 	s.requestReservations = g.requestReservations
-	g.directory.TouchAll()
+	g.directory.MarkAllChanged()
 	return s
 }
 
@@ -250,10 +250,10 @@
 func (g *Gateway) takeServerChanges() map[*service]serverChanges {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	changed, gone := g.directory.Changes()
+	changed, gone := g.directory.TakeChanges()
 	g.noteReplaced()
-	g.serverLimits.removeStale(g.now(), g.directory.Lists)
-	g.leaving.removeStale(g.now(), g.directory.Lists)
+	g.serverLimits.removeStale(g.now(), g.directory.Contains)
+	g.leaving.removeStale(g.now(), g.directory.Contains)
 	concerns := make(map[*service]serverChanges, len(g.services))
 	for name, s := range g.services {
 		concerns[s] = g.changesFor(name, changed, gone)
@@ -281,7 +281,7 @@
 func (g *Gateway) markServerChanged(server fleet.Incarnation) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.directory.Touch(server.ID)
+	g.directory.MarkChanged(server.ID)
 }
 
 // nudge wakes the control loop.
--- a/gateway/leaving.go
+++ b/gateway/leaving.go
@@ -17,14 +17,14 @@
 	if !h.Leaving && !(g.leaving.nonEmpty.Load() && (h.ran || h.healthy)) {
 		return
 	}
-	update := notice.News[bool]{Value: h.Leaving, Sent: h.sentAt, Heard: g.now()}
+	update := notice.Update[bool]{Value: h.Leaving, SentAt: h.sentAt, ReceivedAt: g.now()}
 	if _, changed := g.leaving.update(h.from, update); !changed {
 		return
 	}
 	g.markServerChanged(h.from)
 	if g.failureLogLimit.allow() {
 		g.log.Info("server announced whether it is leaving", "server", h.from.String(), "leaving", h.Leaving, "call", h.call, "request", h.requestID,
-			"answered-ms", (update.Heard - update.Sent).Milliseconds())
+			"answered-ms", (update.ReceivedAt - update.SentAt).Milliseconds())
 	}
 	g.directoryChanged() // also sends the notice to the other hosts at once
 }
@@ -47,16 +47,16 @@
 }
 
 // applyLeaving applies the notices that another host sent.
-func (g *Gateway) applyLeaving(updates []notice.Told[bool], sender string) {
+func (g *Gateway) applyLeaving(updates []notice.PeerUpdate[bool], sender string) {
 	anyChanged := false
 	for _, update := range updates {
-		_, changed := g.leaving.update(update.Server, update.News(g.now()))
+		_, changed := g.leaving.update(update.Server, update.ToUpdate(g.now()))
 		anyChanged = anyChanged || changed
 		if changed {
 			g.markServerChanged(update.Server)
 		}
 		if changed && g.failureLogLimit.allow() {
-			g.log.Info("another host reported whether a server is leaving", "teller", sender, "server", update.Server.String(), "leaving", update.Value, "age-ms", update.HeardAgo)
+			g.log.Info("another host reported whether a server is leaving", "teller", sender, "server", update.Server.String(), "leaving", update.Value, "age-ms", update.ReceivedAgoMs)
 		}
 	}
 	if anyChanged {
@@ -103,7 +103,7 @@
 		if !listed || server.Incarnation() != incarnation || server.Draining {
 			continue
 		}
-		if now-announced.Heard >= recheckLeavingAfter && g.directory.FollowedFor(now) >= recheckLeavingAfter {
+		if now-announced.ReceivedAt >= recheckLeavingAfter && g.directory.AvailableFor(now) >= recheckLeavingAfter {
 			servers = append(servers, server)
 		}
 	}
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -12,7 +12,7 @@
 	if h.Limit == 0 && !(g.serverLimits.nonEmpty.Load() && h.ran) {
 		return // only a response to a request that ran may omit the limit because there is none
 	}
-	update := notice.News[float64]{Value: h.Limit, Sent: h.sentAt, Heard: g.now()}
+	update := notice.Update[float64]{Value: h.Limit, SentAt: h.sentAt, ReceivedAt: g.now()}
 	previous, changed := g.serverLimits.update(h.from, update)
 	if !changed {
 		return
@@ -21,7 +21,7 @@
 	g.nudge() // sends the notice to the other hosts at once
 	if g.failureLogLimit.allow() {
 		g.log.Info("server's rate limit changed", "request", h.requestID, "call", h.call, "server", h.from.String(),
-			"per-second", update.Value, "before", previous, "answered-ms", (update.Heard - update.Sent).Milliseconds())
+			"per-second", update.Value, "before", previous, "answered-ms", (update.ReceivedAt - update.SentAt).Milliseconds())
 	}
 }
 
@@ -45,11 +45,11 @@
 	ReceivedAgoMs int64             `json:"heardAgo"`
 }
 
-func newLimitNotice(update notice.Told[float64]) limitNotice {
-	return limitNotice{Server: update.Server, PerSecond: update.Value, SentAgoMs: update.SentAgo, ReceivedAgoMs: update.HeardAgo}
+func newLimitNotice(update notice.PeerUpdate[float64]) limitNotice {
+	return limitNotice{Server: update.Server, PerSecond: update.Value, SentAgoMs: update.SentAgoMs, ReceivedAgoMs: update.ReceivedAgoMs}
 }
 
-func newLimitNotices(updates []notice.Told[float64]) []limitNotice {
+func newLimitNotices(updates []notice.PeerUpdate[float64]) []limitNotice {
 	var limits []limitNotice
 	for _, update := range updates {
 		limits = append(limits, newLimitNotice(update))
@@ -57,8 +57,8 @@
 	return limits
 }
 
-func (t limitNotice) toNotice(now time.Duration) notice.News[float64] {
-	return notice.Told[float64]{Server: t.Server, Value: t.PerSecond, SentAgo: t.SentAgoMs, HeardAgo: t.ReceivedAgoMs}.News(now)
+func (t limitNotice) toNotice(now time.Duration) notice.Update[float64] {
+	return notice.PeerUpdate[float64]{Server: t.Server, Value: t.PerSecond, SentAgoMs: t.SentAgoMs, ReceivedAgoMs: t.ReceivedAgoMs}.ToUpdate(now)
 }
 
 // addLimitsToReport adds the limits that the controller does not know to a report, and returns the
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -141,9 +141,9 @@
 	} else if answer.awaitedServer != "" {
 		fields = append(fields, "resting-server", answer.awaitedServer)
 	}
-	if answer.judgement.Ends > 0 {
-		fields = append(fields, "fingerprint", req.fingerprint().String(), "servers-ended", answer.judgement.Ends,
-			"last-end-age-ms", (g.now() - answer.judgement.LastEnd).Milliseconds())
+	if answer.judgement.Terminations > 0 {
+		fields = append(fields, "fingerprint", req.fingerprint().String(), "servers-ended", answer.judgement.Terminations,
+			"last-end-age-ms", (g.now() - answer.judgement.LastTermination).Milliseconds())
 	}
 	if answer.cause != nil {
 		fields = append(fields, "error", answer.cause.Error())
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -78,20 +78,20 @@
 }
 
 // update adds a server's notice, and returns the value before and whether the value changed.
-func (n *noticeLedger[V]) update(server fleet.Incarnation, update notice.News[V]) (previous V, changed bool) {
+func (n *noticeLedger[V]) update(server fleet.Incarnation, update notice.Update[V]) (previous V, changed bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	previous = n.ledger.Value(server)
-	changed = n.ledger.Take(server, update)
+	changed = n.ledger.Apply(server, update)
 	n.nonEmpty.Store(!n.ledger.Empty())
 	return previous, changed
 }
 
 // latest returns the last notice by a server, and whether there is one.
-func (n *noticeLedger[V]) latest(server fleet.Incarnation) (notice.News[V], bool) {
+func (n *noticeLedger[V]) latest(server fleet.Incarnation) (notice.Update[V], bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.ledger.Known(server)
+	return n.ledger.Latest(server)
 }
 
 // values returns the values in effect, by server.
@@ -122,18 +122,18 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.ledger.Changes()
+	return n.ledger.ChangeCount()
 }
 
 // changesSince returns the oldest values that changed after the change numbered since, as many as fit
 // into a message, and the number of the last change that they cover.
-func (n *noticeLedger[V]) changesSince(now time.Duration, since uint64) ([]notice.Told[V], uint64) {
+func (n *noticeLedger[V]) changesSince(now time.Duration, since uint64) ([]notice.PeerUpdate[V], uint64) {
 	if !n.nonEmpty.Load() {
 		return nil, 0
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.ledger.Tell(now, since, maxNoticesPerMessage)
+	return n.ledger.ChangesSince(now, since, maxNoticesPerMessage)
 }
 
 // removeStale drops the notices of servers that have been absent for long.
@@ -143,5 +143,5 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.ledger.Retain(now, present)
+	n.ledger.RemoveStale(now, present)
 }
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -65,8 +65,8 @@
 	KnownLimits uint64        `json:"knownLimits,omitempty"`
 	// Leaving lists which servers have announced their shutdown. KnownLeaving is to Leaving
 	// what KnownLimits is to Limits.
-	Leaving      []notice.Told[bool] `json:"leaving,omitempty"`
-	KnownLeaving uint64              `json:"knownLeaving,omitempty"`
+	Leaving      []notice.PeerUpdate[bool] `json:"leaving,omitempty"`
+	KnownLeaving uint64                    `json:"knownLeaving,omitempty"`
 	// Resting are the service's servers that have asked the host for a long back-off.
 	Resting []fleet.Incarnation `json:"resting,omitempty"`
 }
@@ -100,8 +100,8 @@
 	Limits     []limitNotice `json:"limits,omitempty"`
 	LimitsUpTo uint64        `json:"limitsUpTo,omitempty"`
 	// Leaving lists which servers have announced their shutdown, up to the change LeavingUpTo.
-	Leaving     []notice.Told[bool] `json:"leaving,omitempty"`
-	LeavingUpTo uint64              `json:"leavingUpTo,omitempty"`
+	Leaving     []notice.PeerUpdate[bool] `json:"leaving,omitempty"`
+	LeavingUpTo uint64                    `json:"leavingUpTo,omitempty"`
 }
 
 // yieldRequest asks a controller to step down in favor of a successor with the given term.
--- a/gateway/places.go
+++ b/gateway/places.go
@@ -82,7 +82,7 @@
 func (g *Gateway) requestReservation(wish balance.ReservationRequest) balance.Reservation {
 	askedAt := g.now()
 	limit, _ := g.serverLimits.latest(wish.Server)
-	request := reservationRequest{Limit: newLimitNotice(notice.TellOf(askedAt, wish.Server, limit)), Count: wish.Permits, WithinMicros: wish.Within.Microseconds()}
+	request := reservationRequest{Limit: newLimitNotice(notice.NewPeerUpdate(askedAt, wish.Server, limit)), Count: wish.Permits, WithinMicros: wish.Within.Microseconds()}
 	answer, err := g.callScheduler(&request)
 	if err != nil || !answer.IsScheduler {
 		if g.failureLogLimit.allow() {
@@ -147,7 +147,7 @@
 	if !known {
 		return reservationReply{}
 	}
-	answer := reservationReply{IsScheduler: true, Limit: newLimitNotice(notice.TellOf(g.now(), server, limit))}
+	answer := reservationReply{IsScheduler: true, Limit: newLimitNotice(notice.NewPeerUpdate(g.now(), server, limit))}
 	if limit.Value <= 0 {
 		// The server has no limit any more; the response tells the asking host.
 		answer.WaitsMicros = make([]int64, min(request.Count, maxReservationsPerResponse))
--- a/gateway/places_test.go
+++ b/gateway/places_test.go
@@ -62,12 +62,12 @@
 	assert.DeepEqual(t, answer.WaitsMicros, []int64{100_000})
 	assert.Equal(t, answer.RefusedWaitMicros, int64(200_000))
 
-	newerLimit := notice.News[float64]{Value: 4, Heard: p.g.now()}
+	newerLimit := notice.Update[float64]{Value: 4, ReceivedAt: p.g.now()}
 	p.g.serverLimits.update(p.call.Limit.Server, newerLimit)
 	p.call.Limit.ReceivedAgoMs = 1000
 	assert.Equal(t, p.ask(time.Minute).Limit.PerSecond, 4.0)
 
-	p.g.serverLimits.update(p.call.Limit.Server, notice.News[float64]{Sent: p.g.now(), Heard: p.g.now()})
+	p.g.serverLimits.update(p.call.Limit.Server, notice.Update[float64]{SentAt: p.g.now(), ReceivedAt: p.g.now()})
 	answer = p.ask(time.Minute)
 	assert.Assert(t, answer.IsScheduler)
 	assert.DeepEqual(t, answer.WaitsMicros, []int64{0, 0})
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -41,7 +41,7 @@
 	}
 	g.metrics.quarantinedRequests.Inc()
 	return &reply{outcome: outcomeQuarantined, status: http.StatusServiceUnavailable,
-		retryAfter: judged.Until - g.now(), judgement: judged}
+		retryAfter: judged.RetryAt - g.now(), judgement: judged}
 }
 
 // noteCompleted records that a server ran a request to completion and gave a complete answer: the
@@ -49,16 +49,16 @@
 func (g *Gateway) noteCompleted(req *request) {
 	fingerprint, now := req.fingerprint(), g.now()
 	g.terminations.mu.Lock()
-	g.terminations.answered.Note(now, fingerprint)
+	g.terminations.answered.Add(now, fingerprint)
 	before := g.terminations.ledger.Judge(now, fingerprint)
-	acquitted := g.terminations.ledger.Acquit(now, fingerprint)
+	acquitted := g.terminations.ledger.Clear(now, fingerprint)
 	if acquitted {
 		g.terminations.updateSuspecting()
 	}
 	g.terminations.mu.Unlock()
 	if acquitted {
 		g.log.Info("request cleared: a server ran it and gave a complete answer", "request", req.ID, "fingerprint", fingerprint.String(),
-			"servers-ended", before.Ends, "verdict", before.Verdict.String())
+			"servers-ended", before.Terminations, "verdict", before.Verdict.String())
 		g.nudge()
 	}
 }
@@ -110,7 +110,7 @@
 	}
 	g.terminations.mu.Lock()
 	defer g.terminations.mu.Unlock()
-	return g.terminations.ledger.Changes() > c.news.cases.sent
+	return g.terminations.ledger.ChangeCount() > c.news.cases.sent
 }
 
 // addCases adds to a report the cases that the controller has not received, and returns the
@@ -119,7 +119,7 @@
 	g.terminations.mu.Lock()
 	defer g.terminations.mu.Unlock()
 	var upTo uint64
-	report.Cases, upTo = g.terminations.ledger.Tell(g.now(), c.news.cases.told, maxCasesPerMessage, poison.Collector)
+	report.Cases, upTo = g.terminations.ledger.ChangesSince(g.now(), c.news.cases.told, maxCasesPerMessage, poison.ToCollector)
 	report.KnownCases = c.news.cases.received
 	c.news.cases.sent, c.news.reportInFlight = upTo, true
 	return upTo
@@ -136,7 +136,7 @@
 func (g *Gateway) casesFor(received uint64) ([]poison.Case, uint64) {
 	g.terminations.mu.Lock()
 	defer g.terminations.mu.Unlock()
-	return g.terminations.ledger.Tell(g.now(), received, maxCasesPerMessage, poison.Everyone)
+	return g.terminations.ledger.ChangesSince(g.now(), received, maxCasesPerMessage, poison.ToAllHosts)
 }
 
 // mergeCases merges cases from another host or the store, and returns the ledger's last change
@@ -145,11 +145,11 @@
 	merged, before, after := g.mergeIntoLedger(cases)
 	for i := range merged {
 		judged := &merged[i].judged
-		if judged.Verdict == poison.Unsuspected && judged.Ends > 0 || !g.failureLogLimit.allow() {
+		if judged.Verdict == poison.Unsuspected && judged.Terminations > 0 || !g.failureLogLimit.allow() {
 			continue // a single termination only matters to the controller, which collects them
 		}
 		g.log.Info("received a request during which servers terminated", "teller", sender, "fingerprint", merged[i].fingerprint.String(),
-			"servers-ended", judged.Ends, "verdict", judged.Verdict.String(), "last-end-age-ms", (g.now() - judged.LastEnd).Milliseconds())
+			"servers-ended", judged.Terminations, "verdict", judged.Verdict.String(), "last-end-age-ms", (g.now() - judged.LastTermination).Milliseconds())
 	}
 	return before, after
 }
@@ -165,13 +165,13 @@
 	g.terminations.mu.Lock()
 	defer g.terminations.mu.Unlock()
 	ledger := &g.terminations.ledger
-	before = ledger.Changes()
-	for _, fingerprint := range ledger.Take(now, cases) {
+	before = ledger.ChangeCount()
+	for _, fingerprint := range ledger.Merge(now, cases) {
 		merged = append(merged, mergedCase{fingerprint: fingerprint, judged: ledger.Judge(now, fingerprint)})
 	}
 	if len(merged) > 0 {
 		g.terminations.tracking.Store(true)
 		g.terminations.updateSuspecting()
 	}
-	return merged, before, ledger.Changes()
+	return merged, before, ledger.ChangeCount()
 }
--- a/gateway/quarantinestore.go
+++ b/gateway/quarantinestore.go
@@ -74,7 +74,7 @@
 	stored := make([]QuarantinedRequest, 0, len(cases))
 	for _, each := range cases {
 		request := QuarantinedRequest{Request: each.Request}
-		for _, end := range each.Ends {
+		for _, end := range each.Terminations {
 			if !end.Withdrawn {
 				request.Ends = append(request.Ends, QuarantinedEnd{Server: end.Server, AtMs: now.UnixMilli() - end.AgeMs})
 			}
@@ -90,7 +90,7 @@
 	for _, stored := range q.Cases {
 		each := poison.Case{Request: stored.Request}
 		for _, end := range stored.Ends {
-			each.Ends = append(each.Ends, poison.End{Server: end.Server, AgeMs: ageMs(now, end.AtMs)})
+			each.Terminations = append(each.Terminations, poison.Termination{Server: end.Server, AgeMs: ageMs(now, end.AtMs)})
 		}
 		told = append(told, each)
 	}
@@ -134,13 +134,13 @@
 	}
 	wall := time.Now()
 	g.terminations.mu.Lock()
-	proven := storedCases(g.terminations.ledger.Proven(g.now()), wall)
+	proven := storedCases(g.terminations.ledger.QuarantineCases(g.now()), wall)
 	g.terminations.mu.Unlock()
 	if sameTerminations(proven, stored.content.Cases) {
 		return
 	}
 	content := Quarantine{Cases: proven, Released: slices.DeleteFunc(slices.Clone(stored.content.Released), func(r ReleasedRequest) bool {
-		return ageMs(wall, r.AtMs) > poison.EndKept.Milliseconds()
+		return ageMs(wall, r.AtMs) > poison.TerminationTTL.Milliseconds()
 	})}
 	stored.inFlight, stored.startedAt = true, now
 	g.startWriteQuarantine(ctx, c, content)
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -240,7 +240,7 @@
 		}
 		return object
 	}
-	if text, ok := fleet.EntryText(&server); ok {
+	if text, ok := fleet.EncodeEntry(&server); ok {
 		if encoded, err := json.Marshal(text); err == nil {
 			object.Spec = encoded
 		}
--- a/gateway/serverends.go
+++ b/gateway/serverends.go
@@ -30,13 +30,13 @@
 	tracking, suspecting atomic.Bool
 
 	mu       sync.Mutex
-	witness  poison.Witness
-	answered poison.Answered
+	witness  poison.UnansweredTracker
+	answered poison.RecentlyAnswered
 	ledger   poison.Ledger
 }
 
 // updateSuspecting enables the check of requests if any is suspected. e.mu must be held.
-func (e *terminationTracker) updateSuspecting() { e.suspecting.Store(e.ledger.Suspects()) }
+func (e *terminationTracker) updateSuspecting() { e.suspecting.Store(e.ledger.AnySuspected()) }
 
 // noteUnanswered records a request that was sent to a server and got no answer. If the server
 // closed the connection, a new connection shows at once whether its process has terminated.
@@ -46,7 +46,7 @@
 	}
 	fingerprint, incarnation := req.fingerprint(), server.Incarnation()
 	g.terminations.mu.Lock()
-	ended := g.terminations.witness.Unanswered(g.now(), incarnation, server.Address, fingerprint)
+	ended := g.terminations.witness.NoteUnanswered(g.now(), incarnation, server.Address, fingerprint)
 	g.terminations.tracking.Store(true)
 	g.terminations.mu.Unlock()
 	if g.failureLogLimit.allow() {
@@ -77,15 +77,15 @@
 // that it answered a request sent at one time on a connection opened at another. Where entries
 // include the start time of servers, IDs may be reused, and a new connection may lead to the
 // next process with the same ID.
-func aliveSpan(opened, sent time.Duration, server *balance.Server) poison.Lived {
+func aliveSpan(opened, sent time.Duration, server *balance.Server) poison.AliveSpan {
 	if server.Start == 0 {
-		return poison.Lived{From: math.MinInt64, To: sent}
+		return poison.AliveSpan{From: math.MinInt64, To: sent}
 	}
-	return poison.Lived{From: opened, To: sent}
+	return poison.AliveSpan{From: opened, To: sent}
 }
 
 // noteAlive records that a server answered.
-func (g *Gateway) noteAlive(server *balance.Server, lived poison.Lived, result *attemptResult) {
+func (g *Gateway) noteAlive(server *balance.Server, lived poison.AliveSpan, result *attemptResult) {
 	if !g.terminations.tracking.Load() {
 		return
 	}
@@ -101,11 +101,11 @@
 
 // withdrawBlame records that a server's process was running during a time span, and returns the
 // requests that are no longer held responsible for its termination.
-func (g *Gateway) withdrawBlame(server fleet.Incarnation, lived poison.Lived) []poison.Fingerprint {
+func (g *Gateway) withdrawBlame(server fleet.Incarnation, lived poison.AliveSpan) []poison.Fingerprint {
 	g.terminations.mu.Lock()
 	defer g.terminations.mu.Unlock()
-	g.terminations.witness.Alive(server, lived)
-	cleared := g.terminations.ledger.Alive(server, lived)
+	g.terminations.witness.NoteAlive(server, lived)
+	cleared := g.terminations.ledger.NoteAlive(server, lived)
 	if len(cleared) > 0 {
 		g.terminations.updateSuspecting()
 	}
@@ -126,14 +126,14 @@
 func (g *Gateway) replacedServers() []fleet.Incarnation {
 	g.terminations.mu.Lock()
 	defer g.terminations.mu.Unlock()
-	ids, addresses := g.terminations.witness.Watched()
+	ids, addresses := g.terminations.witness.UnansweredServers()
 	present := make(map[string]fleet.Incarnation, len(ids))
 	for id := range ids {
 		if server, listed := g.directory.Get(id); listed {
 			present[id] = server.Incarnation()
 		}
 	}
-	return g.terminations.witness.Replaced(present, g.directory.At(addresses))
+	return g.terminations.witness.ReplacedServers(present, g.directory.ByAddress(addresses))
 }
 
 // noteTerminated records proof that a server has terminated.
@@ -142,7 +142,7 @@
 		return
 	}
 	g.terminations.mu.Lock()
-	blamed := g.terminations.witness.Ended(g.now(), server)
+	blamed := g.terminations.witness.NoteTerminated(g.now(), server)
 	g.terminations.mu.Unlock()
 	g.blameRequests(server, evidence, blamed)
 }
@@ -155,7 +155,7 @@
 		judged := g.judgeFingerprint(each.Request)
 		if g.failureLogLimit.allow() {
 			g.log.Warn("server terminated during a request", "server", server.String(), "fingerprint", each.Request.String(), "evidence", evidence,
-				"age-ms", (g.now() - each.At).Milliseconds(), "answered-lately", recentlyAnswered, "news", isNew, "servers-ended", judged.Ends, "verdict", judged.Verdict.String())
+				"age-ms", (g.now() - each.At).Milliseconds(), "answered-lately", recentlyAnswered, "news", isNew, "servers-ended", judged.Terminations, "verdict", judged.Verdict.String())
 		}
 		if isNew {
 			g.nudge() // other hosts need to know at once
@@ -168,7 +168,7 @@
 func (g *Gateway) blameRequest(server fleet.Incarnation, blame poison.Blame) (isNew, recentlyAnswered bool) {
 	g.terminations.mu.Lock()
 	defer g.terminations.mu.Unlock()
-	if g.terminations.answered.Lately(g.now(), blame.Request) {
+	if g.terminations.answered.Contains(g.now(), blame.Request) {
 		return false, true
 	}
 	isNew = g.terminations.ledger.Blame(g.now(), server, blame)
--- a/gateway/servers.go
+++ b/gateway/servers.go
@@ -45,7 +45,7 @@
 func (g *Gateway) registryAway(error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.directory.Away(g.now())
+	g.directory.MarkUnavailable(g.now())
 }
 
 // changeServer takes one change of an entry.
@@ -63,7 +63,7 @@
 	g.mu.Lock()
 	verdict := g.directory.Put(g.now(), version)
 	g.mu.Unlock()
-	if verdict == fleet.Taken && !g.tellsEntries() {
+	if verdict == fleet.Applied && !g.tellsEntries() {
 		return
 	}
 	g.log.Info("server entry", "server", version.Incarnation().String(), "service", version.Service, "draining", version.Draining,
@@ -125,7 +125,7 @@
 	if err := json.Unmarshal(object.Spec, &text); err != nil {
 		return fleet.Server{}, err
 	}
-	return fleet.ReadEntryText(object.Name, text)
+	return fleet.DecodeEntry(object.Name, text)
 }
 
 func (e *entryReader) report(object objects.Object, cause error) {
--- a/notice/ledger.go
+++ b/notice/ledger.go
@@ -11,36 +11,36 @@
 	"cicadarouter/fleet"
 )
 
-// News is the value of a notice in one response of a server. The zero Value means that the response
-// had no such notice.
-type News[V comparable] struct {
+// Update is the value of a notice in one response of a server. The zero Value means that the
+// response had no such notice.
+type Update[V comparable] struct {
 	Value V
-	// Sent is when the request left the host, Heard when the response arrived. The server produced
-	// the value between the two.
-	Sent, Heard time.Duration
+	// SentAt is when the request left the host, ReceivedAt when the response arrived. The server
+	// produced the value between the two.
+	SentAt, ReceivedAt time.Duration
 }
 
-// newer reports whether the news replaces the known news. Responses may arrive out of order: one
-// without a notice ends an earlier notice only if its request was sent no earlier than the notice
-// arrived. Of two news that arrived at different times, every host keeps the same one, whichever it
-// learns of first.
-func (n News[V]) newer(current News[V]) bool {
+// supersedes reports whether the update replaces the current one. Responses may arrive out of
+// order: one without a notice ends an earlier notice only if its request was sent no earlier than
+// the notice arrived. Of two updates that arrived at different times, every host keeps the same
+// one, whichever it learns of first.
+func (n Update[V]) supersedes(current Update[V]) bool {
 	var zero V
 	switch {
 	case n.Value == zero && current.Value != zero:
-		return n.Sent >= current.Heard
+		return n.SentAt >= current.ReceivedAt
 	case n.Value != zero && current.Value == zero:
-		return n.Heard > current.Sent
+		return n.ReceivedAt > current.SentAt
 	}
-	return n.Heard > current.Heard
+	return n.ReceivedAt > current.ReceivedAt
 }
 
-// mostServers bounds the servers whose notices a ledger stores.
-const mostServers = 1024
+// maxServers bounds the servers whose notices a ledger stores.
+const maxServers = 1024
 
 // entry is the latest notice of one server.
 type entry[V comparable] struct {
-	News[V]
+	Update[V]
 	// change is the number of the ledger's change that last changed the value.
 	change uint64
 }
@@ -48,19 +48,19 @@
 // Ledger holds one kind of notice of all servers. The zero value is empty. A Ledger is not safe for
 // concurrent use.
 type Ledger[V comparable] struct {
-	known   map[fleet.Incarnation]entry[V]
+	latest  map[fleet.Incarnation]entry[V]
 	changes uint64
 }
 
-// Take applies the news of a server and reports whether its value changed. Servers that have never
-// sent a notice are not stored.
-func (l *Ledger[V]) Take(server fleet.Incarnation, news News[V]) (changed bool) {
+// Apply applies the update of a server and reports whether its value changed. Servers that have
+// never sent a notice are not stored.
+func (l *Ledger[V]) Apply(server fleet.Incarnation, news Update[V]) (changed bool) {
 	var zero V
-	current, present := l.known[server]
-	if !present && (news.Value == zero || len(l.known) >= mostServers) {
+	current, present := l.latest[server]
+	if !present && (news.Value == zero || len(l.latest) >= maxServers) {
 		return false
 	}
-	if present && !news.newer(current.News) {
+	if present && !news.supersedes(current.Update) {
 		return false
 	}
 	changed = current.Value != news.Value
@@ -68,28 +68,28 @@
 		l.changes++
 		current.change = l.changes
 	}
-	current.News = news
-	if l.known == nil {
-		l.known = map[fleet.Incarnation]entry[V]{}
+	current.Update = news
+	if l.latest == nil {
+		l.latest = map[fleet.Incarnation]entry[V]{}
 	}
-	l.known[server] = current
+	l.latest[server] = current
 	return changed
 }
 
 // Value returns the value in effect for a server, or zero.
-func (l *Ledger[V]) Value(server fleet.Incarnation) V { return l.known[server].Value }
+func (l *Ledger[V]) Value(server fleet.Incarnation) V { return l.latest[server].Value }
 
-// Known returns the latest news of a server, and whether there is any.
-func (l *Ledger[V]) Known(server fleet.Incarnation) (news News[V], known bool) {
-	found, known := l.known[server]
-	return found.News, known
+// Latest returns the latest update of a server, and whether there is any.
+func (l *Ledger[V]) Latest(server fleet.Incarnation) (news Update[V], known bool) {
+	found, known := l.latest[server]
+	return found.Update, known
 }
 
 // Values returns the values in effect, by server.
 func (l *Ledger[V]) Values() map[fleet.Incarnation]V {
 	var zero V
 	values := map[fleet.Incarnation]V{}
-	for server, current := range l.known {
+	for server, current := range l.latest {
 		if current.Value != zero {
 			values[server] = current.Value
 		}
@@ -98,53 +98,54 @@
 }
 
 // Empty reports whether the ledger stores no servers.
-func (l *Ledger[V]) Empty() bool { return len(l.known) == 0 }
+func (l *Ledger[V]) Empty() bool { return len(l.latest) == 0 }
 
-// Changes returns the number of changes so far.
-func (l *Ledger[V]) Changes() uint64 { return l.changes }
+// ChangeCount returns the number of changes so far.
+func (l *Ledger[V]) ChangeCount() uint64 { return l.changes }
 
-// keptFor is how long the notices of an unregistered server are kept: entries are missing for
+// staleAfter is how long the notices of an unregistered server are kept: entries are missing for
 // seconds during an outage of the registry's store.
-const keptFor = time.Minute
-
-// Retain removes the servers that are not present and whose latest news is older than keptFor.
-func (l *Ledger[V]) Retain(now time.Duration, present func(fleet.Incarnation) bool) {
-	for server, known := range l.known {
-		if !present(server) && now-known.Heard > keptFor {
-			delete(l.known, server)
+const staleAfter = time.Minute
+
+// RemoveStale removes the servers that are not present and whose latest update is older than
+// staleAfter.
+func (l *Ledger[V]) RemoveStale(now time.Duration, present func(fleet.Incarnation) bool) {
+	for server, known := range l.latest {
+		if !present(server) && now-known.ReceivedAt > staleAfter {
+			delete(l.latest, server)
 		}
 	}
 }
 
-// Told is the news of a server as hosts exchange it. It contains ages instead of times, because the
-// clocks of hosts differ.
-type Told[V comparable] struct {
+// PeerUpdate is the update of a server as hosts exchange it. It contains ages instead of times,
+// because the clocks of hosts differ.
+type PeerUpdate[V comparable] struct {
 	Server fleet.Incarnation `json:"server"`
 	Value  V                 `json:"value"`
-	// SentAgo and HeardAgo are in milliseconds.
-	SentAgo  int64 `json:"sentAgo"`
-	HeardAgo int64 `json:"heardAgo"`
+	// SentAgoMs and ReceivedAgoMs are in milliseconds.
+	SentAgoMs     int64 `json:"sentAgo"`
+	ReceivedAgoMs int64 `json:"heardAgo"`
 }
 
-// TellOf converts news to a message.
-func TellOf[V comparable](now time.Duration, server fleet.Incarnation, news News[V]) Told[V] {
-	return Told[V]{Server: server, Value: news.Value, SentAgo: (now - news.Sent).Milliseconds(), HeardAgo: (now - news.Heard).Milliseconds()}
+// NewPeerUpdate converts an update to a message.
+func NewPeerUpdate[V comparable](now time.Duration, server fleet.Incarnation, news Update[V]) PeerUpdate[V] {
+	return PeerUpdate[V]{Server: server, Value: news.Value, SentAgoMs: (now - news.SentAt).Milliseconds(), ReceivedAgoMs: (now - news.ReceivedAt).Milliseconds()}
 }
 
-// News converts a message to news with times of this host's clock.
-func (t Told[V]) News(now time.Duration) News[V] {
-	return News[V]{Value: t.Value, Sent: now - time.Duration(t.SentAgo)*time.Millisecond, Heard: now - time.Duration(t.HeardAgo)*time.Millisecond}
+// ToUpdate converts a message to an update with times of this host's clock.
+func (t PeerUpdate[V]) ToUpdate(now time.Duration) Update[V] {
+	return Update[V]{Value: t.Value, SentAt: now - time.Duration(t.SentAgoMs)*time.Millisecond, ReceivedAt: now - time.Duration(t.ReceivedAgoMs)*time.Millisecond}
 }
 
-// Tell returns the values that changed after the change numbered since, oldest change first and at
-// most limit of them, and the number of the last change that they cover.
-func (l *Ledger[V]) Tell(now time.Duration, since uint64, limit int) (messages []Told[V], upTo uint64) {
+// ChangesSince returns the values that changed after the change numbered since, oldest change first
+// and at most limit of them, and the number of the last change that they cover.
+func (l *Ledger[V]) ChangesSince(now time.Duration, since uint64, limit int) (messages []PeerUpdate[V], upTo uint64) {
 	type changedEntry struct {
 		server fleet.Incarnation
 		entry[V]
 	}
 	var due []changedEntry
-	for server, current := range l.known {
+	for server, current := range l.latest {
 		if current.change > since {
 			due = append(due, changedEntry{server, current})
 		}
@@ -159,7 +160,7 @@
 		upTo = due[limit-1].change
 	}
 	for _, each := range due {
-		messages = append(messages, TellOf(now, each.server, each.News))
+		messages = append(messages, NewPeerUpdate(now, each.server, each.Update))
 	}
 	return messages, upTo
 }
--- a/poison/fingerprint.go
+++ b/poison/fingerprint.go
@@ -7,9 +7,9 @@
 // terminate for other reasons. A host that looked only at single copies would send each of them to
 // another server.
 //
-// A Witness holds what one host observed: which requests were in flight at servers that terminated.
-// A Ledger holds, for each such request, the servers that terminated during it, as observed by this
-// host and others, and decides whether the request is served.
+// An UnansweredTracker holds what one host observed: which requests were in flight at servers that
+// terminated. A Ledger holds, for each such request, the servers that terminated during it, as
+// observed by this host and others, and decides whether the request is served.
 package poison
 
 import (
--- a/poison/ledger.go
+++ b/poison/ledger.go
@@ -10,31 +10,33 @@
 )
 
 const (
-	// suspectAfter is the number of terminations from which a host no longer retries a request: the
+	// suspectThreshold is the number of terminations from which a host no longer retries a request: the
 	// caller gets the failure at once, and the other hosts learn of the request before its next
 	// copy arrives.
-	suspectAfter = 2
-	// provenAfter is the number of terminations from which a request is quarantined. One or two
+	suspectThreshold = 2
+	// quarantineThreshold is the number of terminations from which a request is quarantined. One or two
 	// happen by chance when servers fail one after the other.
-	provenAfter = 3
-	// EndKept is how long a termination counts.
-	EndKept = 24 * time.Hour
-	// endsKept bounds the terminations stored per request.
-	endsKept = 8
-	// mostCases bounds the requests that a ledger stores.
-	mostCases = 1024
-	// forgottenAtOnce is the number of cases evicted when the ledger is full. Finding the least
+	quarantineThreshold = 3
+	// TerminationTTL is how long a termination counts.
+	TerminationTTL = 24 * time.Hour
+	// maxTerminations bounds the terminations stored per request.
+	maxTerminations = 8
+	// maxCases bounds the requests that a ledger stores.
+	maxCases = 1024
+	// evictionBatch is the number of cases evicted when the ledger is full. Finding the least
 	// important ones requires sorting all of them, so several are evicted at once.
-	forgottenAtOnce = mostCases / 16
+	evictionBatch = maxCases / 16
 )
 
-// terms are the durations of a quarantine after the last termination, by how many terminations the
-// request has beyond provenAfter. After that time one copy of the request is served as a trial,
-// which costs one server if the request still terminates servers.
-var terms = [...]time.Duration{10 * time.Minute, time.Hour, 6 * time.Hour, EndKept}
+// quarantineDurations are the durations of a quarantine after the last termination, by how many
+// terminations the request has beyond quarantineThreshold. After that time one copy of the request
+// is served as a trial, which costs one server if the request still terminates servers.
+var quarantineDurations = [...]time.Duration{10 * time.Minute, time.Hour, 6 * time.Hour, TerminationTTL}
 
-// term returns the duration of a quarantine after the last termination.
-func term(ends int) time.Duration { return terms[min(ends-provenAfter, len(terms)-1)] }
+// quarantineDuration returns the duration of a quarantine after the last termination.
+func quarantineDuration(ends int) time.Duration {
+	return quarantineDurations[min(ends-quarantineThreshold, len(quarantineDurations)-1)]
+}
 
 // Verdict is how a request is handled.
 type Verdict int
@@ -55,12 +57,12 @@
 // Judgement is a verdict and the evidence for it.
 type Judgement struct {
 	Verdict Verdict
-	// Ends is the number of servers that terminated during the request.
-	Ends int
-	// LastEnd is the time of the last termination.
-	LastEnd time.Duration
-	// Until is when a quarantined request is served again as a trial.
-	Until time.Duration
+	// Terminations is the number of servers that terminated during the request.
+	Terminations int
+	// LastTermination is the time of the last termination.
+	LastTermination time.Duration
+	// RetryAt is when a quarantined request is served again as a trial.
+	RetryAt time.Duration
 }
 
 // Ledger records which servers terminated during which requests, as far as this host knows. Ledgers
@@ -68,39 +70,39 @@
 // gains terminations, and clearing a request removes all terminations up to that time. The zero
 // value is ready to use. A Ledger is not safe for concurrent use.
 type Ledger struct {
-	cases map[Fingerprint]*record
-	// servers holds the servers with a termination in some case, and possibly servers that had one
+	cases map[Fingerprint]*caseRecord
+	// terminatedServers holds the servers with a termination in some case, and possibly servers that had one
 	// earlier.
-	servers map[fleet.Incarnation]struct{}
-	// change is the number of changes so far.
-	change uint64
+	terminatedServers map[fleet.Incarnation]struct{}
+	// changes is the number of changes so far.
+	changes uint64
 }
 
-// record is the case of one request.
-type record struct {
-	ends map[fleet.Incarnation]end
-	// acquitted is the latest time as of which the request is known to be harmless. It is valid
-	// only if isAcquitted is set.
-	acquitted   time.Duration
-	isAcquitted bool
-	// suspected is set once the request has had enough terminations to be suspected. Other hosts
+// caseRecord is the case of one request.
+type caseRecord struct {
+	terminations map[fleet.Incarnation]termination
+	// clearedAt is the latest time as of which the request is known to be harmless. It is valid
+	// only if isCleared is set.
+	clearedAt time.Duration
+	isCleared bool
+	// wasSuspected is set once the request has had enough terminations to be suspected. Other hosts
 	// may have learned of it then and must also learn that it is cleared.
-	suspected bool
-	change    uint64 // the ledger's last change to this case
+	wasSuspected bool
+	change       uint64 // the ledger's last change to this case
 }
 
-// end is the termination of a server during a request.
-type end struct {
+// termination is the termination of a server during a request.
+type termination struct {
 	at time.Duration
 	// withdrawn is set once the server has answered later, which shows that it had not terminated.
 	// The entry stays, so that hosts that have not learned of this can't add the termination again.
 	withdrawn bool
 }
 
-// standing returns the number of terminations that are not withdrawn.
-func (r *record) standing() int {
+// terminationCount returns the number of terminations that are not withdrawn.
+func (r *caseRecord) terminationCount() int {
 	count := 0
-	for _, each := range r.ends {
+	for _, each := range r.terminations {
 		if !each.withdrawn {
 			count++
 		}
@@ -108,11 +110,11 @@
 	return count
 }
 
-// latest returns the time of the last termination that is not withdrawn, or 0 if there is none.
-func (r *record) latest() time.Duration {
+// lastTermination returns the time of the last termination that is not withdrawn, or 0 if there is none.
+func (r *caseRecord) lastTermination() time.Duration {
 	var last time.Duration
 	first := true
-	for _, each := range r.ends {
+	for _, each := range r.terminations {
 		if !each.withdrawn && (first || each.at > last) {
 			last, first = each.at, false
 		}
@@ -120,11 +122,11 @@
 	return last
 }
 
-// oldest returns the least important termination: a withdrawn one if there is any, else the oldest.
-// There must be at least one.
-func (r *record) oldest() (server fleet.Incarnation, oldest end) {
+// leastImportant returns the termination to remove first: a withdrawn one if there is any, else the
+// oldest. There must be at least one.
+func (r *caseRecord) leastImportant() (server fleet.Incarnation, oldest termination) {
 	first := true
-	for each, known := range r.ends {
+	for each, known := range r.terminations {
 		if first || known.withdrawn && !oldest.withdrawn || known.withdrawn == oldest.withdrawn && known.at < oldest.at {
 			server, oldest, first = each, known, false
 		}
@@ -132,173 +134,173 @@
 	return server, oldest
 }
 
-// touched returns the time of the last event of the case.
-func (r *record) touched() time.Duration {
+// lastActivity returns the time of the last event of the case.
+func (r *caseRecord) lastActivity() time.Duration {
 	switch {
-	case r.standing() == 0:
-		return r.acquitted
-	case r.isAcquitted:
-		return max(r.latest(), r.acquitted)
+	case r.terminationCount() == 0:
+		return r.clearedAt
+	case r.isCleared:
+		return max(r.lastTermination(), r.clearedAt)
 	}
-	return r.latest()
+	return r.lastTermination()
 }
 
-// blame adds a termination and reports whether that changed the case. If there are more than
-// endsKept, the latest are kept.
-func (r *record) blame(server fleet.Incarnation, added end) bool {
-	existing, exists := r.ends[server]
+// addTermination adds a termination and reports whether that changed the case. If there are more
+// than maxTerminations, the latest are kept.
+func (r *caseRecord) addTermination(server fleet.Incarnation, added termination) bool {
+	existing, exists := r.terminations[server]
 	switch {
-	case r.isAcquitted && added.at <= r.acquitted:
+	case r.isCleared && added.at <= r.clearedAt:
 		return false
 	case exists:
 		if existing.withdrawn || !added.withdrawn {
 			return false
 		}
 		existing.withdrawn = true
-		r.ends[server] = existing
+		r.terminations[server] = existing
 		return true
 	}
-	if len(r.ends) >= endsKept {
-		least, oldest := r.oldest()
+	if len(r.terminations) >= maxTerminations {
+		least, oldest := r.leastImportant()
 		if !oldest.withdrawn && added.at <= oldest.at {
 			return false
 		}
-		delete(r.ends, least)
+		delete(r.terminations, least)
 	}
-	r.ends[server] = added
-	r.suspected = r.suspected || r.standing() >= suspectAfter
+	r.terminations[server] = added
+	r.wasSuspected = r.wasSuspected || r.terminationCount() >= suspectThreshold
 	return true
 }
 
-// acquit clears the request as of a time, and reports whether the case changed in substance: it was
+// clear clears the request as of a time, and reports whether the case changed in substance: it was
 // never cleared before, or terminations were removed. A clearance that is only slightly later does
 // not count, because the time shifts by the transmission time of each message and two ledgers would
 // send it to each other forever.
-func (r *record) acquit(at time.Duration) bool {
-	if r.isAcquitted && at <= r.acquitted {
+func (r *caseRecord) clear(at time.Duration) bool {
+	if r.isCleared && at <= r.clearedAt {
 		return false
 	}
-	first, ends := !r.isAcquitted, len(r.ends)
-	r.acquitted, r.isAcquitted = at, true
-	maps.DeleteFunc(r.ends, func(_ fleet.Incarnation, each end) bool { return each.at <= at })
-	return first || len(r.ends) < ends
+	first, ends := !r.isCleared, len(r.terminations)
+	r.clearedAt, r.isCleared = at, true
+	maps.DeleteFunc(r.terminations, func(_ fleet.Incarnation, each termination) bool { return each.at <= at })
+	return first || len(r.terminations) < ends
 }
 
 // Blame records that a server terminated during a request, and reports whether that changed the
 // ledger.
 func (l *Ledger) Blame(now time.Duration, server fleet.Incarnation, blame Blame) bool {
-	rec := l.hold(now, blame.Request)
-	return l.blame(rec, server, end{at: blame.At}) && l.changed(rec)
+	rec := l.caseOf(now, blame.Request)
+	return l.addTermination(rec, server, termination{at: blame.At}) && l.recordChange(rec)
 }
 
-// Acquit clears a request as of a time at which a server gave a complete answer to it, and reports
+// Clear clears a request as of a time at which a server gave a complete answer to it, and reports
 // whether that changed the ledger.
-func (l *Ledger) Acquit(at time.Duration, request Fingerprint) bool {
+func (l *Ledger) Clear(at time.Duration, request Fingerprint) bool {
 	rec := l.cases[request]
-	return rec != nil && rec.standing() > 0 && rec.acquit(at) && l.changed(rec)
+	return rec != nil && rec.terminationCount() > 0 && rec.clear(at) && l.recordChange(rec)
 }
 
-// Release clears a request on behalf of an operator. Unlike Acquit it also records the clearance of
+// Release clears a request on behalf of an operator. Unlike Clear it also records the clearance of
 // a request without a case, because other hosts may still report terminations during it.
 func (l *Ledger) Release(now, at time.Duration, request Fingerprint) bool {
-	rec := l.hold(now, request)
-	return rec.acquit(at) && l.changed(rec)
+	rec := l.caseOf(now, request)
+	return rec.clear(at) && l.recordChange(rec)
 }
 
-// blame adds a termination to a case and reports whether that changed the case.
-func (l *Ledger) blame(rec *record, server fleet.Incarnation, added end) bool {
-	if !rec.blame(server, added) {
+// addTermination adds a termination to a case and reports whether that changed the case.
+func (l *Ledger) addTermination(rec *caseRecord, server fleet.Incarnation, added termination) bool {
+	if !rec.addTermination(server, added) {
 		return false
 	}
-	if l.servers == nil || len(l.servers) >= mostCases*endsKept {
-		l.servers = map[fleet.Incarnation]struct{}{}
+	if l.terminatedServers == nil || len(l.terminatedServers) >= maxCases*maxTerminations {
+		l.terminatedServers = map[fleet.Incarnation]struct{}{}
 		for _, each := range l.cases {
-			for known := range each.ends {
-				l.servers[known] = struct{}{}
+			for known := range each.terminations {
+				l.terminatedServers[known] = struct{}{}
 			}
 		}
 	}
-	l.servers[server] = struct{}{}
+	l.terminatedServers[server] = struct{}{}
 	return true
 }
 
-// Alive records that a server's process was running during a time span, withdraws its recorded
+// NoteAlive records that a server's process was running during a time span, withdraws its recorded
 // terminations within that span, and returns the requests concerned. A host may have been wrong
 // about a termination because something between it and the server refuses connections, for example
 // during a network failure.
-func (l *Ledger) Alive(server fleet.Incarnation, lived Lived) []Fingerprint {
-	if _, tracked := l.servers[server]; !tracked {
+func (l *Ledger) NoteAlive(server fleet.Incarnation, lived AliveSpan) []Fingerprint {
+	if _, tracked := l.terminatedServers[server]; !tracked {
 		return nil // fast path of nearly every answer
 	}
 	var cleared []Fingerprint
 	for request, rec := range l.cases {
-		existing, exists := rec.ends[server]
-		if exists && !existing.withdrawn && lived.during(existing.at) {
+		existing, exists := rec.terminations[server]
+		if exists && !existing.withdrawn && lived.contains(existing.at) {
 			existing.withdrawn = true
-			rec.ends[server] = existing
-			l.changed(rec)
+			rec.terminations[server] = existing
+			l.recordChange(rec)
 			cleared = append(cleared, request)
 		}
 	}
 	return cleared
 }
 
-// changed assigns the next change number to a case. It always returns true.
-func (l *Ledger) changed(rec *record) bool {
-	l.change++
-	rec.change = l.change
+// recordChange assigns the next change number to a case. It always returns true.
+func (l *Ledger) recordChange(rec *caseRecord) bool {
+	l.changes++
+	rec.change = l.changes
 	return true
 }
 
-// hold returns the case of a request, which it creates if there is none.
-func (l *Ledger) hold(now time.Duration, request Fingerprint) *record {
+// caseOf returns the case of a request, which it creates if there is none.
+func (l *Ledger) caseOf(now time.Duration, request Fingerprint) *caseRecord {
 	if l.cases == nil {
-		l.cases = map[Fingerprint]*record{}
+		l.cases = map[Fingerprint]*caseRecord{}
 	}
 	rec := l.cases[request]
 	if rec == nil {
-		l.makeRoom(now)
-		rec = &record{ends: map[fleet.Incarnation]end{}}
+		l.evict(now)
+		rec = &caseRecord{terminations: map[fleet.Incarnation]termination{}}
 		l.cases[request] = rec
 	}
 	return rec
 }
 
-// makeRoom removes expired cases when the ledger is full. If none has expired, it evicts the least
-// important ones: those with the fewest terminations, and of these the ones that were inactive
-// longest. Callers choose what they send; requests that merely were in flight at a terminated
-// server must not evict the quarantined ones.
-func (l *Ledger) makeRoom(now time.Duration) {
-	if len(l.cases) < mostCases {
+// evict removes expired cases when the ledger is full. If it is still full then, it evicts the
+// least important ones: those with the fewest terminations, and of these the ones that were
+// inactive longest. Callers choose what they send; requests that merely were in flight at a
+// terminated server must not evict the quarantined ones.
+func (l *Ledger) evict(now time.Duration) {
+	if len(l.cases) < maxCases {
 		return
 	}
-	maps.DeleteFunc(l.cases, func(_ Fingerprint, rec *record) bool { return now-rec.touched() > EndKept })
-	if len(l.cases) < mostCases {
+	maps.DeleteFunc(l.cases, func(_ Fingerprint, rec *caseRecord) bool { return now-rec.lastActivity() > TerminationTTL })
+	if len(l.cases) < maxCases {
 		return
 	}
 	ordered := slices.SortedFunc(maps.Keys(l.cases), func(a, b Fingerprint) int { return l.cases[a].compare(l.cases[b]) })
-	for _, least := range ordered[:forgottenAtOnce] {
+	for _, least := range ordered[:evictionBatch] {
 		delete(l.cases, least)
 	}
 }
 
 // compare orders cases by importance.
-func (r *record) compare(other *record) int {
-	return cmp.Or(cmp.Compare(r.standing(), other.standing()), cmp.Compare(r.touched(), other.touched()))
+func (r *caseRecord) compare(other *caseRecord) int {
+	return cmp.Or(cmp.Compare(r.terminationCount(), other.terminationCount()), cmp.Compare(r.lastActivity(), other.lastActivity()))
 }
 
 // Judge returns how a request is to be handled.
 func (l *Ledger) Judge(now time.Duration, request Fingerprint) Judgement {
 	rec := l.cases[request]
-	if rec == nil || rec.standing() == 0 {
+	if rec == nil || rec.terminationCount() == 0 {
 		return Judgement{}
 	}
-	ends, last := rec.standing(), rec.latest()
-	judgement := Judgement{Ends: ends, LastEnd: last}
+	ends, last := rec.terminationCount(), rec.lastTermination()
+	judgement := Judgement{Terminations: ends, LastTermination: last}
 	switch {
-	case ends >= provenAfter && now < last+term(ends):
-		judgement.Verdict, judgement.Until = Quarantined, last+term(ends)
-	case ends >= suspectAfter && now-last <= EndKept:
+	case ends >= quarantineThreshold && now < last+quarantineDuration(ends):
+		judgement.Verdict, judgement.RetryAt = Quarantined, last+quarantineDuration(ends)
+	case ends >= suspectThreshold && now-last <= TerminationTTL:
 		judgement.Verdict = Suspected
 	}
 	return judgement
@@ -315,131 +317,132 @@
 	return count
 }
 
-// Suspects reports whether any request may be suspected or quarantined.
-func (l *Ledger) Suspects() bool {
+// AnySuspected reports whether any request may be suspected or quarantined.
+func (l *Ledger) AnySuspected() bool {
 	for _, rec := range l.cases {
-		if rec.standing() >= suspectAfter {
+		if rec.terminationCount() >= suspectThreshold {
 			return true
 		}
 	}
 	return false
 }
 
-// Changes returns the number of changes so far.
-func (l *Ledger) Changes() uint64 { return l.change }
+// ChangeCount returns the number of changes so far.
+func (l *Ledger) ChangeCount() uint64 { return l.changes }
 
 // Case is the state of one request as ledgers exchange it. Times are ages in milliseconds, because
 // the clocks of hosts differ.
 type Case struct {
-	Request Fingerprint `json:"request"`
-	Ends    []End       `json:"ends,omitempty"`
-	// AcquittedAgeMs is how long ago the request was known to be harmless; nil if it was never
+	Request      Fingerprint   `json:"request"`
+	Terminations []Termination `json:"ends,omitempty"`
+	// ClearedAgeMs is how long ago the request was known to be harmless; nil if it was never
 	// cleared.
-	AcquittedAgeMs *int64 `json:"acquittedAgeMs,omitempty"`
+	ClearedAgeMs *int64 `json:"acquittedAgeMs,omitempty"`
 }
 
-// End is the termination of a server during a request.
-type End struct {
+// Termination is the termination of a server during a request.
+type Termination struct {
 	Server fleet.Incarnation `json:"server"`
 	AgeMs  int64             `json:"ageMs"`
 	// Withdrawn is set if the server has answered since.
 	Withdrawn bool `json:"withdrawn,omitempty"`
 }
 
-// tell returns the case with ages as of now and its terminations ordered by age.
-func (r *record) tell(now time.Duration, request Fingerprint) Case {
+// toCase returns the case with ages as of now and its terminations ordered from the oldest to the
+// latest.
+func (r *caseRecord) toCase(now time.Duration, request Fingerprint) Case {
 	result := Case{Request: request}
-	for server, known := range r.ends {
-		result.Ends = append(result.Ends, End{Server: server, AgeMs: (now - known.at).Milliseconds(), Withdrawn: known.withdrawn})
+	for server, known := range r.terminations {
+		result.Terminations = append(result.Terminations, Termination{Server: server, AgeMs: (now - known.at).Milliseconds(), Withdrawn: known.withdrawn})
 	}
-	slices.SortFunc(result.Ends, func(a, b End) int {
+	slices.SortFunc(result.Terminations, func(a, b Termination) int {
 		return cmp.Or(cmp.Compare(b.AgeMs, a.AgeMs), cmp.Compare(a.Server.String(), b.Server.String()))
 	})
-	if r.isAcquitted {
-		age := (now - r.acquitted).Milliseconds()
-		result.AcquittedAgeMs = &age
+	if r.isCleared {
+		age := (now - r.clearedAt).Milliseconds()
+		result.ClearedAgeMs = &age
 	}
 	return result
 }
 
-// Take merges cases from another ledger, and returns the requests whose cases changed.
-func (l *Ledger) Take(now time.Duration, cases []Case) []Fingerprint {
+// Merge merges cases from another ledger, and returns the requests whose cases changed.
+func (l *Ledger) Merge(now time.Duration, cases []Case) []Fingerprint {
 	var changed []Fingerprint
 	for i := range cases {
-		if l.take(now, &cases[i]) {
+		if l.mergeCase(now, &cases[i]) {
 			changed = append(changed, cases[i].Request)
 		}
 	}
 	return changed
 }
 
-// take merges one case and reports whether that changed the ledger.
-func (l *Ledger) take(now time.Duration, received *Case) bool {
-	if l.cases[received.Request] == nil && len(received.Ends) == 0 {
+// mergeCase merges one case and reports whether that changed the ledger.
+func (l *Ledger) mergeCase(now time.Duration, received *Case) bool {
+	if l.cases[received.Request] == nil && len(received.Terminations) == 0 {
 		return false // a clearance of a request without a case
 	}
-	rec := l.hold(now, received.Request)
+	rec := l.caseOf(now, received.Request)
 	changed := false
-	if received.AcquittedAgeMs != nil {
-		changed = rec.acquit(now - time.Duration(*received.AcquittedAgeMs)*time.Millisecond)
+	if received.ClearedAgeMs != nil {
+		changed = rec.clear(now - time.Duration(*received.ClearedAgeMs)*time.Millisecond)
 	}
-	for _, each := range received.Ends {
+	for _, each := range received.Terminations {
 		at := now - time.Duration(each.AgeMs)*time.Millisecond
-		changed = l.blame(rec, each.Server, end{at: at, withdrawn: each.Withdrawn}) || changed
+		changed = l.addTermination(rec, each.Server, termination{at: at, withdrawn: each.Withdrawn}) || changed
 	}
-	return changed && l.changed(rec)
+	return changed && l.recordChange(rec)
 }
 
-// Audience is the group of ledgers that cases are sent to.
-type Audience int
+// Recipients are the ledgers that cases are sent to.
+type Recipients int
 
 const (
-	// Collector is the ledger that merges the observations of all hosts. It needs single
+	// ToCollector stands for the ledger that merges the observations of all hosts. It needs single
 	// terminations too.
-	Collector Audience = iota
-	// Everyone stands for the ledgers of all hosts. They need only requests that are or were
+	ToCollector Recipients = iota
+	// ToAllHosts stands for the ledgers of all hosts. They need only requests that are or were
 	// suspected: a dozen requests are in flight at a server that terminates, and thousands in a
 	// failure domain.
-	Everyone
+	ToAllHosts
 )
 
-// owes reports whether an audience needs the case.
-func (r *record) owes(to Audience) bool {
-	return to == Collector || r.suspected
+// isFor reports whether the recipients need the case.
+func (r *caseRecord) isFor(to Recipients) bool {
+	return to == ToCollector || r.wasSuspected
 }
 
-// Tell returns the cases that changed after the change numbered after, oldest change first and at
-// most limit of them, and the number of the last change that they cover.
-func (l *Ledger) Tell(now time.Duration, after uint64, limit int, to Audience) ([]Case, uint64) {
-	if after >= l.change {
-		return nil, l.change
+// ChangesSince returns the cases that changed after the change numbered after, oldest change first
+// and at most limit of them, and the number of the last change that they cover.
+func (l *Ledger) ChangesSince(now time.Duration, after uint64, limit int, to Recipients) ([]Case, uint64) {
+	if after >= l.changes {
+		return nil, l.changes
 	}
 	var due []Fingerprint
 	for request, rec := range l.cases {
-		if rec.change > after && rec.owes(to) {
+		if rec.change > after && rec.isFor(to) {
 			due = append(due, request)
 		}
 	}
 	slices.SortFunc(due, func(a, b Fingerprint) int { return cmp.Compare(l.cases[a].change, l.cases[b].change) })
-	upTo := l.change
+	upTo := l.changes
 	if len(due) > limit {
 		due = due[:limit]
 		upTo = l.cases[due[limit-1]].change
 	}
 	var cases []Case
 	for _, request := range due {
-		cases = append(cases, l.cases[request].tell(now, request))
+		cases = append(cases, l.cases[request].toCase(now, request))
 	}
 	return cases, upTo
 }
 
-// Proven returns the cases with enough unexpired terminations for a quarantine, ordered by
-// fingerprint.
-func (l *Ledger) Proven(now time.Duration) []Case {
+// QuarantineCases returns the cases with enough terminations for a quarantine, also those whose
+// quarantine has ended, until the last termination expires. They are ordered by fingerprint.
+func (l *Ledger) QuarantineCases(now time.Duration) []Case {
 	var proven []Case
 	for request, rec := range l.cases {
-		if rec.standing() >= provenAfter && now-rec.latest() <= EndKept {
-			proven = append(proven, rec.tell(now, request))
+		if rec.terminationCount() >= quarantineThreshold && now-rec.lastTermination() <= TerminationTTL {
+			proven = append(proven, rec.toCase(now, request))
 		}
 	}
 	slices.SortFunc(proven, func(a, b Case) int { return slices.Compare(a.Request[:], b.Request[:]) })
--- a/poison/witness.go
+++ b/poison/witness.go
@@ -8,34 +8,35 @@
 )
 
 const (
-	// proofWithin is the maximum time between a request going unanswered and the proof of its
+	// blameWindow is the maximum time between a request going unanswered and the proof of its
 	// server's termination. A server that terminates without notice is replaced within seconds,
 	// under a new ID.
-	proofWithin = 10 * time.Second
-	// mostServers bounds the servers that a Witness stores, mostAtServer the unanswered requests
-	// stored per server. The latter is larger than the slots and the queue of a server.
-	mostServers  = 1024
-	mostAtServer = 64
-	// sweepEvery is the minimum time between two removals of expired servers.
-	sweepEvery = time.Second
+	blameWindow = 10 * time.Second
+	// maxServers bounds the servers that an UnansweredTracker stores, maxUnansweredPerServer the
+	// unanswered requests stored per server. The latter is larger than the slots and the queue of a
+	// server.
+	maxServers             = 1024
+	maxUnansweredPerServer = 64
+	// expireInterval is the minimum time between two removals of expired servers.
+	expireInterval = time.Second
 )
 
-// Witness relates terminations of servers to the requests that were in flight there, as observed by
-// one host. A request that was sent and not answered proves nothing by itself: the connection may
-// have failed, or the server may be slow. It is blamed only when the server is proven to have
-// terminated. The zero value is ready to use. A Witness is not safe for concurrent use.
-type Witness struct {
-	servers map[fleet.Incarnation]*sighting
-	swept   time.Duration // time of the last removal of expired servers
+// UnansweredTracker relates terminations of servers to the requests that were in flight there, as
+// observed by one host. A request that was sent and not answered proves nothing by itself: the
+// connection may have failed, or the server may be slow. It is blamed only when the server is
+// proven to have terminated. The zero value is ready to use. It is not safe for concurrent use.
+type UnansweredTracker struct {
+	servers     map[fleet.Incarnation]*serverState
+	lastExpired time.Duration // time of the last removal of expired servers
 }
 
-// sighting is what a host observed of one server.
-type sighting struct {
-	address string
-	last    time.Duration // time of the last observation
-	ended   bool
-	endedAt time.Duration // when the termination was proven
-	open    []Blame       // requests that were sent and not answered
+// serverState is what a host observed of one server.
+type serverState struct {
+	address      string
+	lastSeen     time.Duration // time of the last observation
+	terminated   bool
+	terminatedAt time.Duration // when the termination was proven
+	unanswered   []Blame       // requests that were sent and not answered
 }
 
 // Blame is a request that was in flight at a server when the server terminated.
@@ -45,98 +46,98 @@
 	At time.Duration
 }
 
-// Unanswered records that a request was sent to a server and got no answer. It reports whether the
+// NoteUnanswered records that a request was sent to a server and got no answer. It reports whether the
 // server is already known to have terminated; the caller must then blame the request.
-func (w *Witness) Unanswered(now time.Duration, server fleet.Incarnation, address string, request Fingerprint) bool {
-	state := w.at(now, server, address)
+func (w *UnansweredTracker) NoteUnanswered(now time.Duration, server fleet.Incarnation, address string, request Fingerprint) bool {
+	state := w.stateOf(now, server, address)
 	if state == nil {
 		return false
 	}
-	if state.ended {
+	if state.terminated {
 		return true
 	}
-	if len(state.open) < mostAtServer {
-		state.open = append(state.open, Blame{Request: request, At: now})
+	if len(state.unanswered) < maxUnansweredPerServer {
+		state.unanswered = append(state.unanswered, Blame{Request: request, At: now})
 	}
 	return false
 }
 
-// at returns the state of a server, which it creates if there is none. It returns nil if the
+// stateOf returns the state of a server, which it creates if there is none. It returns nil if the
 // maximum number of servers is reached.
-func (w *Witness) at(now time.Duration, server fleet.Incarnation, address string) *sighting {
+func (w *UnansweredTracker) stateOf(now time.Duration, server fleet.Incarnation, address string) *serverState {
 	if w.servers == nil {
-		w.servers = map[fleet.Incarnation]*sighting{}
+		w.servers = map[fleet.Incarnation]*serverState{}
 	}
 	state := w.servers[server]
 	if state == nil {
 		w.expire(now)
-		if len(w.servers) >= mostServers {
+		if len(w.servers) >= maxServers {
 			return nil
 		}
-		state = &sighting{address: address}
+		state = &serverState{address: address}
 		w.servers[server] = state
 	}
-	state.last = now
+	state.lastSeen = now
 	return state
 }
 
-// Lived is a time span during which a server's process is known to have been running.
-type Lived struct{ From, To time.Duration }
+// AliveSpan is a time span during which a server's process is known to have been running.
+type AliveSpan struct{ From, To time.Duration }
 
-// during reports whether a time is within the span.
-func (l Lived) during(at time.Duration) bool { return l.From <= at && at < l.To }
+// contains reports whether a time is within the span.
+func (l AliveSpan) contains(at time.Duration) bool { return l.From <= at && at < l.To }
 
-// Alive records that a server's process was running during a time span. Requests that went
+// NoteAlive records that a server's process was running during a time span. Requests that went
 // unanswered within it were not caused by the termination of the server.
-func (w *Witness) Alive(server fleet.Incarnation, lived Lived) {
+func (w *UnansweredTracker) NoteAlive(server fleet.Incarnation, lived AliveSpan) {
 	state := w.servers[server]
 	if state == nil {
 		return
 	}
-	if lived.during(state.endedAt) {
-		state.ended = false // the server had not terminated
+	if lived.contains(state.terminatedAt) {
+		state.terminated = false // the server had not terminated
 	}
-	state.open = slices.DeleteFunc(state.open, func(b Blame) bool { return lived.during(b.At) })
+	state.unanswered = slices.DeleteFunc(state.unanswered, func(b Blame) bool { return lived.contains(b.At) })
 }
 
-// Ended records proof that a server has terminated, and returns the requests that were in flight
+// NoteTerminated records proof that a server has terminated, and returns the requests that were in flight
 // there, each once.
-func (w *Witness) Ended(now time.Duration, server fleet.Incarnation) []Blame {
+func (w *UnansweredTracker) NoteTerminated(now time.Duration, server fleet.Incarnation) []Blame {
 	state := w.servers[server]
-	if state == nil || state.ended {
+	if state == nil || state.terminated {
 		return nil
 	}
-	state.ended, state.endedAt, state.last = true, now, now
+	state.terminated, state.terminatedAt, state.lastSeen = true, now, now
 	var blamed []Blame
-	for _, each := range state.open {
+	for _, each := range state.unanswered {
 		duplicate := slices.ContainsFunc(blamed, func(b Blame) bool { return b.Request == each.Request })
-		if now-each.At <= proofWithin && !duplicate {
+		if now-each.At <= blameWindow && !duplicate {
 			blamed = append(blamed, each)
 		}
 	}
-	state.open = nil
+	state.unanswered = nil
 	return blamed
 }
 
-// Watched returns the IDs and addresses of the servers that have unanswered requests and are not
+// UnansweredServers returns the IDs and addresses of the servers that have unanswered requests and are not
 // known to have terminated.
-func (w *Witness) Watched() (ids, addresses map[string]bool) {
+func (w *UnansweredTracker) UnansweredServers() (ids, addresses map[string]bool) {
 	ids, addresses = map[string]bool{}, map[string]bool{}
 	for server, state := range w.servers {
-		if !state.ended && len(state.open) > 0 {
+		if !state.terminated && len(state.unanswered) > 0 {
 			ids[server.ID], addresses[state.address] = true, true
 		}
 	}
 	return ids, addresses
 }
 
-// Replaced returns the servers of Watched that must have terminated, because another incarnation is
-// registered at their address or a later one under their ID. The registered incarnations are given
-// by ID and by address.
-func (w *Witness) Replaced(byID map[string]fleet.Incarnation, byAddress map[string]fleet.Incarnation) []fleet.Incarnation {
+// ReplacedServers returns the servers of UnansweredServers that must have terminated, because
+// another incarnation is registered at their address or a later one under their ID. The registered
+// incarnations are given by ID and by address.
+func (w *UnansweredTracker) ReplacedServers(byID map[string]fleet.Incarnation, byAddress map[string]fleet.Incarnation) []fleet.Incarnation {
 	var replaced []fleet.Incarnation
 	for server, state := range w.servers {
-		if state.ended || len(state.open) == 0 {
+		if state.terminated || len(state.unanswered) == 0 {
 			continue
 		}
 		current, taken := byAddress[state.address]
@@ -148,13 +149,13 @@
 }
 
 // expire removes the servers whose last observation is too old to matter.
-func (w *Witness) expire(now time.Duration) {
-	if now-w.swept < sweepEvery {
+func (w *UnansweredTracker) expire(now time.Duration) {
+	if now-w.lastExpired < expireInterval {
 		return
 	}
-	w.swept = now
+	w.lastExpired = now
 	for server, state := range w.servers {
-		if now-state.last > proofWithin {
+		if now-state.lastSeen > blameWindow {
 			delete(w.servers, server)
 		}
 	}
--- a/tools/mutants/entries.go
+++ b/tools/mutants/entries.go
@@ -6,15 +6,15 @@
 		return mutant{name: "entries: " + name, file: pkg + "/" + file, old: old, new: fresh, pkg: pkg, run: "."}
 	}
 	return []mutant{
-		in("fleet", "fleet.go", "accept older versions", "version.Revision < known.revision || version.Revision == known.revision && known.ended", "false"),
-		in("fleet", "fleet.go", "accept an outdated removal", "known.ended || asOf < known.revision {", "known.ended {"),
-		in("fleet", "fleet.go", "accept an earlier start at once", "known.earlier < believedWrites", "false"),
-		in("fleet", "fleet.go", "never accept an earlier start", "known.earlier < believedWrites", "true"),
-		in("fleet", "fleet.go", "keep using a server whose entry can't be parsed", "		d.end(now, version.ID, known)\n		return Taken\n", "		return Taken\n"),
-		in("fleet", "fleet.go", "never forget a removal", "now-known.endedAt >= endKept", "false"),
+		in("fleet", "fleet.go", "accept older versions", "version.Revision < known.revision || version.Revision == known.revision && known.removed", "false"),
+		in("fleet", "fleet.go", "accept an outdated removal", "known.removed || asOf < known.revision {", "known.removed {"),
+		in("fleet", "fleet.go", "accept an earlier start at once", "known.earlierStarts < acceptEarlierStartAfter", "false"),
+		in("fleet", "fleet.go", "never accept an earlier start", "known.earlierStarts < acceptEarlierStartAfter", "true"),
+		in("fleet", "fleet.go", "keep using a server whose entry can't be parsed", "		d.markRemoved(now, version.ID, known)\n		return Applied\n", "		return Applied\n"),
+		in("fleet", "fleet.go", "never forget a removal", "now-known.removedAt >= removalTTL", "false"),
 		in("fleet", "evacuation.go", "evacuate again because of an outdated request", "version < known.revision || version == known.revision && !known.inForce", "false"),
 		in("fleet", "evacuation.go", "end an evacuation because of an outdated removal", "!known.inForce || asOf < known.revision", "!known.inForce"),
-		in("fleet", "evacuation.go", "consider servers warm after an evacuation", "return known.endedAt + coldDoubt", "return 0"),
+		in("fleet", "evacuation.go", "consider servers warm after an evacuation", "return known.endedAt + assumedColdFor", "return 0"),
 		in("fleet", "fleet.go", "send requests to evacuated servers", "return s.Draining || s.Evacuated", "return s.Draining"),
 		in("platform", "headers.go", "reject a load report with additional values", "if len(parts) < loadFigures {", "if len(parts) != loadFigures {"),
 		in("platform", "proven.go", "grant before the server answers on the connection", "		if err := prove(conn, address, path); err != nil {", "		if err := error(nil); path == \"\" && err != nil {"),
