--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -114,8 +114,8 @@
 	return domains
 }
 
-// assumedColdUntil returns until when a server must be considered cold because its domain's evacuation
-// ended after the given version of its entry was written, or 0 if none did.
+// assumedColdUntil returns until when a server must be considered cold because its domain's
+// evacuation ended after the given version of its entry was written, or 0 if none did.
 func (e *Evacuations) assumedColdUntil(domain string, version uint64) time.Duration {
 	known, ok := e.byDomain[domain]
 	if !ok || known.inForce || version > known.revision {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -53,8 +53,8 @@
 )
 
 // String returns the name of the result, as log lines show it.
-func (v PutResult) String() string {
-	return [...]string{"taken", "outdated", "earlier-start"}[v]
+func (r PutResult) String() string {
+	return [...]string{"taken", "outdated", "earlier-start"}[r]
 }
 
 const (
@@ -120,7 +120,8 @@
 // MarkUnavailable records that the registry is unavailable.
 func (d *Directory) MarkUnavailable(now time.Duration) { d.unavailableAt, d.wasUnavailable = now, true }
 
-// recentlyUnavailable reports whether entries may be missing only because the registry was unavailable.
+// recentlyUnavailable reports whether entries may be missing only because the registry was
+// unavailable.
 func (d *Directory) recentlyUnavailable(now time.Duration) bool {
 	return d.wasUnavailable && now-d.unavailableAt < renewalGrace
 }
@@ -269,8 +270,8 @@
 	}
 }
 
-// TakeChanges returns the servers that may have changed since the last call, and the IDs of the removed
-// ones, both ordered by ID.
+// TakeChanges returns the servers that may have changed since the last call, and the IDs of the
+// removed ones, both ordered by ID.
 func (d *Directory) TakeChanges() (changed []Server, gone []string) {
 	for _, id := range slices.Sorted(maps.Keys(d.changed)) {
 		if server, listed := d.Get(id); listed {
--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -30,16 +30,16 @@
 	gcPercent = 40
 	// runtimeMemoryFraction is the fraction of the allowed memory that the Go runtime may use.
 	runtimeMemoryFraction = 0.6
-	// readAheadFraction is the fraction of the allowed memory that may buffer responses that callers have
-	// not read yet.
+	// readAheadFraction is the fraction of the allowed memory that may buffer responses that
+	// callers have not read yet.
 	readAheadFraction = 0.0625
 	// stopMargin is the time reserved before the process is killed.
 	stopMargin = 600 * time.Millisecond
 	// abortTimeout bounds the time for sending the responses to requests that are aborted at
 	// shutdown.
 	abortTimeout = 200 * time.Millisecond
-	// settingsCheckInterval is the interval of checks whether the settings file has changed, which works
-	// without a signal.
+	// settingsCheckInterval is the interval of checks whether the settings file has changed, which
+	// works without a signal.
 	settingsCheckInterval = 2 * time.Second
 	// maxHeaderBytes bounds a request's header before a configuration is in force.
 	maxHeaderBytes = 64 << 10
--- a/notice/ledger.go
+++ b/notice/ledger.go
@@ -24,15 +24,15 @@
 // order: one without a notice ends an earlier notice only if its request was sent no earlier than
 // the notice arrived. Of two updates that arrived at different times, every host keeps the same
 // one, whichever it learns of first.
-func (n Update[V]) supersedes(current Update[V]) bool {
+func (u Update[V]) supersedes(current Update[V]) bool {
 	var zero V
 	switch {
-	case n.Value == zero && current.Value != zero:
-		return n.SentAt >= current.ReceivedAt
-	case n.Value != zero && current.Value == zero:
-		return n.ReceivedAt > current.SentAt
+	case u.Value == zero && current.Value != zero:
+		return u.SentAt >= current.ReceivedAt
+	case u.Value != zero && current.Value == zero:
+		return u.ReceivedAt > current.SentAt
 	}
-	return n.ReceivedAt > current.ReceivedAt
+	return u.ReceivedAt > current.ReceivedAt
 }
 
 // maxServers bounds the servers whose notices a ledger stores.
@@ -54,21 +54,21 @@
 
 // Apply applies the update of a server and reports whether its value changed. Servers that have
 // never sent a notice are not stored.
-func (l *Ledger[V]) Apply(server fleet.Incarnation, news Update[V]) (changed bool) {
+func (l *Ledger[V]) Apply(server fleet.Incarnation, update Update[V]) (changed bool) {
 	var zero V
 	current, present := l.latest[server]
-	if !present && (news.Value == zero || len(l.latest) >= maxServers) {
+	if !present && (update.Value == zero || len(l.latest) >= maxServers) {
 		return false
 	}
-	if present && !news.supersedes(current.Update) {
+	if present && !update.supersedes(current.Update) {
 		return false
 	}
-	changed = current.Value != news.Value
+	changed = current.Value != update.Value
 	if changed {
 		l.changes++
 		current.change = l.changes
 	}
-	current.Update = news
+	current.Update = update
 	if l.latest == nil {
 		l.latest = map[fleet.Incarnation]entry[V]{}
 	}
@@ -80,7 +80,7 @@
 func (l *Ledger[V]) Value(server fleet.Incarnation) V { return l.latest[server].Value }
 
 // Latest returns the latest update of a server, and whether there is any.
-func (l *Ledger[V]) Latest(server fleet.Incarnation) (news Update[V], known bool) {
+func (l *Ledger[V]) Latest(server fleet.Incarnation) (update Update[V], known bool) {
 	found, known := l.latest[server]
 	return found.Update, known
 }
@@ -128,13 +128,13 @@
 }
 
 // NewPeerUpdate converts an update to a message.
-func NewPeerUpdate[V comparable](now time.Duration, server fleet.Incarnation, news Update[V]) PeerUpdate[V] {
-	return PeerUpdate[V]{Server: server, Value: news.Value, SentAgoMs: (now - news.SentAt).Milliseconds(), ReceivedAgoMs: (now - news.ReceivedAt).Milliseconds()}
+func NewPeerUpdate[V comparable](now time.Duration, server fleet.Incarnation, update Update[V]) PeerUpdate[V] {
+	return PeerUpdate[V]{Server: server, Value: update.Value, SentAgoMs: (now - update.SentAt).Milliseconds(), ReceivedAgoMs: (now - update.ReceivedAt).Milliseconds()}
 }
 
 // ToUpdate converts a message to an update with times of this host's clock.
-func (t PeerUpdate[V]) ToUpdate(now time.Duration) Update[V] {
-	return Update[V]{Value: t.Value, SentAt: now - time.Duration(t.SentAgoMs)*time.Millisecond, ReceivedAt: now - time.Duration(t.ReceivedAgoMs)*time.Millisecond}
+func (p PeerUpdate[V]) ToUpdate(now time.Duration) Update[V] {
+	return Update[V]{Value: p.Value, SentAt: now - time.Duration(p.SentAgoMs)*time.Millisecond, ReceivedAt: now - time.Duration(p.ReceivedAgoMs)*time.Millisecond}
 }
 
 // ChangesSince returns the values that changed after the change numbered since, oldest change first
--- a/notice/ledger_test.go
+++ b/notice/ledger_test.go
@@ -25,8 +25,8 @@
 // Guards against losing a limit to a response that was overtaken by a later one.
 func TestLedgerAppliesUpdatesInOrder(t *testing.T) {
 	for name, test := range map[string]struct {
-		news []Update[float64]
-		want float64
+		updates []Update[float64]
+		want    float64
 	}{
 		"no limit":                  {[]Update[float64]{limitUpdate(0, 1, 2)}, 0},
 		"limit":                     {[]Update[float64]{limitUpdate(3, 1, 2)}, 3},
@@ -40,8 +40,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var ledger Ledger[float64]
-			for _, news := range test.news {
-				ledger.Apply(first, news)
+			for _, update := range test.updates {
+				ledger.Apply(first, update)
 			}
 			assert.Equal(t, ledger.Value(first), test.want)
 			assert.Equal(t, ledger.Value(second), 0.0, "another incarnation")
@@ -53,19 +53,19 @@
 // different order: a host that knows of a limit gets no permits from one that does not.
 func TestOrderOfUpdatesDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var news []Update[float64]
+		var updates []Update[float64]
 		for range 3 {
 			sent := rapid.IntRange(1, 9).Draw(t, "sent")
 			heard := rapid.IntRange(sent, 10).Draw(t, "heard")
 			// No two updates arrive at exactly the same time.
-			at := time.Duration(heard)*time.Second + time.Duration(len(news))
-			news = append(news, Update[float64]{Value: float64(rapid.IntRange(0, 2).Draw(t, "limit")), SentAt: time.Duration(sent) * time.Second, ReceivedAt: at})
+			at := time.Duration(heard)*time.Second + time.Duration(len(updates))
+			updates = append(updates, Update[float64]{Value: float64(rapid.IntRange(0, 2).Draw(t, "limit")), SentAt: time.Duration(sent) * time.Second, ReceivedAt: at})
 		}
 		limit := func(order ...int) float64 {
 			ledger := Ledger[float64]{}
 			ledger.Apply(first, limitUpdate(9, 0, 0))
 			for _, i := range order {
-				ledger.Apply(first, news[i])
+				ledger.Apply(first, updates[i])
 			}
 			return ledger.Value(first)
 		}
--- a/poison/answered.go
+++ b/poison/answered.go
@@ -9,8 +9,8 @@
 	// answeredGeneration is how long a generation of answered requests lasts. A request is
 	// remembered for one to two generations.
 	answeredGeneration = 5 * time.Second
-	// maxGenerationSize bounds the requests of one generation. A host that answers more starts a new
-	// generation earlier, and so remembers requests for a shorter time.
+	// maxGenerationSize bounds the requests of one generation. A host that answers more starts a
+	// new generation earlier, and so remembers requests for a shorter time.
 	maxGenerationSize = 4096
 )
 
--- a/poison/fuzz_test.go
+++ b/poison/fuzz_test.go
@@ -144,8 +144,8 @@
 	w.collectorHost().faultFreeSince = w.now
 }
 
-// sendBystander lets a harmless request be in flight at a server that terminates, and be answered at
-// another host later.
+// sendBystander lets a harmless request be in flight at a server that terminates, and be answered
+// at another host later.
 func (w *simulation) sendBystander(at, answeredAt *simHost, path string) {
 	w.servers++
 	at.ledger.Blame(w.now, incarnationOf(fmt.Sprint("s", w.servers)), blameFor(path, w.now))
--- a/poison/ledger.go
+++ b/poison/ledger.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// suspectThreshold is the number of terminations from which a host no longer retries a request: the
-	// caller gets the failure at once, and the other hosts learn of the request before its next
+	// suspectThreshold is the number of terminations from which a host no longer retries a request:
+	// the caller gets the failure at once, and the other hosts learn of the request before its next
 	// copy arrives.
 	suspectThreshold = 2
-	// quarantineThreshold is the number of terminations from which a request is quarantined. One or two
-	// happen by chance when servers fail one after the other.
+	// quarantineThreshold is the number of terminations from which a request is quarantined. One or
+	// two happen by chance when servers fail one after the other.
 	quarantineThreshold = 3
 	// TerminationTTL is how long a termination counts.
 	TerminationTTL = 24 * time.Hour
@@ -34,8 +34,8 @@
 var quarantineDurations = [...]time.Duration{10 * time.Minute, time.Hour, 6 * time.Hour, TerminationTTL}
 
 // quarantineDuration returns the duration of a quarantine after the last termination.
-func quarantineDuration(ends int) time.Duration {
-	return quarantineDurations[min(ends-quarantineThreshold, len(quarantineDurations)-1)]
+func quarantineDuration(terminations int) time.Duration {
+	return quarantineDurations[min(terminations-quarantineThreshold, len(quarantineDurations)-1)]
 }
 
 // Verdict is how a request is handled.
@@ -71,8 +71,8 @@
 // value is ready to use. A Ledger is not safe for concurrent use.
 type Ledger struct {
 	cases map[Fingerprint]*caseRecord
-	// terminatedServers holds the servers with a termination in some case, and possibly servers that had one
-	// earlier.
+	// terminatedServers holds the servers with a termination in some case, and possibly servers
+	// that had one earlier.
 	terminatedServers map[fleet.Incarnation]struct{}
 	// changes is the number of changes so far.
 	changes uint64
@@ -110,7 +110,8 @@
 	return count
 }
 
-// lastTermination returns the time of the last termination that is not withdrawn, or 0 if there is none.
+// lastTermination returns the time of the last termination that is not withdrawn, or 0 if there is
+// none.
 func (r *caseRecord) lastTermination() time.Duration {
 	var last time.Duration
 	first := true
@@ -180,10 +181,10 @@
 	if r.isCleared && at <= r.clearedAt {
 		return false
 	}
-	first, ends := !r.isCleared, len(r.terminations)
+	first, before := !r.isCleared, len(r.terminations)
 	r.clearedAt, r.isCleared = at, true
 	maps.DeleteFunc(r.terminations, func(_ fleet.Incarnation, each termination) bool { return each.at <= at })
-	return first || len(r.terminations) < ends
+	return first || len(r.terminations) < before
 }
 
 // Blame records that a server terminated during a request, and reports whether that changed the
@@ -228,14 +229,14 @@
 // terminations within that span, and returns the requests concerned. A host may have been wrong
 // about a termination because something between it and the server refuses connections, for example
 // during a network failure.
-func (l *Ledger) NoteAlive(server fleet.Incarnation, lived AliveSpan) []Fingerprint {
+func (l *Ledger) NoteAlive(server fleet.Incarnation, alive AliveSpan) []Fingerprint {
 	if _, tracked := l.terminatedServers[server]; !tracked {
 		return nil // fast path of nearly every answer
 	}
 	var cleared []Fingerprint
 	for request, rec := range l.cases {
 		existing, exists := rec.terminations[server]
-		if exists && !existing.withdrawn && lived.contains(existing.at) {
+		if exists && !existing.withdrawn && alive.contains(existing.at) {
 			existing.withdrawn = true
 			rec.terminations[server] = existing
 			l.recordChange(rec)
@@ -295,12 +296,12 @@
 	if rec == nil || rec.terminationCount() == 0 {
 		return Judgement{}
 	}
-	ends, last := rec.terminationCount(), rec.lastTermination()
-	judgement := Judgement{Terminations: ends, LastTermination: last}
+	count, last := rec.terminationCount(), rec.lastTermination()
+	judgement := Judgement{Terminations: count, LastTermination: last}
 	switch {
-	case ends >= quarantineThreshold && now < last+quarantineDuration(ends):
-		judgement.Verdict, judgement.RetryAt = Quarantined, last+quarantineDuration(ends)
-	case ends >= suspectThreshold && now-last <= TerminationTTL:
+	case count >= quarantineThreshold && now < last+quarantineDuration(count):
+		judgement.Verdict, judgement.RetryAt = Quarantined, last+quarantineDuration(count)
+	case count >= suspectThreshold && now-last <= TerminationTTL:
 		judgement.Verdict = Suspected
 	}
 	return judgement
--- a/poison/ledger_test.go
+++ b/poison/ledger_test.go
@@ -15,14 +15,14 @@
 	return Blame{Request: fingerprintOf(path), At: at}
 }
 
-// terminatedServer returns the n-th server that terminated during a request. Each request has its own
-// servers.
+// terminatedServer returns the n-th server that terminated during a request. Each request has its
+// own servers.
 func terminatedServer(path string, n int) fleet.Incarnation {
 	return incarnationOf(fmt.Sprintf("%s-%d", path, n))
 }
 
-// addTerminations records terminations during a request, one per second, and returns the time of the
-// last one.
+// addTerminations records terminations during a request, one per second, and returns the time of
+// the last one.
 func addTerminations(l *Ledger, path string, count int, from time.Duration) time.Duration {
 	at := from
 	for i := range count {
--- a/poison/witness.go
+++ b/poison/witness.go
@@ -46,10 +46,10 @@
 	At time.Duration
 }
 
-// NoteUnanswered records that a request was sent to a server and got no answer. It reports whether the
-// server is already known to have terminated; the caller must then blame the request.
-func (w *UnansweredTracker) NoteUnanswered(now time.Duration, server fleet.Incarnation, address string, request Fingerprint) bool {
-	state := w.stateOf(now, server, address)
+// NoteUnanswered records that a request was sent to a server and got no answer. It reports whether
+// the server is already known to have terminated; the caller must then blame the request.
+func (t *UnansweredTracker) NoteUnanswered(now time.Duration, server fleet.Incarnation, address string, request Fingerprint) bool {
+	state := t.stateOf(now, server, address)
 	if state == nil {
 		return false
 	}
@@ -64,18 +64,18 @@
 
 // stateOf returns the state of a server, which it creates if there is none. It returns nil if the
 // maximum number of servers is reached.
-func (w *UnansweredTracker) stateOf(now time.Duration, server fleet.Incarnation, address string) *serverState {
-	if w.servers == nil {
-		w.servers = map[fleet.Incarnation]*serverState{}
+func (t *UnansweredTracker) stateOf(now time.Duration, server fleet.Incarnation, address string) *serverState {
+	if t.servers == nil {
+		t.servers = map[fleet.Incarnation]*serverState{}
 	}
-	state := w.servers[server]
+	state := t.servers[server]
 	if state == nil {
-		w.expire(now)
-		if len(w.servers) >= maxServers {
+		t.expire(now)
+		if len(t.servers) >= maxServers {
 			return nil
 		}
 		state = &serverState{address: address}
-		w.servers[server] = state
+		t.servers[server] = state
 	}
 	state.lastSeen = now
 	return state
@@ -85,25 +85,25 @@
 type AliveSpan struct{ From, To time.Duration }
 
 // contains reports whether a time is within the span.
-func (l AliveSpan) contains(at time.Duration) bool { return l.From <= at && at < l.To }
+func (s AliveSpan) contains(at time.Duration) bool { return s.From <= at && at < s.To }
 
 // NoteAlive records that a server's process was running during a time span. Requests that went
 // unanswered within it were not caused by the termination of the server.
-func (w *UnansweredTracker) NoteAlive(server fleet.Incarnation, lived AliveSpan) {
-	state := w.servers[server]
+func (t *UnansweredTracker) NoteAlive(server fleet.Incarnation, alive AliveSpan) {
+	state := t.servers[server]
 	if state == nil {
 		return
 	}
-	if lived.contains(state.terminatedAt) {
+	if alive.contains(state.terminatedAt) {
 		state.terminated = false // the server had not terminated
 	}
-	state.unanswered = slices.DeleteFunc(state.unanswered, func(b Blame) bool { return lived.contains(b.At) })
+	state.unanswered = slices.DeleteFunc(state.unanswered, func(b Blame) bool { return alive.contains(b.At) })
 }
 
-// NoteTerminated records proof that a server has terminated, and returns the requests that were in flight
-// there, each once.
-func (w *UnansweredTracker) NoteTerminated(now time.Duration, server fleet.Incarnation) []Blame {
-	state := w.servers[server]
+// NoteTerminated records proof that a server has terminated, and returns the requests that were in
+// flight there, each once.
+func (t *UnansweredTracker) NoteTerminated(now time.Duration, server fleet.Incarnation) []Blame {
+	state := t.servers[server]
 	if state == nil || state.terminated {
 		return nil
 	}
@@ -119,11 +119,11 @@
 	return blamed
 }
 
-// UnansweredServers returns the IDs and addresses of the servers that have unanswered requests and are not
-// known to have terminated.
-func (w *UnansweredTracker) UnansweredServers() (ids, addresses map[string]bool) {
+// UnansweredServers returns the IDs and addresses of the servers that have unanswered requests and
+// are not known to have terminated.
+func (t *UnansweredTracker) UnansweredServers() (ids, addresses map[string]bool) {
 	ids, addresses = map[string]bool{}, map[string]bool{}
-	for server, state := range w.servers {
+	for server, state := range t.servers {
 		if !state.terminated && len(state.unanswered) > 0 {
 			ids[server.ID], addresses[state.address] = true, true
 		}
@@ -134,9 +134,9 @@
 // ReplacedServers returns the servers of UnansweredServers that must have terminated, because
 // another incarnation is registered at their address or a later one under their ID. The registered
 // incarnations are given by ID and by address.
-func (w *UnansweredTracker) ReplacedServers(byID map[string]fleet.Incarnation, byAddress map[string]fleet.Incarnation) []fleet.Incarnation {
+func (t *UnansweredTracker) ReplacedServers(byID map[string]fleet.Incarnation, byAddress map[string]fleet.Incarnation) []fleet.Incarnation {
 	var replaced []fleet.Incarnation
-	for server, state := range w.servers {
+	for server, state := range t.servers {
 		if state.terminated || len(state.unanswered) == 0 {
 			continue
 		}
@@ -149,14 +149,14 @@
 }
 
 // expire removes the servers whose last observation is too old to matter.
-func (w *UnansweredTracker) expire(now time.Duration) {
-	if now-w.lastExpired < expireInterval {
+func (t *UnansweredTracker) expire(now time.Duration) {
+	if now-t.lastExpired < expireInterval {
 		return
 	}
-	w.lastExpired = now
-	for server, state := range w.servers {
+	t.lastExpired = now
+	for server, state := range t.servers {
 		if now-state.lastSeen > blameWindow {
-			delete(w.servers, server)
+			delete(t.servers, server)
 		}
 	}
 }
--- a/tools/mutants/limits.go
+++ b/tools/mutants/limits.go
@@ -7,12 +7,12 @@
 	pool := breaking("balance", "Limit|Permit|Fallback|Suspected|AtOnce|RejectedOnBackoff")
 	host := breaking("gateway", "LimitOfAServer|KeyedServices|RestartedServer|NewScheduler")
 	return []mutant{
-		told("ledger.go", "end a limit by an answer that was in flight", "return n.SentAt >= current.ReceivedAt", "return n.ReceivedAt >= current.ReceivedAt"),
-		told("ledger.go", "accept reports in any order", "	}\n	return n.ReceivedAt > current.ReceivedAt", "	}\n	return true"),
-		told("ledger.go", "let the order of reports decide which one wins", "return n.ReceivedAt > current.SentAt", "return n.ReceivedAt > current.ReceivedAt"),
+		told("ledger.go", "end a limit by an answer that was in flight", "return u.SentAt >= current.ReceivedAt", "return u.ReceivedAt >= current.ReceivedAt"),
+		told("ledger.go", "accept reports in any order", "	}\n	return u.ReceivedAt > current.ReceivedAt", "	}\n	return true"),
+		told("ledger.go", "let the order of reports decide which one wins", "return u.ReceivedAt > current.SentAt", "return u.ReceivedAt > current.ReceivedAt"),
 		told("ledger.go", "keep any number of servers", " || len(l.latest) >= maxServers", ""),
 		told("ledger.go", "send all limits again", "if current.change > since {", "if true {"),
-		told("ledger.go", "drop the age of a report", "ReceivedAt: now - time.Duration(t.ReceivedAgoMs)*time.Millisecond", "ReceivedAt: now"),
+		told("ledger.go", "drop the age of a report", "ReceivedAt: now - time.Duration(p.ReceivedAgoMs)*time.Millisecond", "ReceivedAt: now"),
 		in("schedule.go", "accumulate permits for seconds", "burstAllowance = 250 * time.Millisecond", "burstAllowance = 4 * time.Second"),
 		in("schedule.go", "issue a permit at once after taking over", "s.next, s.started = now+interval(perSecond), true", "s.started = true"),
 		in("schedule.go", "space permits from the time of the request", "s.next = due + interval(perSecond)", "s.next = now + interval(perSecond)"),
