--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -23,46 +23,46 @@
 )
 
 const (
-	// logLines is how many log lines may wait to be written.
-	logLines = 512
-	// heapGrowth is the garbage collector's target in percent. Memory at its
-	// peak is dearer than processor time, of which the collector then takes more.
-	heapGrowth = 40
-	// memoryShare is the part of the memory allowed that the heap may take.
-	memoryShare = 0.6
-	// unreadShare is the part of the memory allowed that may be held of answers that callers
-	// have not read.
-	unreadShare = 0.0625
-	// stopMargin is kept to the moment at which the process is killed.
+	// maxQueuedLogLines is the maximum number of log lines that wait to be written.
+	maxQueuedLogLines = 512
+	// gcPercent is the garbage collector's target percentage. It is below the default of 100
+	// because peak memory is scarcer than the processor time of the additional collections.
+	gcPercent = 40
+	// runtimeMemoryFraction is the fraction of the allowed memory that the Go runtime may use.
+	runtimeMemoryFraction = 0.6
+	// readAheadFraction is the fraction of the allowed memory that may buffer responses that
+	// callers have not read yet.
+	readAheadFraction = 0.0625
+	// stopMargin is the time reserved before the process is killed.
 	stopMargin = 600 * time.Millisecond
-	// lastAnswers is how long the answers of requests that are ended at the stop may
-	// take to leave.
-	lastAnswers = 200 * time.Millisecond
-	// lookEvery is how often the settings file is looked at; it may change
-	// without a signal.
-	lookEvery = 2 * time.Second
-	// headerBytes bounds a request's header before a configuration says so.
-	headerBytes = 64 << 10
+	// abortTimeout bounds the time for sending the responses to requests that are aborted at
+	// shutdown.
+	abortTimeout = 200 * time.Millisecond
+	// settingsCheckInterval is the interval of checks whether the settings file has changed, which
+	// works without a signal.
+	settingsCheckInterval = 2 * time.Second
+	// maxHeaderBytes bounds a request's header before a configuration is in force.
+	maxHeaderBytes = 64 << 10
 )
 
-// Below these a host is small. A controller of 76 hosts sends each change of an
-// assignment, some 12 KB, to all of them: 7 Mbit, most of a second on a link of
-// 10 Mbit/s, during which the host's own requests wait.
+// A host below one of these is small. A controller sends each change of an assignment, some 12 KB,
+// to all hosts: with 76 hosts these are 7 Mbit, which occupy a link of 10 Mbit/s for most of a
+// second and delay the host's own requests.
 const (
 	smallProcessor = 0.25 // cores
 	smallLinkMbps  = 50.0 // Mbit/s
 )
 
-// Daemon is the process.
+// Daemon is the cicada-gateway process.
 type Daemon struct {
 	settings Settings
 	gateway  *gateway.Gateway
 	store    *platform.Store
 	log      *log.Logger
-	lines    *logs.Bounded
+	logQueue *logs.Bounded
 }
 
-func newLines() *logs.Bounded { return logs.NewBounded(logLines) }
+func newLines() *logs.Bounded { return logs.NewBounded(maxQueuedLogLines) }
 
 func newLog(s Settings, lines *logs.Bounded) *log.Logger {
 	return logs.New(lines, "cicada-gateway", s.Host, logs.Level(s.LogLevel))
@@ -72,7 +72,7 @@
 
 func newIdentity(s Settings) gateway.Identity {
 	return gateway.Identity{Host: s.Host, Domain: s.Domain, PeerAddress: s.Peers, Incarnation: rand.Uint64() >> 1, FirstStart: s.FirstStart, RetryRatio: s.RetryRatio, RetryReserve: s.RetryReserve,
-		ReadAheadLimit: int64(float64(s.MemoryMB) * unreadShare * (1 << 20)),
+		ReadAheadLimit: int64(float64(s.MemoryMB) * readAheadFraction * (1 << 20)),
 		Seeds:          s.Seeds, ApplyWithin: min(s.ConfigurationWithin, s.DrainWithin), EvacuateWithin: s.EvacuateWithin,
 		Small: s.Processor < smallProcessor || s.LinkMbps < smallLinkMbps}
 }
@@ -82,10 +82,10 @@
 }
 
 func newDaemon(s Settings, g *gateway.Gateway, store *platform.Store, logger *log.Logger, lines *logs.Bounded) *Daemon {
-	return &Daemon{settings: s, gateway: g, store: store, log: logger, lines: lines}
+	return &Daemon{settings: s, gateway: g, store: store, log: logger, logQueue: lines}
 }
 
-// listeners are the process's listening sockets.
+// listeners are the listening sockets of the process.
 type listeners struct{ callers, ready, peers, metrics net.Listener }
 
 func (d *Daemon) listen() (listeners, error) {
@@ -94,7 +94,7 @@
 		what, address string
 		into          *net.Listener
 	}{
-		{"callers", d.settings.Callers, &l.callers}, {"the balancer's check", d.settings.Ready, &l.ready},
+		{"callers", d.settings.Callers, &l.callers}, {"readiness checks", d.settings.Ready, &l.ready},
 		{"other hosts", d.settings.Peers, &l.peers}, {"metrics", d.settings.Metrics, &l.metrics},
 	} {
 		listener, err := net.Listen("tcp", each.address)
@@ -106,80 +106,80 @@
 	return l, nil
 }
 
-// Run serves until the context ends, and then leaves: the balancer's check
-// fails at once, callers are served until the balancer has noticed, what is
-// under way is finished, and the process ends before it would be killed.
+// Run serves until the context is done, and then shuts down: readiness checks fail at once, callers
+// are served until the load balancer has noticed, requests in progress are completed, and the
+// process ends before it would be killed.
 func (d *Daemon) Run(ctx context.Context) error {
-	debug.SetGCPercent(heapGrowth)
-	debug.SetMemoryLimit(int64(float64(d.settings.MemoryMB) * memoryShare * (1 << 20)))
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(float64(d.settings.MemoryMB) * runtimeMemoryFraction * (1 << 20)))
 	stopLog := make(chan struct{})
-	var writing sync.WaitGroup
-	writing.Go(func() { d.lines.Run(os.Stdout, stopLog) })
-	defer writing.Wait()
+	var logWriter sync.WaitGroup
+	logWriter.Go(func() { d.logQueue.Run(os.Stdout, stopLog) })
+	defer logWriter.Wait()
 	defer close(stopLog)
-	open, err := d.listen()
+	sockets, err := d.listen()
 	if err != nil {
 		return err
 	}
-	running, cancel := context.WithCancel(context.Background())
+	gatewayCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	callers := &http.Server{Handler: d.gateway, ReadHeaderTimeout: firstHeaderTimeout, IdleTimeout: firstIdleTimeout,
-		MaxHeaderBytes: headerBytes, ConnState: noteState, ErrorLog: d.log.StandardLog()}
-	ready := d.server(d.readyHandler())
-	peers := d.server(d.gateway.PeerHandler())
-	metrics := d.server(d.metricsHandler())
-	go d.serve(callers, callerListener{Listener: open.callers, limits: d.gateway.Limits})
-	go d.serve(ready, open.ready)
-	go d.serve(peers, open.peers)
-	go d.serve(metrics, open.metrics)
-	go d.watchSettings(running)
-	duties := d.gateway.Start(running)
+	callers := &http.Server{Handler: d.gateway, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout,
+		MaxHeaderBytes: maxHeaderBytes, ConnState: updateConnState, ErrorLog: d.log.StandardLog()}
+	ready := d.newServer(d.readinessHandler())
+	peers := d.newServer(d.gateway.PeerHandler())
+	metrics := d.newServer(d.metricsHandler())
+	go d.serve(callers, callerListener{Listener: sockets.callers, limits: d.gateway.Limits})
+	go d.serve(ready, sockets.ready)
+	go d.serve(peers, sockets.peers)
+	go d.serve(metrics, sockets.metrics)
+	go d.watchSettings(gatewayCtx)
+	tasks := d.gateway.Start(gatewayCtx)
 	d.log.Info("started", "domain", d.settings.Domain, "callers", d.settings.Callers, "store", d.settings.Store)
 	<-ctx.Done()
-	err = d.leave(callers)
+	err = d.shutdown(callers)
 	cancel()
-	duties.Wait()
-	d.log.Info("stopped", "log-lines-dropped", d.lines.Dropped())
+	tasks.Wait()
+	d.log.Info("stopped", "log-lines-dropped", d.logQueue.Dropped())
 	return err
 }
 
-// leave ends the service to callers.
-func (d *Daemon) leave(callers *http.Server) error {
+// shutdown stops serving callers.
+func (d *Daemon) shutdown(callers *http.Server) error {
 	d.log.Info("stopping", "leave-for-ms", d.settings.LeaveFor.Milliseconds(), "within-ms", d.settings.StopWithin.Milliseconds())
 	within := d.settings.StopWithin - stopMargin
-	until, cancel := context.WithTimeout(context.Background(), within)
+	stopCtx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	d.gateway.Stop(within)
 	select {
 	case <-time.After(min(d.settings.LeaveFor, within)):
-	case <-until.Done():
+	case <-stopCtx.Done():
 	}
-	err := callers.Shutdown(until)
+	err := callers.Shutdown(stopCtx)
 	if err == nil {
 		return nil
 	}
-	d.log.Warn("requests are still under way at the end", "error", err.Error())
+	d.log.Warn("requests are still in progress at the end of the shutdown time; aborting them", "error", err.Error())
 	d.gateway.AbortRequests()
-	answering, cancel := context.WithTimeout(context.Background(), lastAnswers)
+	abortCtx, cancel := context.WithTimeout(context.Background(), abortTimeout)
 	defer cancel()
-	if err := callers.Shutdown(answering); err != nil {
-		d.log.Warn("requests were not answered at the end", "error", err.Error())
+	if err := callers.Shutdown(abortCtx); err != nil {
+		d.log.Warn("aborted requests were not answered before the process ended", "error", err.Error())
 	}
 	return nil
 }
 
-func (d *Daemon) server(handler http.Handler) *http.Server {
-	return &http.Server{Handler: handler, ReadHeaderTimeout: firstHeaderTimeout, IdleTimeout: firstIdleTimeout, ErrorLog: d.log.StandardLog()}
+func (d *Daemon) newServer(handler http.Handler) *http.Server {
+	return &http.Server{Handler: handler, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout, ErrorLog: d.log.StandardLog()}
 }
 
 func (d *Daemon) serve(server *http.Server, listener net.Listener) {
 	err := server.Serve(listener)
 	if !errors.Is(err, http.ErrServerClosed) {
-		d.log.Error("listener ended", "address", listener.Addr().String(), "error", err.Error())
+		d.log.Error("server stopped accepting connections", "address", listener.Addr().String(), "error", err.Error())
 	}
 }
 
-func (d *Daemon) readyHandler() http.Handler {
+func (d *Daemon) readinessHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+platform.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !d.gateway.Ready() {
@@ -198,14 +198,14 @@
 	return mux
 }
 
-// watchSettings reads the settings again when the file has changed or SIGHUP
-// came. What can't be read leaves the last good settings in force.
+// watchSettings reloads the settings when the file has changed or on SIGHUP. If the file is
+// invalid, the last valid settings stay in effect.
 func (d *Daemon) watchSettings(ctx context.Context) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	seen := modified(d.settings.File)
-	ticker := time.NewTicker(lookEvery)
+	lastModified := modificationTime(d.settings.File)
+	ticker := time.NewTicker(settingsCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -213,16 +213,16 @@
 			return
 		case <-hangups:
 		case <-ticker.C:
-			if now := modified(d.settings.File); now.IsZero() || now.Equal(seen) {
+			if now := modificationTime(d.settings.File); now.IsZero() || now.Equal(lastModified) {
 				continue
 			}
 		}
-		seen = modified(d.settings.File)
+		lastModified = modificationTime(d.settings.File)
 		d.reload()
 	}
 }
 
-func modified(file string) time.Time {
+func modificationTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
 		return time.Time{}
@@ -230,17 +230,17 @@
 	return info.ModTime()
 }
 
-// reload puts what can change while the process runs in force: the store's
-// address and the log level. Other changes take effect at the next start.
+// reload applies the settings that can change while the process runs: the store's address and the
+// log level. Other changes take effect at the next start.
 func (d *Daemon) reload() {
-	fresh, err := Load(d.settings.File)
+	reloaded, err := Load(d.settings.File)
 	if err != nil {
-		d.log.Error("settings left aside; the last good ones stay in force", "error", err.Error())
+		d.log.Error("settings left aside; the last valid ones stay in effect", "error", err.Error())
 		return
 	}
-	d.store.SetAddress(fresh.Store)
-	d.log.SetLevel(logs.Level(fresh.LogLevel))
-	kept := fresh
-	kept.Store, kept.LogLevel = d.settings.Store, d.settings.LogLevel
-	d.log.Info("settings read again", "store", fresh.Store, "level", fresh.LogLevel, "others-wait-for-restart", !reflect.DeepEqual(kept, d.settings))
+	d.store.SetAddress(reloaded.Store)
+	d.log.SetLevel(logs.Level(reloaded.LogLevel))
+	others := reloaded
+	others.Store, others.LogLevel = d.settings.Store, d.settings.LogLevel
+	d.log.Info("settings read again", "store", reloaded.Store, "level", reloaded.LogLevel, "others-wait-for-restart", !reflect.DeepEqual(others, d.settings))
 }
--- a/gateway/servers.go
+++ b/gateway/servers.go
@@ -45,7 +45,7 @@
 func (g *Gateway) noteRegistryUnavailable(error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.directory.Away(g.now())
+	g.directory.MarkUnavailable(g.now())
 }
 
 // applyServerChange applies one change of an entry.
@@ -63,7 +63,7 @@
 	g.mu.Lock()
 	verdict := g.directory.Put(g.now(), version)
 	g.mu.Unlock()
-	if verdict == fleet.Taken && !g.logsEntries() {
+	if verdict == fleet.Applied && !g.logsEntries() {
 		return
 	}
 	g.log.Info("server entry", "server", version.Incarnation().String(), "service", version.Service, "draining", version.Draining,
@@ -126,7 +126,7 @@
 	if err := json.Unmarshal(object.Spec, &text); err != nil {
 		return fleet.Server{}, err
 	}
-	return fleet.ReadEntryText(object.Name, text)
+	return fleet.DecodeEntry(object.Name, text)
 }
 
 // report counts and logs an entry that can't be decoded, once for each version.
--- a/notice/ledger.go
+++ b/notice/ledger.go
@@ -1,6 +1,6 @@
-// Package notice keeps what backend servers tell of themselves in their answers, as one host
-// has heard it from them or from other hosts. It is pure: time comes in as an argument, and
-// nothing blocks.
+// Package notice stores the notices that backend servers send in their responses, such as a rate
+// limit, as received by one host from the servers or from other hosts. It performs no I/O and reads
+// no clock: callers pass the time as an argument, and nothing blocks.
 package notice
 
 import (
@@ -11,153 +11,156 @@
 	"cicadarouter/fleet"
 )
 
-// News is what an answer of a server said. The zero Value stands for nothing.
-type News[V comparable] struct {
+// Update is the value of a notice in one response of a server. The zero Value means that the
+// response had no such notice.
+type Update[V comparable] struct {
 	Value V
-	// Sent is when the request left that the server answered, Heard when the answer came:
-	// the server said so in between.
-	Sent, Heard time.Duration
+	// SentAt is when the request left the host, ReceivedAt when the response arrived. The server
+	// produced the value between the two.
+	SentAt, ReceivedAt time.Duration
 }
 
-// newer reports whether the news replaces what is known. Answers overtake each other: one
-// that says nothing ends what was said only if its request left after that was heard.
-// Of two news the same one wins at every host, whichever it hears first.
-func (n News[V]) newer(known News[V]) bool {
-	var nothing V
+// supersedes reports whether the update replaces the current one. Responses may arrive out of
+// order: one without a notice ends an earlier notice only if its request was sent no earlier than
+// the notice arrived. Of two updates that arrived at different times, every host keeps the same
+// one, whichever it learns of first.
+func (u Update[V]) supersedes(current Update[V]) bool {
+	var zero V
 	switch {
-	case n.Value == nothing && known.Value != nothing:
-		return n.Sent >= known.Heard
-	case n.Value != nothing && known.Value == nothing:
-		return n.Heard > known.Sent
+	case u.Value == zero && current.Value != zero:
+		return u.SentAt >= current.ReceivedAt
+	case u.Value != zero && current.Value == zero:
+		return u.ReceivedAt > current.SentAt
 	}
-	return n.Heard > known.Heard
+	return u.ReceivedAt > current.ReceivedAt
 }
 
-// mostServers bounds the servers of which a ledger keeps news.
-const mostServers = 1024
+// maxServers bounds the servers whose notices a ledger stores.
+const maxServers = 1024
 
-// entry is the news of one server.
+// entry is the latest notice of one server.
 type entry[V comparable] struct {
-	News[V]
-	// change counts the ledger's changes up to the one that last changed the value.
+	Update[V]
+	// change is the number of the ledger's change that last changed the value.
 	change uint64
 }
 
-// Ledger holds one kind of news of all servers. The zero value is empty. It is not safe for
+// Ledger holds one kind of notice of all servers. The zero value is empty. A Ledger is not safe for
 // concurrent use.
 type Ledger[V comparable] struct {
-	known   map[fleet.Incarnation]entry[V]
+	latest  map[fleet.Incarnation]entry[V]
 	changes uint64
 }
 
-// Take takes news of a server and reports whether its value has changed. Servers that have
-// never said anything are not kept.
-func (l *Ledger[V]) Take(server fleet.Incarnation, news News[V]) (changed bool) {
-	var nothing V
-	known, present := l.known[server]
-	if !present && (news.Value == nothing || len(l.known) >= mostServers) {
+// Apply applies the update of a server and reports whether its value changed. Servers that have
+// never sent a notice are not stored.
+func (l *Ledger[V]) Apply(server fleet.Incarnation, update Update[V]) (changed bool) {
+	var zero V
+	current, present := l.latest[server]
+	if !present && (update.Value == zero || len(l.latest) >= maxServers) {
 		return false
 	}
-	if present && !news.newer(known.News) {
+	if present && !update.supersedes(current.Update) {
 		return false
 	}
-	changed = known.Value != news.Value
+	changed = current.Value != update.Value
 	if changed {
 		l.changes++
-		known.change = l.changes
+		current.change = l.changes
 	}
-	known.News = news
-	if l.known == nil {
-		l.known = map[fleet.Incarnation]entry[V]{}
+	current.Update = update
+	if l.latest == nil {
+		l.latest = map[fleet.Incarnation]entry[V]{}
 	}
-	l.known[server] = known
+	l.latest[server] = current
 	return changed
 }
 
-// Value returns what a server says; zero if it says nothing.
-func (l *Ledger[V]) Value(server fleet.Incarnation) V { return l.known[server].Value }
+// Value returns the value in effect for a server, or zero.
+func (l *Ledger[V]) Value(server fleet.Incarnation) V { return l.latest[server].Value }
 
-// Known returns what is known of a server, and whether it has ever said anything.
-func (l *Ledger[V]) Known(server fleet.Incarnation) (news News[V], known bool) {
-	found, known := l.known[server]
-	return found.News, known
+// Latest returns the latest update of a server, and whether there is any.
+func (l *Ledger[V]) Latest(server fleet.Incarnation) (update Update[V], known bool) {
+	found, known := l.latest[server]
+	return found.Update, known
 }
 
-// Values returns what holds, by server.
+// Values returns the values in effect, by server.
 func (l *Ledger[V]) Values() map[fleet.Incarnation]V {
-	var nothing V
+	var zero V
 	values := map[fleet.Incarnation]V{}
-	for server, known := range l.known {
-		if known.Value != nothing {
-			values[server] = known.Value
+	for server, current := range l.latest {
+		if current.Value != zero {
+			values[server] = current.Value
 		}
 	}
 	return values
 }
 
-// Empty reports whether no server has ever said anything.
-func (l *Ledger[V]) Empty() bool { return len(l.known) == 0 }
+// Empty reports whether the ledger stores no servers.
+func (l *Ledger[V]) Empty() bool { return len(l.latest) == 0 }
 
-// Changes counts the changes so far.
-func (l *Ledger[V]) Changes() uint64 { return l.changes }
+// ChangeCount returns the number of changes so far.
+func (l *Ledger[V]) ChangeCount() uint64 { return l.changes }
 
-// keptFor is for how long the news of a server are kept that is not registered: entries are
-// missing for seconds while the platform's store is away.
-const keptFor = time.Minute
+// staleAfter is how long the notices of an unregistered server are kept: entries are missing for
+// seconds during an outage of the registry's store.
+const staleAfter = time.Minute
 
-// Retain forgets the servers that are not present and have not been heard of for long.
-func (l *Ledger[V]) Retain(now time.Duration, present func(fleet.Incarnation) bool) {
-	for server, known := range l.known {
-		if !present(server) && now-known.Heard > keptFor {
-			delete(l.known, server)
+// RemoveStale removes the servers that are not present and whose latest update is older than
+// staleAfter.
+func (l *Ledger[V]) RemoveStale(now time.Duration, present func(fleet.Incarnation) bool) {
+	for server, known := range l.latest {
+		if !present(server) && now-known.ReceivedAt > staleAfter {
+			delete(l.latest, server)
 		}
 	}
 }
 
-// Told is news of a server as it passes between hosts, whose clocks differ: ages in place
-// of times.
-type Told[V comparable] struct {
+// PeerUpdate is the update of a server as hosts exchange it. It contains ages instead of times,
+// because the clocks of hosts differ.
+type PeerUpdate[V comparable] struct {
 	Server fleet.Incarnation `json:"server"`
 	Value  V                 `json:"value"`
-	// SentAgo and HeardAgo are in milliseconds.
-	SentAgo  int64 `json:"sentAgo"`
-	HeardAgo int64 `json:"heardAgo"`
+	// SentAgoMs and ReceivedAgoMs are in milliseconds.
+	SentAgoMs     int64 `json:"sentAgo"`
+	ReceivedAgoMs int64 `json:"heardAgo"`
 }
 
-// TellOf expresses news in ages.
-func TellOf[V comparable](now time.Duration, server fleet.Incarnation, news News[V]) Told[V] {
-	return Told[V]{Server: server, Value: news.Value, SentAgo: (now - news.Sent).Milliseconds(), HeardAgo: (now - news.Heard).Milliseconds()}
+// NewPeerUpdate converts an update to a message.
+func NewPeerUpdate[V comparable](now time.Duration, server fleet.Incarnation, update Update[V]) PeerUpdate[V] {
+	return PeerUpdate[V]{Server: server, Value: update.Value, SentAgoMs: (now - update.SentAt).Milliseconds(), ReceivedAgoMs: (now - update.ReceivedAt).Milliseconds()}
 }
 
-// News expresses what was told in times of this host.
-func (t Told[V]) News(now time.Duration) News[V] {
-	return News[V]{Value: t.Value, Sent: now - time.Duration(t.SentAgo)*time.Millisecond, Heard: now - time.Duration(t.HeardAgo)*time.Millisecond}
+// ToUpdate converts a message to an update with times of this host's clock.
+func (p PeerUpdate[V]) ToUpdate(now time.Duration) Update[V] {
+	return Update[V]{Value: p.Value, SentAt: now - time.Duration(p.SentAgoMs)*time.Millisecond, ReceivedAt: now - time.Duration(p.ReceivedAgoMs)*time.Millisecond}
 }
 
-// Tell returns the values that have changed since a change, the oldest change first and as
-// many as fit, and up to which change that is all.
-func (l *Ledger[V]) Tell(now time.Duration, since uint64, most int) (told []Told[V], upTo uint64) {
-	type changed struct {
+// ChangesSince returns the values that changed after the change numbered since, oldest change first
+// and at most limit of them, and the number of the last change that they cover.
+func (l *Ledger[V]) ChangesSince(now time.Duration, since uint64, limit int) (messages []PeerUpdate[V], upTo uint64) {
+	type changedEntry struct {
 		server fleet.Incarnation
 		entry[V]
 	}
-	var news []changed
-	for server, known := range l.known {
-		if known.change > since {
-			news = append(news, changed{server, known})
+	var due []changedEntry
+	for server, current := range l.latest {
+		if current.change > since {
+			due = append(due, changedEntry{server, current})
 		}
 	}
-	if len(news) == 0 {
+	if len(due) == 0 {
 		return nil, l.changes
 	}
-	slices.SortFunc(news, func(a, b changed) int { return cmp.Compare(a.change, b.change) })
+	slices.SortFunc(due, func(a, b changedEntry) int { return cmp.Compare(a.change, b.change) })
 	upTo = l.changes
-	if len(news) > most {
-		news = news[:most]
-		upTo = news[most-1].change
+	if len(due) > limit {
+		due = due[:limit]
+		upTo = due[limit-1].change
 	}
-	for _, each := range news {
-		told = append(told, TellOf(now, each.server, each.News))
+	for _, each := range due {
+		messages = append(messages, NewPeerUpdate(now, each.server, each.Update))
 	}
-	return told, upTo
+	return messages, upTo
 }
--- a/poison/ledger.go
+++ b/poison/ledger.go
@@ -10,96 +10,99 @@
 )
 
 const (
-	// suspectAfter is after how many ends a request is not sent once more by a host:
-	// its caller hears of the failure at once, and other hosts of the request before
-	// its next copy comes.
-	suspectAfter = 2
-	// provenAfter is after how many ends a request is turned away. One or two ends
-	// happen to a request by chance on days on which servers fail one after the other.
-	provenAfter = 3
-	// EndKept is for how long an end counts.
-	EndKept = 24 * time.Hour
-	// endsKept bounds the ends that are kept of one request.
-	endsKept = 8
-	// mostCases bounds the requests about which a ledger keeps anything.
-	mostCases = 1024
-	// forgottenAtOnce is how many are forgotten when there is no room: to find the least
-	// takes a look at all.
-	forgottenAtOnce = mostCases / 16
+	// suspectThreshold is the number of terminations from which a host no longer retries a request:
+	// the caller gets the failure at once, and the other hosts learn of the request before its next
+	// copy arrives.
+	suspectThreshold = 2
+	// quarantineThreshold is the number of terminations from which a request is quarantined. One or
+	// two happen by chance when servers fail one after the other.
+	quarantineThreshold = 3
+	// TerminationTTL is how long a termination counts.
+	TerminationTTL = 24 * time.Hour
+	// maxTerminations bounds the terminations stored per request.
+	maxTerminations = 8
+	// maxCases bounds the requests that a ledger stores.
+	maxCases = 1024
+	// evictionBatch is the number of cases evicted when the ledger is full. Finding the least
+	// important ones requires sorting all of them, so several are evicted at once.
+	evictionBatch = maxCases / 16
 )
 
-// terms are for how long a request is turned away after its last end, by how many
-// ends it has more than it needs. When a term is over one copy of it is a trial that
-// costs one server if it still ends those that run it.
-var terms = [...]time.Duration{10 * time.Minute, time.Hour, 6 * time.Hour, EndKept}
+// quarantineDurations are the durations of a quarantine after the last termination, by how many
+// terminations the request has beyond quarantineThreshold. After that time one copy of the request
+// is served as a trial, which costs one server if the request still terminates servers.
+var quarantineDurations = [...]time.Duration{10 * time.Minute, time.Hour, 6 * time.Hour, TerminationTTL}
 
-// term returns for how long a request is turned away after its last end.
-func term(ends int) time.Duration { return terms[min(ends-provenAfter, len(terms)-1)] }
+// quarantineDuration returns the duration of a quarantine after the last termination.
+func quarantineDuration(terminations int) time.Duration {
+	return quarantineDurations[min(terminations-quarantineThreshold, len(quarantineDurations)-1)]
+}
 
-// Verdict is what is done with a request.
+// Verdict is how a request is handled.
 type Verdict int
 
-// The verdicts.
+// Verdicts, from the least to the most severe.
 const (
-	// Unsuspected requests are served like any.
+	// Unsuspected requests are served normally.
 	Unsuspected Verdict = iota
-	// Suspected requests are served, but a host does not send them once more.
+	// Suspected requests are served, but a host does not retry them.
 	Suspected
-	// Quarantined requests are turned away.
+	// Quarantined requests are rejected.
 	Quarantined
 )
 
-// String returns the verdict's name.
+// String returns the name of the verdict.
 func (v Verdict) String() string { return [...]string{"unsuspected", "suspected", "quarantined"}[v] }
 
-// Judgement is a verdict with what it rests on.
+// Judgement is a verdict and the evidence for it.
 type Judgement struct {
 	Verdict Verdict
-	// Ends is how many servers ended under the request.
-	Ends int
-	// LastEnd is when the last of them did.
-	LastEnd time.Duration
-	// Until is when a quarantined request is tried again.
-	Until time.Duration
+	// Terminations is the number of servers that terminated during the request.
+	Terminations int
+	// LastTermination is the time of the last termination.
+	LastTermination time.Duration
+	// RetryAt is when a quarantined request is served again as a trial.
+	RetryAt time.Duration
 }
 
-// Ledger holds the servers that ended under requests, as far as this host knows. Two
-// ledgers that tell each other what they hold agree, in whatever order and however
-// often they do: a case only gains ends, and an acquittal ends all those before it.
-// The zero value is ready. It is not safe for concurrent use.
+// Ledger records which servers terminated during which requests, as far as this host knows. Ledgers
+// that exchange their contents converge in any order of messages and with duplicates: a case only
+// gains terminations, and clearing a request removes all terminations up to that time. The zero
+// value is ready to use. A Ledger is not safe for concurrent use.
 type Ledger struct {
-	cases map[Fingerprint]*record
-	// servers are those with an end in some case, and perhaps some that had one.
-	servers map[fleet.Incarnation]struct{}
-	// change counts the changes.
-	change uint64
+	cases map[Fingerprint]*caseRecord
+	// terminatedServers holds the servers with a termination in some case, and possibly servers
+	// that had one earlier.
+	terminatedServers map[fleet.Incarnation]struct{}
+	// changes is the number of changes so far.
+	changes uint64
 }
 
-// record is what is held of one request.
-type record struct {
-	ends map[fleet.Incarnation]end
-	// acquitted is the latest moment as of which the request is known to be harmless;
-	// of interest only if isAcquitted.
-	acquitted   time.Duration
-	isAcquitted bool
-	// suspected is set once it has had the ends of a suspect: hosts may have heard of
-	// it and must hear of its acquittal.
-	suspected bool
-	change    uint64 // the ledger's last change of it
+// caseRecord is the case of one request.
+type caseRecord struct {
+	terminations map[fleet.Incarnation]termination
+	// clearedAt is the latest time as of which the request is known to be harmless. It is valid
+	// only if isCleared is set.
+	clearedAt time.Duration
+	isCleared bool
+	// wasSuspected is set once the request has had enough terminations to be suspected. Other hosts
+	// may have learned of it then and must also learn that it is cleared.
+	wasSuspected bool
+	change       uint64 // the ledger's last change to this case
 }
 
-// end is the end of a server under a request.
-type end struct {
+// termination is the termination of a server during a request.
+type termination struct {
 	at time.Duration
-	// withdrawn is set once the server has answered after it: it had not ended. It is
-	// kept, so that those who have not heard of that can't bring the end back.
+	// withdrawn is set once the server has answered later, which shows that it had not terminated.
+	// The entry stays, so that hosts that have not learned of this can't add the termination again.
 	withdrawn bool
 }
 
-// standing returns how many ends count.
-func (r *record) standing() int {
+// terminationCount returns the number of terminations that are not withdrawn.
+func (r *caseRecord) terminationCount() int {
 	count := 0
-	for _, each := range r.ends {
+	for _, each := range r.terminations {
 		if !each.withdrawn {
 			count++
 		}
@@ -107,11 +110,12 @@
 	return count
 }
 
-// latest returns the last of the ends that count; 0 if there is none.
-func (r *record) latest() time.Duration {
+// lastTermination returns the time of the last termination that is not withdrawn, or 0 if there is
+// none.
+func (r *caseRecord) lastTermination() time.Duration {
 	var last time.Duration
 	first := true
-	for _, each := range r.ends {
+	for _, each := range r.terminations {
 		if !each.withdrawn && (first || each.at > last) {
 			last, first = each.at, false
 		}
@@ -119,10 +123,11 @@
 	return last
 }
 
-// oldest returns the end that matters least; there must be one.
-func (r *record) oldest() (server fleet.Incarnation, oldest end) {
+// leastImportant returns the termination to remove first: a withdrawn one if there is any, else the
+// oldest. There must be at least one.
+func (r *caseRecord) leastImportant() (server fleet.Incarnation, oldest termination) {
 	first := true
-	for each, known := range r.ends {
+	for each, known := range r.terminations {
 		if first || known.withdrawn && !oldest.withdrawn || known.withdrawn == oldest.withdrawn && known.at < oldest.at {
 			server, oldest, first = each, known, false
 		}
@@ -130,175 +135,179 @@
 	return server, oldest
 }
 
-// touched returns when something last happened that is held of the request.
-func (r *record) touched() time.Duration {
+// lastActivity returns the time of the last event of the case.
+func (r *caseRecord) lastActivity() time.Duration {
 	switch {
-	case r.standing() == 0:
-		return r.acquitted
-	case r.isAcquitted:
-		return max(r.latest(), r.acquitted)
+	case r.terminationCount() == 0:
+		return r.clearedAt
+	case r.isCleared:
+		return max(r.lastTermination(), r.clearedAt)
 	}
-	return r.latest()
+	return r.lastTermination()
 }
 
-// blame adds an end, and reports whether that is news. Of more ends than are kept the
-// latest count.
-func (r *record) blame(server fleet.Incarnation, told end) bool {
-	known, have := r.ends[server]
+// addTermination adds a termination and reports whether that changed the case. If there are more
+// than maxTerminations, the latest are kept.
+func (r *caseRecord) addTermination(server fleet.Incarnation, added termination) bool {
+	existing, exists := r.terminations[server]
 	switch {
-	case r.isAcquitted && told.at <= r.acquitted:
+	case r.isCleared && added.at <= r.clearedAt:
 		return false
-	case have:
-		if known.withdrawn || !told.withdrawn {
+	case exists:
+		if existing.withdrawn || !added.withdrawn {
 			return false
 		}
-		known.withdrawn = true
-		r.ends[server] = known
+		existing.withdrawn = true
+		r.terminations[server] = existing
 		return true
 	}
-	if len(r.ends) >= endsKept {
-		least, oldest := r.oldest()
-		if !oldest.withdrawn && told.at <= oldest.at {
+	if len(r.terminations) >= maxTerminations {
+		least, oldest := r.leastImportant()
+		if !oldest.withdrawn && added.at <= oldest.at {
 			return false
 		}
-		delete(r.ends, least)
+		delete(r.terminations, least)
 	}
-	r.ends[server] = told
-	r.suspected = r.suspected || r.standing() >= suspectAfter
+	r.terminations[server] = added
+	r.wasSuspected = r.wasSuspected || r.terminationCount() >= suspectThreshold
 	return true
 }
 
-// acquit ends the case as of a moment, and reports whether that is news: it is the first
-// time, or ends count no more. That the moment is a little later is none: it moves by the
-// way of each message, and ledgers would tell each other of it without end.
-func (r *record) acquit(at time.Duration) bool {
-	if r.isAcquitted && at <= r.acquitted {
+// clear clears the request as of a time, and reports whether the case changed in substance: it was
+// never cleared before, or terminations were removed. A clearance that is only slightly later does
+// not count, because the time shifts by the transmission time of each message and two ledgers would
+// send it to each other forever.
+func (r *caseRecord) clear(at time.Duration) bool {
+	if r.isCleared && at <= r.clearedAt {
 		return false
 	}
-	first, ends := !r.isAcquitted, len(r.ends)
-	r.acquitted, r.isAcquitted = at, true
-	maps.DeleteFunc(r.ends, func(_ fleet.Incarnation, each end) bool { return each.at <= at })
-	return first || len(r.ends) < ends
+	first, before := !r.isCleared, len(r.terminations)
+	r.clearedAt, r.isCleared = at, true
+	maps.DeleteFunc(r.terminations, func(_ fleet.Incarnation, each termination) bool { return each.at <= at })
+	return first || len(r.terminations) < before
 }
 
-// Blame notes that a server ended under a request, and reports whether that is news.
+// Blame records that a server terminated during a request, and reports whether that changed the
+// ledger.
 func (l *Ledger) Blame(now time.Duration, server fleet.Incarnation, blame Blame) bool {
-	held := l.hold(now, blame.Request)
-	return l.blame(held, server, end{at: blame.At}) && l.changed(held)
+	rec := l.caseOf(now, blame.Request)
+	return l.addTermination(rec, server, termination{at: blame.At}) && l.recordChange(rec)
 }
 
-// Acquit notes that a request is harmless as of a moment, since a server gave a whole
-// answer to it, and reports whether that is news.
-func (l *Ledger) Acquit(at time.Duration, request Fingerprint) bool {
-	held := l.cases[request]
-	return held != nil && held.standing() > 0 && held.acquit(at) && l.changed(held)
+// Clear clears a request as of a time at which a server gave a complete answer to it, and reports
+// whether that changed the ledger.
+func (l *Ledger) Clear(at time.Duration, request Fingerprint) bool {
+	rec := l.cases[request]
+	return rec != nil && rec.terminationCount() > 0 && rec.clear(at) && l.recordChange(rec)
 }
 
-// Release is Acquit by an operator's word, also for a request of which nothing is held
-// yet: other hosts may still tell of its ends.
+// Release clears a request on behalf of an operator. Unlike Clear it also records the clearance of
+// a request without a case, because other hosts may still report terminations during it.
 func (l *Ledger) Release(now, at time.Duration, request Fingerprint) bool {
-	held := l.hold(now, request)
-	return held.acquit(at) && l.changed(held)
+	rec := l.caseOf(now, request)
+	return rec.clear(at) && l.recordChange(rec)
 }
 
-// blame adds an end to a case, and reports whether that is news.
-func (l *Ledger) blame(held *record, server fleet.Incarnation, told end) bool {
-	if !held.blame(server, told) {
+// addTermination adds a termination to a case and reports whether that changed the case.
+func (l *Ledger) addTermination(rec *caseRecord, server fleet.Incarnation, added termination) bool {
+	if !rec.addTermination(server, added) {
 		return false
 	}
-	if l.servers == nil || len(l.servers) >= mostCases*endsKept {
-		l.servers = map[fleet.Incarnation]struct{}{}
+	if l.terminatedServers == nil || len(l.terminatedServers) >= maxCases*maxTerminations {
+		l.terminatedServers = map[fleet.Incarnation]struct{}{}
 		for _, each := range l.cases {
-			for known := range each.ends {
-				l.servers[known] = struct{}{}
+			for known := range each.terminations {
+				l.terminatedServers[known] = struct{}{}
 			}
 		}
 	}
-	l.servers[server] = struct{}{}
+	l.terminatedServers[server] = struct{}{}
 	return true
 }
 
-// Alive notes that a server's process ran through a span, and returns the requests that
-// it was taken to have ended under meanwhile: it had not. Something between a host and
-// the server refuses connections, as the cut of a network may.
-func (l *Ledger) Alive(server fleet.Incarnation, lived Lived) []Fingerprint {
-	if _, held := l.servers[server]; !held {
-		return nil // nearly every answer
+// NoteAlive records that a server's process was running during a time span, withdraws its recorded
+// terminations within that span, and returns the requests concerned. A host may have been wrong
+// about a termination because something between it and the server refuses connections, for example
+// during a network failure.
+func (l *Ledger) NoteAlive(server fleet.Incarnation, alive AliveSpan) []Fingerprint {
+	if _, tracked := l.terminatedServers[server]; !tracked {
+		return nil // fast path of nearly every answer
 	}
 	var cleared []Fingerprint
-	for request, held := range l.cases {
-		known, have := held.ends[server]
-		if have && !known.withdrawn && lived.during(known.at) {
-			known.withdrawn = true
-			held.ends[server] = known
-			l.changed(held)
+	for request, rec := range l.cases {
+		existing, exists := rec.terminations[server]
+		if exists && !existing.withdrawn && alive.contains(existing.at) {
+			existing.withdrawn = true
+			rec.terminations[server] = existing
+			l.recordChange(rec)
 			cleared = append(cleared, request)
 		}
 	}
 	return cleared
 }
 
-func (l *Ledger) changed(held *record) bool {
-	l.change++
-	held.change = l.change
+// recordChange assigns the next change number to a case. It always returns true.
+func (l *Ledger) recordChange(rec *caseRecord) bool {
+	l.changes++
+	rec.change = l.changes
 	return true
 }
 
-// hold returns what is held of a request, making room for it if it is new.
-func (l *Ledger) hold(now time.Duration, request Fingerprint) *record {
+// caseOf returns the case of a request, which it creates if there is none.
+func (l *Ledger) caseOf(now time.Duration, request Fingerprint) *caseRecord {
 	if l.cases == nil {
-		l.cases = map[Fingerprint]*record{}
+		l.cases = map[Fingerprint]*caseRecord{}
 	}
-	held := l.cases[request]
-	if held == nil {
-		l.makeRoom(now)
-		held = &record{ends: map[fleet.Incarnation]end{}}
-		l.cases[request] = held
+	rec := l.cases[request]
+	if rec == nil {
+		l.evict(now)
+		rec = &caseRecord{terminations: map[fleet.Incarnation]termination{}}
+		l.cases[request] = rec
 	}
-	return held
+	return rec
 }
 
-// makeRoom forgets what no longer counts and, if there is no room then, the cases that
-// matter least: those with the fewest ends, of these the ones that have rested longest.
-// Callers choose what they send; requests that were merely under way somewhere must
-// not push out those that are proven.
-func (l *Ledger) makeRoom(now time.Duration) {
-	if len(l.cases) < mostCases {
+// evict removes expired cases when the ledger is full. If it is still full then, it evicts the
+// least important ones: those with the fewest terminations, and of these the ones that were
+// inactive longest. Callers choose what they send; requests that merely were in flight at a
+// terminated server must not evict the quarantined ones.
+func (l *Ledger) evict(now time.Duration) {
+	if len(l.cases) < maxCases {
 		return
 	}
-	maps.DeleteFunc(l.cases, func(_ Fingerprint, held *record) bool { return now-held.touched() > EndKept })
-	if len(l.cases) < mostCases {
+	maps.DeleteFunc(l.cases, func(_ Fingerprint, rec *caseRecord) bool { return now-rec.lastActivity() > TerminationTTL })
+	if len(l.cases) < maxCases {
 		return
 	}
-	order := slices.SortedFunc(maps.Keys(l.cases), func(a, b Fingerprint) int { return l.cases[a].compare(l.cases[b]) })
-	for _, least := range order[:forgottenAtOnce] {
+	ordered := slices.SortedFunc(maps.Keys(l.cases), func(a, b Fingerprint) int { return l.cases[a].compare(l.cases[b]) })
+	for _, least := range ordered[:evictionBatch] {
 		delete(l.cases, least)
 	}
 }
 
-// compare orders cases by how much they matter.
-func (r *record) compare(other *record) int {
-	return cmp.Or(cmp.Compare(r.standing(), other.standing()), cmp.Compare(r.touched(), other.touched()))
+// compare orders cases by importance.
+func (r *caseRecord) compare(other *caseRecord) int {
+	return cmp.Or(cmp.Compare(r.terminationCount(), other.terminationCount()), cmp.Compare(r.lastActivity(), other.lastActivity()))
 }
 
-// Judge returns what is to be done with a request.
+// Judge returns how a request is to be handled.
 func (l *Ledger) Judge(now time.Duration, request Fingerprint) Judgement {
-	held := l.cases[request]
-	if held == nil || held.standing() == 0 {
+	rec := l.cases[request]
+	if rec == nil || rec.terminationCount() == 0 {
 		return Judgement{}
 	}
-	ends, last := held.standing(), held.latest()
-	judgement := Judgement{Ends: ends, LastEnd: last}
+	count, last := rec.terminationCount(), rec.lastTermination()
+	judgement := Judgement{Terminations: count, LastTermination: last}
 	switch {
-	case ends >= provenAfter && now < last+term(ends):
-		judgement.Verdict, judgement.Until = Quarantined, last+term(ends)
-	case ends >= suspectAfter && now-last <= EndKept:
+	case count >= quarantineThreshold && now < last+quarantineDuration(count):
+		judgement.Verdict, judgement.RetryAt = Quarantined, last+quarantineDuration(count)
+	case count >= suspectThreshold && now-last <= TerminationTTL:
 		judgement.Verdict = Suspected
 	}
 	return judgement
 }
 
-// Count returns how many requests have a verdict, other than Unsuspected.
+// Count returns the number of requests with the given verdict, which must not be Unsuspected.
 func (l *Ledger) Count(now time.Duration, verdict Verdict) int {
 	count := 0
 	for request := range l.cases {
@@ -309,129 +318,132 @@
 	return count
 }
 
-// Suspects reports whether any request may not be served like any other.
-func (l *Ledger) Suspects() bool {
-	for _, held := range l.cases {
-		if held.standing() >= suspectAfter {
+// AnySuspected reports whether any request may be suspected or quarantined.
+func (l *Ledger) AnySuspected() bool {
+	for _, rec := range l.cases {
+		if rec.terminationCount() >= suspectThreshold {
 			return true
 		}
 	}
 	return false
 }
 
-// Changes returns how often the ledger has changed.
-func (l *Ledger) Changes() uint64 { return l.change }
+// ChangeCount returns the number of changes so far.
+func (l *Ledger) ChangeCount() uint64 { return l.changes }
 
-// Case is what one ledger tells another of a request. Ages are in milliseconds, since
-// hosts' clocks differ.
+// Case is the state of one request as ledgers exchange it. Times are ages in milliseconds, because
+// the clocks of hosts differ.
 type Case struct {
-	Request Fingerprint `json:"request"`
-	Ends    []End       `json:"ends,omitempty"`
-	// AcquittedAgeMs is how long ago it was known to be harmless; nil if never.
-	AcquittedAgeMs *int64 `json:"acquittedAgeMs,omitempty"`
+	Request      Fingerprint   `json:"request"`
+	Terminations []Termination `json:"ends,omitempty"`
+	// ClearedAgeMs is how long ago the request was known to be harmless; nil if it was never
+	// cleared.
+	ClearedAgeMs *int64 `json:"acquittedAgeMs,omitempty"`
 }
 
-// End is the end of a server under a request.
-type End struct {
+// Termination is the termination of a server during a request.
+type Termination struct {
 	Server fleet.Incarnation `json:"server"`
 	AgeMs  int64             `json:"ageMs"`
 	// Withdrawn is set if the server has answered since.
 	Withdrawn bool `json:"withdrawn,omitempty"`
 }
 
-// tell returns a case as of now, with its ends in order.
-func (r *record) tell(now time.Duration, request Fingerprint) Case {
-	told := Case{Request: request}
-	for server, known := range r.ends {
-		told.Ends = append(told.Ends, End{Server: server, AgeMs: (now - known.at).Milliseconds(), Withdrawn: known.withdrawn})
+// toCase returns the case with ages as of now and its terminations ordered from the oldest to the
+// latest.
+func (r *caseRecord) toCase(now time.Duration, request Fingerprint) Case {
+	result := Case{Request: request}
+	for server, known := range r.terminations {
+		result.Terminations = append(result.Terminations, Termination{Server: server, AgeMs: (now - known.at).Milliseconds(), Withdrawn: known.withdrawn})
 	}
-	slices.SortFunc(told.Ends, func(a, b End) int {
+	slices.SortFunc(result.Terminations, func(a, b Termination) int {
 		return cmp.Or(cmp.Compare(b.AgeMs, a.AgeMs), cmp.Compare(a.Server.String(), b.Server.String()))
 	})
-	if r.isAcquitted {
-		age := (now - r.acquitted).Milliseconds()
-		told.AcquittedAgeMs = &age
+	if r.isCleared {
+		age := (now - r.clearedAt).Milliseconds()
+		result.ClearedAgeMs = &age
 	}
-	return told
+	return result
 }
 
-// Take takes what another ledger told, and returns the requests of which that is news.
-func (l *Ledger) Take(now time.Duration, told []Case) []Fingerprint {
-	var news []Fingerprint
-	for i := range told {
-		if l.take(now, &told[i]) {
-			news = append(news, told[i].Request)
+// Merge merges cases from another ledger, and returns the requests whose cases changed.
+func (l *Ledger) Merge(now time.Duration, cases []Case) []Fingerprint {
+	var changed []Fingerprint
+	for i := range cases {
+		if l.mergeCase(now, &cases[i]) {
+			changed = append(changed, cases[i].Request)
 		}
 	}
-	return news
+	return changed
 }
 
-// take takes one case, and reports whether it is news.
-func (l *Ledger) take(now time.Duration, told *Case) bool {
-	if l.cases[told.Request] == nil && len(told.Ends) == 0 {
-		return false // the acquittal of what is not held
+// mergeCase merges one case and reports whether that changed the ledger.
+func (l *Ledger) mergeCase(now time.Duration, received *Case) bool {
+	if l.cases[received.Request] == nil && len(received.Terminations) == 0 {
+		return false // a clearance of a request without a case
 	}
-	held := l.hold(now, told.Request)
-	news := false
-	if told.AcquittedAgeMs != nil {
-		news = held.acquit(now - time.Duration(*told.AcquittedAgeMs)*time.Millisecond)
+	rec := l.caseOf(now, received.Request)
+	changed := false
+	if received.ClearedAgeMs != nil {
+		changed = rec.clear(now - time.Duration(*received.ClearedAgeMs)*time.Millisecond)
 	}
-	for _, each := range told.Ends {
+	for _, each := range received.Terminations {
 		at := now - time.Duration(each.AgeMs)*time.Millisecond
-		news = l.blame(held, each.Server, end{at: at, withdrawn: each.Withdrawn}) || news
+		changed = l.addTermination(rec, each.Server, termination{at: at, withdrawn: each.Withdrawn}) || changed
 	}
-	return news && l.changed(held)
+	return changed && l.recordChange(rec)
 }
 
-// Audience is to whom cases are told.
-type Audience int
+// Recipients are the ledgers that cases are sent to.
+type Recipients int
 
-// The audiences.
 const (
-	// Collector puts together what all hosts have seen: a single end counts there.
-	Collector Audience = iota
-	// Everyone needs only what is suspected, and the acquittal of what was: a server
-	// that ends has a dozen requests under way, and a domain thousands.
-	Everyone
+	// ToCollector stands for the ledger that merges the observations of all hosts. It needs single
+	// terminations too.
+	ToCollector Recipients = iota
+	// ToAllHosts stands for the ledgers of all hosts. They need only requests that are or were
+	// suspected: a dozen requests are in flight at a server that terminates, and thousands in a
+	// failure domain.
+	ToAllHosts
 )
 
-// owes reports whether an audience is to hear of a case.
-func (r *record) owes(to Audience) bool {
-	return to == Collector || r.suspected
+// isFor reports whether the recipients need the case.
+func (r *caseRecord) isFor(to Recipients) bool {
+	return to == ToCollector || r.wasSuspected
 }
 
-// Tell returns the cases that changed after a change of this ledger, at most so many,
-// and the change up to which that is all.
-func (l *Ledger) Tell(now time.Duration, after uint64, most int, to Audience) ([]Case, uint64) {
-	if after >= l.change {
-		return nil, l.change
+// ChangesSince returns the cases that changed after the change numbered after, oldest change first
+// and at most limit of them, and the number of the last change that they cover.
+func (l *Ledger) ChangesSince(now time.Duration, after uint64, limit int, to Recipients) ([]Case, uint64) {
+	if after >= l.changes {
+		return nil, l.changes
 	}
 	var due []Fingerprint
-	for request, held := range l.cases {
-		if held.change > after && held.owes(to) {
+	for request, rec := range l.cases {
+		if rec.change > after && rec.isFor(to) {
 			due = append(due, request)
 		}
 	}
 	slices.SortFunc(due, func(a, b Fingerprint) int { return cmp.Compare(l.cases[a].change, l.cases[b].change) })
-	upTo := l.change
-	if len(due) > most {
-		due = due[:most]
-		upTo = l.cases[due[most-1]].change
+	upTo := l.changes
+	if len(due) > limit {
+		due = due[:limit]
+		upTo = l.cases[due[limit-1]].change
 	}
-	var told []Case
+	var cases []Case
 	for _, request := range due {
-		told = append(told, l.cases[request].tell(now, request))
+		cases = append(cases, l.cases[request].toCase(now, request))
 	}
-	return told, upTo
+	return cases, upTo
 }
 
-// Proven returns the cases with as many ends as a quarantine needs, in order of their
-// fingerprints.
-func (l *Ledger) Proven(now time.Duration) []Case {
+// QuarantineCases returns the cases with enough terminations for a quarantine, also those whose
+// quarantine has ended, until the last termination expires. They are ordered by fingerprint.
+func (l *Ledger) QuarantineCases(now time.Duration) []Case {
 	var proven []Case
-	for request, held := range l.cases {
-		if held.standing() >= provenAfter && now-held.latest() <= EndKept {
-			proven = append(proven, held.tell(now, request))
+	for request, rec := range l.cases {
+		if rec.terminationCount() >= quarantineThreshold && now-rec.lastTermination() <= TerminationTTL {
+			proven = append(proven, rec.toCase(now, request))
 		}
 	}
 	slices.SortFunc(proven, func(a, b Case) int { return slices.Compare(a.Request[:], b.Request[:]) })
--- a/poison/witness.go
+++ b/poison/witness.go
@@ -8,154 +8,155 @@
 )
 
 const (
-	// proofWithin is how long after a request went unanswered its server's end counts
-	// as the reason: a server that ended silently is back in its place, under a new
-	// name, within seconds.
-	proofWithin = 10 * time.Second
-	// mostServers bounds the servers about which a witness keeps anything, mostAtServer
-	// the unanswered requests it keeps of one: more than a server's slots and queue.
-	mostServers  = 1024
-	mostAtServer = 64
-	// sweepEvery is the least time between two looks for what can be forgotten.
-	sweepEvery = time.Second
+	// blameWindow is the maximum time between a request going unanswered and the proof of its
+	// server's termination. A server that terminates without notice is replaced within seconds,
+	// under a new ID.
+	blameWindow = 10 * time.Second
+	// maxServers bounds the servers that an UnansweredTracker stores, maxUnansweredPerServer the
+	// unanswered requests stored per server. The latter is larger than the slots and the queue of a
+	// server.
+	maxServers             = 1024
+	maxUnansweredPerServer = 64
+	// expireInterval is the minimum time between two removals of expired servers.
+	expireInterval = time.Second
 )
 
-// Witness relates the ends of servers to the requests that were under way there, as
-// one host saw them. A request that was sent and not answered proves nothing by
-// itself: the connection may have been cut, or the server be slow. It is held
-// against the request only when the server is proven to have ended. The zero value
-// is ready. It is not safe for concurrent use.
-type Witness struct {
-	servers map[fleet.Incarnation]*sighting
-	swept   time.Duration // when it last forgot what is too old
+// UnansweredTracker relates terminations of servers to the requests that were in flight there, as
+// observed by one host. A request that was sent and not answered proves nothing by itself: the
+// connection may have failed, or the server may be slow. It is blamed only when the server is
+// proven to have terminated. The zero value is ready to use. It is not safe for concurrent use.
+type UnansweredTracker struct {
+	servers     map[fleet.Incarnation]*serverState
+	lastExpired time.Duration // time of the last removal of expired servers
 }
 
-// sighting is what a host saw of one server.
-type sighting struct {
-	address string
-	last    time.Duration // when something was last noted
-	ended   bool
-	endedAt time.Duration // when that was proven
-	open    []Blame       // requests that were sent and got no answer
+// serverState is what a host observed of one server.
+type serverState struct {
+	address      string
+	lastSeen     time.Duration // time of the last observation
+	terminated   bool
+	terminatedAt time.Duration // when the termination was proven
+	unanswered   []Blame       // requests that were sent and not answered
 }
 
-// Blame is a request that was under way at a server as it ended.
+// Blame is a request that was in flight at a server when the server terminated.
 type Blame struct {
 	Request Fingerprint
-	// At is when it was seen to go unanswered.
+	// At is when the host noticed that the request went unanswered.
 	At time.Duration
 }
 
-// Unanswered notes that a request was sent to a server and got no answer. It reports
-// whether the server is known to have ended already, which is then held against the
-// request.
-func (w *Witness) Unanswered(now time.Duration, server fleet.Incarnation, address string, request Fingerprint) bool {
-	seen := w.at(now, server, address)
-	if seen == nil {
+// NoteUnanswered records that a request was sent to a server and got no answer. It reports whether
+// the server is already known to have terminated; the caller must then blame the request.
+func (t *UnansweredTracker) NoteUnanswered(now time.Duration, server fleet.Incarnation, address string, request Fingerprint) bool {
+	state := t.stateOf(now, server, address)
+	if state == nil {
 		return false
 	}
-	if seen.ended {
+	if state.terminated {
 		return true
 	}
-	if len(seen.open) < mostAtServer {
-		seen.open = append(seen.open, Blame{Request: request, At: now})
+	if len(state.unanswered) < maxUnansweredPerServer {
+		state.unanswered = append(state.unanswered, Blame{Request: request, At: now})
 	}
 	return false
 }
 
-// at returns the sighting of a server; nil if there is no room for another.
-func (w *Witness) at(now time.Duration, server fleet.Incarnation, address string) *sighting {
-	if w.servers == nil {
-		w.servers = map[fleet.Incarnation]*sighting{}
+// stateOf returns the state of a server, which it creates if there is none. It returns nil if the
+// maximum number of servers is reached.
+func (t *UnansweredTracker) stateOf(now time.Duration, server fleet.Incarnation, address string) *serverState {
+	if t.servers == nil {
+		t.servers = map[fleet.Incarnation]*serverState{}
 	}
-	seen := w.servers[server]
-	if seen == nil {
-		w.expire(now)
-		if len(w.servers) >= mostServers {
+	state := t.servers[server]
+	if state == nil {
+		t.expire(now)
+		if len(t.servers) >= maxServers {
 			return nil
 		}
-		seen = &sighting{address: address}
-		w.servers[server] = seen
+		state = &serverState{address: address}
+		t.servers[server] = state
 	}
-	seen.last = now
-	return seen
+	state.lastSeen = now
+	return state
 }
 
-// Lived is a span of time through which a server's process is known to have run.
-type Lived struct{ From, To time.Duration }
+// AliveSpan is a time span during which a server's process is known to have been running.
+type AliveSpan struct{ From, To time.Duration }
 
-// during reports whether the process ran at a moment.
-func (l Lived) during(at time.Duration) bool { return l.From <= at && at < l.To }
+// contains reports whether a time is within the span.
+func (s AliveSpan) contains(at time.Duration) bool { return s.From <= at && at < s.To }
 
-// Alive notes that a server's process ran through a span: what went unanswered in it was
-// not due to its end.
-func (w *Witness) Alive(server fleet.Incarnation, lived Lived) {
-	seen := w.servers[server]
-	if seen == nil {
+// NoteAlive records that a server's process was running during a time span. Requests that went
+// unanswered within it were not caused by the termination of the server.
+func (t *UnansweredTracker) NoteAlive(server fleet.Incarnation, alive AliveSpan) {
+	state := t.servers[server]
+	if state == nil {
 		return
 	}
-	if lived.during(seen.endedAt) {
-		seen.ended = false // the proof was wrong
+	if alive.contains(state.terminatedAt) {
+		state.terminated = false // the server had not terminated
 	}
-	seen.open = slices.DeleteFunc(seen.open, func(b Blame) bool { return lived.during(b.At) })
+	state.unanswered = slices.DeleteFunc(state.unanswered, func(b Blame) bool { return alive.contains(b.At) })
 }
 
-// Ended notes proof that a server has ended, and returns the requests that were
-// under way there, each once.
-func (w *Witness) Ended(now time.Duration, server fleet.Incarnation) []Blame {
-	seen := w.servers[server]
-	if seen == nil || seen.ended {
+// NoteTerminated records proof that a server has terminated, and returns the requests that were in
+// flight there, each once.
+func (t *UnansweredTracker) NoteTerminated(now time.Duration, server fleet.Incarnation) []Blame {
+	state := t.servers[server]
+	if state == nil || state.terminated {
 		return nil
 	}
-	seen.ended, seen.endedAt, seen.last = true, now, now
+	state.terminated, state.terminatedAt, state.lastSeen = true, now, now
 	var blamed []Blame
-	for _, each := range seen.open {
-		known := slices.ContainsFunc(blamed, func(b Blame) bool { return b.Request == each.Request })
-		if now-each.At <= proofWithin && !known {
+	for _, each := range state.unanswered {
+		duplicate := slices.ContainsFunc(blamed, func(b Blame) bool { return b.Request == each.Request })
+		if now-each.At <= blameWindow && !duplicate {
 			blamed = append(blamed, each)
 		}
 	}
-	seen.open = nil
+	state.unanswered = nil
 	return blamed
 }
 
-// Watched returns the IDs and addresses of the servers whose end would be held against
-// requests.
-func (w *Witness) Watched() (ids, addresses map[string]bool) {
+// UnansweredServers returns the IDs and addresses of the servers that have unanswered requests and
+// are not known to have terminated.
+func (t *UnansweredTracker) UnansweredServers() (ids, addresses map[string]bool) {
 	ids, addresses = map[string]bool{}, map[string]bool{}
-	for server, seen := range w.servers {
-		if !seen.ended && len(seen.open) > 0 {
-			ids[server.ID], addresses[seen.address] = true, true
+	for server, state := range t.servers {
+		if !state.terminated && len(state.unanswered) > 0 {
+			ids[server.ID], addresses[state.address] = true, true
 		}
 	}
 	return ids, addresses
 }
 
-// Replaced returns the servers that must have ended, since another incarnation stands
-// at their address or under their ID.
-func (w *Witness) Replaced(present map[string]fleet.Incarnation, atAddress map[string]fleet.Incarnation) []fleet.Incarnation {
+// ReplacedServers returns the servers of UnansweredServers that must have terminated, because
+// another incarnation is registered at their address or a later one under their ID. The registered
+// incarnations are given by ID and by address.
+func (t *UnansweredTracker) ReplacedServers(byID map[string]fleet.Incarnation, byAddress map[string]fleet.Incarnation) []fleet.Incarnation {
 	var replaced []fleet.Incarnation
-	for server, seen := range w.servers {
-		if seen.ended || len(seen.open) == 0 {
+	for server, state := range t.servers {
+		if state.terminated || len(state.unanswered) == 0 {
 			continue
 		}
-		at, taken := atAddress[seen.address]
-		if taken && at != server || present[server.ID].Replaces(server) {
+		current, taken := byAddress[state.address]
+		if taken && current != server || byID[server.ID].Replaces(server) {
 			replaced = append(replaced, server)
 		}
 	}
 	return replaced
 }
 
-// expire forgets what is too old to matter.
-func (w *Witness) expire(now time.Duration) {
-	if now-w.swept < sweepEvery {
+// expire removes the servers whose last observation is too old to matter.
+func (t *UnansweredTracker) expire(now time.Duration) {
+	if now-t.lastExpired < expireInterval {
 		return
 	}
-	w.swept = now
-	for server, seen := range w.servers {
-		if now-seen.last > proofWithin {
-			delete(w.servers, server)
+	t.lastExpired = now
+	for server, state := range t.servers {
+		if now-state.lastSeen > blameWindow {
+			delete(t.servers, server)
 		}
 	}
 }
