--- a/gateway/control.go
+++ b/gateway/control.go
@@ -121,7 +121,7 @@
 	authorityLost       bool          // the loss of authority has been logged
 	atRangeLimit        bool          // it has been logged that the record has reached its maximum number of ranges
 	controllerSince     time.Duration // since when this process is the controller
-	news                exchanges
+	exchanges           exchanges
 	schedules           map[fleet.Incarnation]*ratelimit.Schedule // of rate-limited servers, while this process is the controller
 	quarantine          storedQuarantine
 	resigning           bool // this process has been shutting down since resigningSince
@@ -222,7 +222,7 @@
 		// A new controller gets its own timeout. If it were judged by its predecessor's
 		// silence, every host would take over in turn.
 		c.answeredBy, c.answeredAt, c.claimDueSince, c.reportedAt = record.Controller.Incarnation, now, 0, now-reportInterval+g.firstReportDelay(c, record)
-		c.news = exchanges{reportInFlight: c.news.reportInFlight}
+		c.exchanges = exchanges{reportInFlight: c.exchanges.reportInFlight}
 	}
 	switch {
 	case record == nil:
--- a/gateway/era.go
+++ b/gateway/era.go
@@ -47,6 +47,6 @@
 		return true
 	}
 	c.machine.RewriteLostRecord(era)
-	g.nudge()
+	g.wakeControl()
 	return true
 }
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -245,7 +245,7 @@
 			g.applyAssignment(object)
 		}
 		g.control.assignmentsListed.Store(true)
-		g.nudge()
+		g.wakeControl()
 	}
 	g.follow(ctx, follower{kind: Assignments, onListing: apply, onChanges: apply, onError: g.noteAssignmentsRefused})
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -95,27 +95,27 @@
 	directory *fleet.Directory
 	services  map[string]*service
 
-	stop         shutdown
-	control      control
-	freshness    freshness
-	sources      *sources
-	storeReach   storeAvailability
-	terminations terminationTracker
-	serverLimits noticeLedger[float64] // in requests per second
-	leaving      noticeLedger[bool]
-	// applyingLimits ensures that services receive limits in the order in which they changed.
-	applyingLimits sync.Mutex
-	// leavingAsked is when servers that had announced their shutdown were last probed; used by
+	stop           shutdown
+	control        control
+	freshness      freshness
+	sources        *sources
+	storeReach     storeAvailability
+	terminations   terminationTracker
+	serverLimits   noticeLedger[float64] // in requests per second
+	leavingServers noticeLedger[bool]
+	// applyLimitsMu ensures that services receive limits in the order in which they changed.
+	applyLimitsMu sync.Mutex
+	// leavingProbedAt is when servers that had announced their shutdown were last probed; used by
 	// the control loop only.
-	leavingAsked time.Duration
-	hosts        hostCount
-	relay        relayCache
-	era          atomic.Uint64 // the store's era, as last reported by the store
-	storeCalls   storeCalls
-	deltas       deltaCache
-	unreadBytes  byteQuota // of response data that callers have not read
-	peerClient   *http.Client
-	wake         chan struct{} // wakes the control loop
+	leavingProbedAt time.Duration
+	hosts           hostCount
+	relay           relayCache
+	era             atomic.Uint64 // the store's era, as last reported by the store
+	storeCalls      storeCalls
+	deltas          deltaCache
+	unreadBytes     byteQuota // of response data that callers have not read
+	peerClient      *http.Client
+	wake            chan struct{} // wakes the control loop
 }
 
 // New returns a gateway without any state.
@@ -133,7 +133,7 @@
 	g.metrics.set.NewGauge("cicada_in_flight", g.inFlight)
 	g.metrics.set.NewGauge("cicada_hosts", func() float64 { return float64(g.hosts.value()) })
 	g.metrics.set.NewGauge("cicada_limited_servers", g.serverLimits.count)
-	g.metrics.set.NewGauge("cicada_leaving_servers", g.leaving.count)
+	g.metrics.set.NewGauge("cicada_leaving_servers", g.leavingServers.count)
 	g.metrics.set.NewGauge("cicada_resting_servers", g.serversInBackoff)
 	g.metrics.set.NewGauge("cicada_store_era", func() float64 { return float64(g.era.Load()) })
 	for _, verdict := range []poison.Verdict{poison.Suspected, poison.Quarantined} {
@@ -228,7 +228,7 @@
 		}
 		g.log.Info("configuration in force", "version", offered.Version, "hosts", len(offered.Hosts), "services", len(offered.Services))
 	}
-	g.nudge()
+	g.wakeControl()
 }
 
 // distributeServers passes servers that have changed to their services.
@@ -253,7 +253,7 @@
 	changed, gone := g.directory.TakeChanges()
 	g.noteReplaced()
 	g.serverLimits.removeStale(g.now(), g.directory.Contains)
-	g.leaving.removeStale(g.now(), g.directory.Contains)
+	g.leavingServers.removeStale(g.now(), g.directory.Contains)
 	concerns := make(map[*service]serverChanges, len(g.services))
 	for name, s := range g.services {
 		concerns[s] = g.changesFor(name, changed, gone)
@@ -270,7 +270,7 @@
 			changes.removed = append(changes.removed, server.ID)
 			continue
 		}
-		server.Draining = server.Draining || g.leaving.value(server.Incarnation())
+		server.Draining = server.Draining || g.leavingServers.value(server.Incarnation())
 		changes.changed = append(changes.changed, server)
 	}
 	return changes
@@ -284,8 +284,8 @@
 	g.directory.MarkChanged(server.ID)
 }
 
-// nudge wakes the control loop.
-func (g *Gateway) nudge() {
+// wakeControl wakes the control loop.
+func (g *Gateway) wakeControl() {
 	select {
 	case g.wake <- struct{}{}:
 	default:
--- a/gateway/leaving.go
+++ b/gateway/leaving.go
@@ -14,11 +14,11 @@
 
 // handleLeaving handles whether a response says that its server is leaving.
 func (g *Gateway) handleLeaving(h receivedNotices) {
-	if !h.Leaving && !(g.leaving.nonEmpty.Load() && (h.ran || h.healthy)) {
+	if !h.Leaving && !(g.leavingServers.nonEmpty.Load() && (h.ran || h.healthy)) {
 		return
 	}
 	update := notice.Update[bool]{Value: h.Leaving, SentAt: h.sentAt, ReceivedAt: g.now()}
-	if _, changed := g.leaving.update(h.from, update); !changed {
+	if _, changed := g.leavingServers.update(h.from, update); !changed {
 		return
 	}
 	g.markServerChanged(h.from)
@@ -33,24 +33,24 @@
 // number of the last change that the report covers.
 func (g *Gateway) addLeavingToReport(c *serviceControl, report *loadReport) uint64 {
 	var upTo uint64
-	report.Leaving, upTo = g.leaving.changesSince(g.now(), c.news.leaving.told)
-	report.KnownLeaving = c.news.leaving.received
-	c.news.leaving.sent = upTo
+	report.Leaving, upTo = g.leavingServers.changesSince(g.now(), c.exchanges.leaving.acknowledged)
+	report.KnownLeaving = c.exchanges.leaving.received
+	c.exchanges.leaving.sent = upTo
 	return upTo
 }
 
 // applyReportedLeaving applies the notices in the controller's response to a report.
 func (g *Gateway) applyReportedLeaving(c *serviceControl, e *reportResult) {
-	before := g.leaving.changeCount()
+	before := g.leavingServers.changeCount()
 	g.applyLeaving(e.answer.Leaving, e.to.Host)
-	c.news.leaving.noteAnswer(before, g.leaving.changeCount(), e.leavingUpTo, e.answer.LeavingUpTo)
+	c.exchanges.leaving.noteAnswer(before, g.leavingServers.changeCount(), e.leavingUpTo, e.answer.LeavingUpTo)
 }
 
 // applyLeaving applies the notices that another host sent.
 func (g *Gateway) applyLeaving(updates []notice.PeerUpdate[bool], sender string) {
 	anyChanged := false
 	for _, update := range updates {
-		_, changed := g.leaving.update(update.Server, update.ToUpdate(g.now()))
+		_, changed := g.leavingServers.update(update.Server, update.ToUpdate(g.now()))
 		anyChanged = anyChanged || changed
 		if changed {
 			g.markServerChanged(update.Server)
@@ -77,10 +77,10 @@
 // entries say that they are ready. Such servers get no requests whose responses could show that
 // they stay. Only the host that schedules reservations checks; it tells the others.
 func (g *Gateway) recheckLeaving(ctx context.Context, now time.Duration) {
-	if !g.leaving.nonEmpty.Load() || now-g.leavingAsked < recheckLeavingInterval || g.schedulingController(now) == nil {
+	if !g.leavingServers.nonEmpty.Load() || now-g.leavingProbedAt < recheckLeavingInterval || g.schedulingController(now) == nil {
 		return
 	}
-	g.leavingAsked = now
+	g.leavingProbedAt = now
 	for _, server := range g.leavingButReady() {
 		g.probeLeaving(ctx, server)
 	}
@@ -97,8 +97,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var servers []fleet.Server
-	for incarnation := range g.leaving.values() {
-		announced, _ := g.leaving.latest(incarnation)
+	for incarnation := range g.leavingServers.values() {
+		announced, _ := g.leavingServers.latest(incarnation)
 		server, listed := g.directory.Get(incarnation.ID)
 		if !listed || server.Incarnation() != incarnation || server.Draining {
 			continue
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -18,7 +18,7 @@
 		return
 	}
 	g.applyLimits()
-	g.nudge() // sends the notice to the other hosts at once
+	g.wakeControl() // sends the notice to the other hosts at once
 	if g.failureLogLimit.allow() {
 		g.log.Info("server's rate limit changed", "request", h.requestID, "call", h.call, "server", h.from.String(),
 			"per-second", update.Value, "before", previous, "answered-ms", (update.ReceivedAt - update.SentAt).Milliseconds())
@@ -28,8 +28,8 @@
 // applyLimits gives all services the rate limits of servers, and the number of hosts among
 // which a limit is divided while no reservations can be had.
 func (g *Gateway) applyLimits() {
-	g.applyingLimits.Lock()
-	defer g.applyingLimits.Unlock()
+	g.applyLimitsMu.Lock()
+	defer g.applyLimitsMu.Unlock()
 	limits, hosts := g.serverLimits.values(), g.hosts.value()
 	for _, s := range g.allServices() {
 		s.setRateLimits(limits, hosts)
@@ -64,9 +64,9 @@
 // addLimitsToReport adds the limits that the controller does not know to a report, and returns the
 // number of the last change that the report covers.
 func (g *Gateway) addLimitsToReport(c *serviceControl, report *loadReport) uint64 {
-	updates, upTo := g.serverLimits.changesSince(g.now(), c.news.limits.told)
-	report.Limits, report.KnownLimits = newLimitNotices(updates), c.news.limits.received
-	c.news.limits.sent = upTo
+	updates, upTo := g.serverLimits.changesSince(g.now(), c.exchanges.limits.acknowledged)
+	report.Limits, report.KnownLimits = newLimitNotices(updates), c.exchanges.limits.received
+	c.exchanges.limits.sent = upTo
 	return upTo
 }
 
@@ -74,7 +74,7 @@
 func (g *Gateway) applyReportedLimits(c *serviceControl, e *reportResult) {
 	before := g.serverLimits.changeCount()
 	g.applyLimitNotices(e.answer.Limits, e.to.Host)
-	c.news.limits.noteAnswer(before, g.serverLimits.changeCount(), e.limitsUpTo, e.answer.LimitsUpTo)
+	c.exchanges.limits.noteAnswer(before, g.serverLimits.changeCount(), e.limitsUpTo, e.answer.LimitsUpTo)
 }
 
 // applyLimitNotices applies the limits that another host sent.
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -25,10 +25,10 @@
 	g.handleNotices(receivedNotices{from: server, call: callRequest, sentAt: later, ran: true, Notice: adapter.Notice{Unreadable: unreadable}})
 	g.handleNotices(receivedNotices{from: server, call: callHealth, sentAt: later, healthy: true, Notice: adapter.Notice{Unreadable: unreadable}})
 	assert.Equal(t, g.serverLimits.value(server), 3.0)
-	assert.Assert(t, g.leaving.value(server))
+	assert.Assert(t, g.leavingServers.value(server))
 	g.handleNotices(receivedNotices{from: server, call: callHealth, sentAt: later, healthy: true})
 	assert.Equal(t, g.serverLimits.value(server), 3.0, "health responses may omit the limit")
-	assert.Assert(t, !g.leaving.value(server))
+	assert.Assert(t, !g.leavingServers.value(server))
 	g.handleNotices(receivedNotices{from: server, call: callRequest, sentAt: later, ran: true})
 	assert.Equal(t, g.serverLimits.value(server), 0.0)
 }
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -190,7 +190,7 @@
 // apply implements event.
 func (e *reportResult) apply(g *Gateway, now time.Duration) {
 	c := e.control
-	c.news.reportInFlight = false
+	c.exchanges.reportInFlight = false
 	switch {
 	case e.err != nil:
 		g.freshness.noteControllerFailure()
@@ -298,7 +298,7 @@
 	limits, upTo := g.serverLimits.changesSince(g.now(), report.KnownLimits)
 	answer.Limits, answer.LimitsUpTo = newLimitNotices(limits), upTo
 	g.applyLeaving(report.Leaving, report.Host)
-	answer.Leaving, answer.LeavingUpTo = g.leaving.changesSince(g.now(), report.KnownLeaving)
+	answer.Leaving, answer.LeavingUpTo = g.leavingServers.changesSince(g.now(), report.KnownLeaving)
 	answer.Relays = c.members.relaysFor(report.Host, report.Domain, now)
 	answer.Hosts = g.hosts.value()
 	answer.FollowRelays = len(c.members.hosts) > maxDirectFollowers
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -59,7 +59,7 @@
 	if acquitted {
 		g.log.Info("request cleared: a server ran it and gave a complete answer", "request", req.ID, "fingerprint", fingerprint.String(),
 			"servers-ended", before.Terminations, "verdict", before.Verdict.String())
-		g.nudge()
+		g.wakeControl()
 	}
 }
 
@@ -75,10 +75,10 @@
 // exchange holds how far a host and the controller of a service have exchanged the changes of a
 // ledger.
 type exchange struct {
-	// told is the last change of this host's ledger that the controller has received, sent the
+	// acknowledged is the last change of this host's ledger that the controller has received, sent the
 	// last one that a report included, received the last change of the controller's ledger that
 	// this host has received.
-	told, sent, received uint64
+	acknowledged, sent, received uint64
 }
 
 // noteAnswer records that the controller's answer to a report was processed, which advanced this
@@ -88,7 +88,7 @@
 	if before == e.sent {
 		e.sent = after
 	}
-	e.told, e.received = acknowledged, received
+	e.acknowledged, e.received = acknowledged, received
 }
 
 // exchanges is the state of all exchanges between a host and the controller of a service: of
@@ -102,15 +102,15 @@
 // Until it gets them, other hosts go on sending a request that terminates servers, and each
 // host runs into a server's rate limit by itself.
 func (g *Gateway) hasUrgentChanges(c *serviceControl, now time.Duration) bool {
-	if c.news.reportInFlight || now-c.reportedAt < earlyReportInterval {
+	if c.exchanges.reportInFlight || now-c.reportedAt < earlyReportInterval {
 		return false
 	}
-	if g.serverLimits.changeCount() > c.news.limits.sent || g.leaving.changeCount() > c.news.leaving.sent {
+	if g.serverLimits.changeCount() > c.exchanges.limits.sent || g.leavingServers.changeCount() > c.exchanges.leaving.sent {
 		return true
 	}
 	g.terminations.mu.Lock()
 	defer g.terminations.mu.Unlock()
-	return g.terminations.ledger.ChangeCount() > c.news.cases.sent
+	return g.terminations.ledger.ChangeCount() > c.exchanges.cases.sent
 }
 
 // addCases adds to a report the cases that the controller has not received, and returns the
@@ -119,16 +119,16 @@
 	g.terminations.mu.Lock()
 	defer g.terminations.mu.Unlock()
 	var upTo uint64
-	report.Cases, upTo = g.terminations.ledger.ChangesSince(g.now(), c.news.cases.told, maxCasesPerMessage, poison.ToCollector)
-	report.KnownCases = c.news.cases.received
-	c.news.cases.sent, c.news.reportInFlight = upTo, true
+	report.Cases, upTo = g.terminations.ledger.ChangesSince(g.now(), c.exchanges.cases.acknowledged, maxCasesPerMessage, poison.ToCollector)
+	report.KnownCases = c.exchanges.cases.received
+	c.exchanges.cases.sent, c.exchanges.reportInFlight = upTo, true
 	return upTo
 }
 
 // mergeReportedCases merges the cases in the controller's answer to a report.
 func (g *Gateway) mergeReportedCases(c *serviceControl, e *reportResult) {
 	before, after := g.mergeCases(e.answer.Cases, e.to.Host)
-	c.news.cases.noteAnswer(before, after, e.casesUpTo, e.answer.CasesUpTo)
+	c.exchanges.cases.noteAnswer(before, after, e.casesUpTo, e.answer.CasesUpTo)
 }
 
 // casesFor returns the cases for a host that has received this ledger up to a change, and the
--- a/gateway/serverends.go
+++ b/gateway/serverends.go
@@ -158,7 +158,7 @@
 				"age-ms", (g.now() - each.At).Milliseconds(), "answered-lately", recentlyAnswered, "news", isNew, "servers-ended", judged.Terminations, "verdict", judged.Verdict.String())
 		}
 		if isNew {
-			g.nudge() // other hosts need to know at once
+			g.wakeControl() // other hosts need to know at once
 		}
 	}
 }
--- a/gateway/servers.go
+++ b/gateway/servers.go
@@ -80,7 +80,7 @@
 // directoryChanged passes the directory's changes to the services and wakes the controller.
 func (g *Gateway) directoryChanged() {
 	g.distributeServers()
-	g.nudge()
+	g.wakeControl()
 }
 
 // expireServers drops servers whose entries are still missing some time after an outage of the
--- a/tools/mutants/limits.go
+++ b/tools/mutants/limits.go
@@ -30,7 +30,7 @@
 		pool("cold.go", "treat a limited server as unlimited", "if server.hasLimit() {", "if false {"),
 		pool("cold.go", "suspect servers without a start time", " || incarnation.Start == 0", ""),
 		pool("cold.go", "keep suspecting a server after its report", "server.assumedColdUntil, server.reportedColdUntil = 0, now+coldFor", "server.reportedColdUntil = now + coldFor"),
-		host("limits.go", "do not apply limits", "	g.applyLimits()\n	g.nudge()", "	g.nudge()"),
+		host("limits.go", "do not apply limits", "	g.applyLimits()\n	g.wakeControl()", "	g.wakeControl()"),
 		host("places.go", "schedule while a predecessor may schedule", " || len(c.machine.UnfencedPredecessors(now)) > 0", ""),
 		host("coordination.go", "run no controller without keyed services", "if len(g.keyedServices()) == 0 {", "if false {"),
 		host("cold.go", "do not suspect a server that closed a connection", "if ctx.Err() != nil || !req.service.suspectRestart(server) {", "if true {"),
