--- a/dispatch/budget.go
+++ b/dispatch/budget.go
@@ -1,30 +1,30 @@
 package dispatch
 
-// Budget bounds retries to a share of first attempts, so that retries cannot
-// make an overload worse. It is not safe for concurrent use.
+// RetryBudget limits retries to a fraction of the first attempts, so that retries
+// do not amplify an overload. It is not safe for concurrent use.
 type Budget struct {
 	share  float64
 	most   float64
 	tokens float64
 }
 
-// NewBudget returns a budget that lets share retries through for each first
-// attempt, and at most reserve at once.
-func NewBudget(share, reserve float64) *Budget {
-	return &Budget{share: share, most: reserve, tokens: reserve}
+// NewRetryBudget returns a budget that allows retryRatio retries per first attempt
+// and at most reserve retries at once.
+func NewBudget(retryRatio, reserve float64) *Budget {
+	return &Budget{share: retryRatio, most: reserve, tokens: reserve}
 }
 
-// SetReserve sets how many retries there may be at once, and adds some to those that may be
-// made now.
+// SetReserve sets how many retries may be made at once, and adds to the retries
+// that may be made now.
 func (b *Budget) SetReserve(reserve, added float64) {
 	b.most = reserve
 	b.tokens = min(reserve, b.tokens+added)
 }
 
-// First notes a first attempt.
+// RecordFirstAttempt records a first attempt.
 func (b *Budget) First() { b.tokens = min(b.most, b.tokens+b.share) }
 
-// Retry takes the right to one retry, if there is one.
+// TakeRetry reports whether a retry is allowed, and deducts it from the budget.
 func (b *Budget) Retry() bool {
 	if b.tokens < 1 {
 		return false
--- a/dispatch/dedup.go
+++ b/dispatch/dedup.go
@@ -8,7 +8,7 @@
 	"cicadarouter/contract/caller"
 )
 
-// Reply is a final answer to a caller's request.
+// Reply is the final reply to a caller's request.
 type Reply struct {
 	Outcome caller.Outcome
 	Reason  caller.Reason
@@ -16,42 +16,46 @@
 	Headers []Header
 	Body    []byte
 	Server  string
-	// RetryAfter is when to come back, for requests that were refused.
+	// RetryAfter is when the caller may retry a request that was rejected.
 	RetryAfter time.Duration
 }
 
-// Header is one header field of an answer.
+// Header is one header field of a request or reply.
 type Header struct{ Name, Value string }
 
-// Admission says what to do with a non-idempotent request.
+// Admission is the decision on a copy of a non-idempotent request.
 type Admission uint8
 
-// The admissions.
+// The possible decisions.
 const (
-	// AdmitRun: this copy runs. Finish must follow.
+	// AdmitRun: this copy is to run. Finish must be called afterwards.
 	AdmitRun Admission = iota + 1
-	// AdmitWait: an earlier copy runs; its reply comes on the channel.
+	// AdmitWait: an earlier copy is running. The channel is closed when it has
+	// finished.
 	AdmitWait
-	// AdmitReplay: an earlier copy has ended; its reply stands.
+	// AdmitReplay: an earlier copy has finished; its reply is the reply to this
+	// copy.
 	AdmitReplay
-	// AdmitUnknown: an earlier copy may have run elsewhere.
+	// AdmitUnknown: an earlier copy may have run, but its state is not known here.
 	AdmitUnknown
 )
 
-// DedupPolicy bounds a Dedup.
+// DedupPolicy configures a Deduplicator.
 type DedupPolicy struct {
-	// Window is how long a finished request is remembered.
+	// Window is how long a finished request is remembered, counted from its
+	// arrival.
 	Window time.Duration
-	// Skew is how far callers' clocks may be ahead of this one.
+	// MaxClockSkew is how far callers' clocks may be ahead of the local one.
 	Skew time.Duration
-	// MostEntries and MostBodyBytes bound the memory.
+	// MaxEntries and MaxBodyBytes limit the remembered requests and reply bodies.
 	MostEntries   int
 	MostBodyBytes int
-	// KeepBody is the largest body that is kept for a replay.
+	// MaxReplayBodyBytes is the largest reply body that is kept for a replay.
 	KeepBody int
 }
 
-// DefaultDedupPolicy keeps the memory of one router under 64 MB.
+// DefaultDedupPolicy returns a policy that keeps the memory for one page's requests
+// under 64 MB.
 func DefaultDedupPolicy() DedupPolicy {
 	return DedupPolicy{
 		Window:        time.Minute,
@@ -71,29 +75,31 @@
 	kept    int
 }
 
-// Dedup remembers the non-idempotent requests of one page, so that a re-sent
-// one does not run twice. All copies of a request meet at the page's dispatch
-// router; Dedup is that router's memory. It is not safe for concurrent use.
+// Deduplicator remembers the non-idempotent requests of one page, so that a request
+// that is sent again does not run twice. It belongs to the page's dispatch router,
+// which every copy of a request passes through. It is not safe for concurrent use.
 type Dedup struct {
 	policy DedupPolicy
-	// covers is the time from which on every request of the page is in the
-	// memory. A copy whose first attempt may be older is not run.
+	// coveredSince is the time since which every request of the page is in entries.
+	// A further attempt at a request that may be older is not run.
 	covers  time.Time
 	entries map[uuid.UUID]*dedupEntry
 	order   []*dedupEntry
 	bytes   int
 }
 
-// NewDedup returns an empty memory that covers requests from start on.
+// NewDeduplicator returns an empty Deduplicator that covers requests from start on.
 func NewDedup(policy DedupPolicy, start time.Time) *Dedup {
 	return &Dedup{policy: policy, covers: start, entries: map[uuid.UUID]*dedupEntry{}}
 }
 
-// Uncover forgets the right to run re-sent requests from before now: another
-// router may have dispatched the page in the meantime.
+// ResetCoverage declares that only requests from now on are covered, since another
+// router may have dispatched the page in the meantime. Earlier requests that are
+// sent again and are not in entries will not run.
 func (d *Dedup) Uncover(now time.Time) { d.covers = now }
 
-// Begin decides about a copy of a request. wall is this router's wall clock.
+// Begin decides on a copy of a request, which is its caller's attempt-th. wall is
+// the time on this router's wall clock.
 func (d *Dedup) Begin(wall time.Time, id uuid.UUID, attempt int) (Admission, Reply, <-chan struct{}) {
 	d.expire(wall)
 	if entry, known := d.entries[id]; known {
@@ -111,19 +117,19 @@
 	return AdmitRun, Reply{}, nil
 }
 
-// firstWouldBeHere reports whether the first attempt, had it reached any
-// dispatch router, would be in this memory. The birth time in the id is the
-// caller's; a time that is ahead of ours proves nothing and counts against.
+// firstAttemptCovered reports whether the first attempt would be in entries if it
+// had reached any dispatch router. The creation time in the id is from the caller's
+// clock; a time ahead of the local clock proves nothing and counts as not covered.
 func (d *Dedup) firstWouldBeHere(wall time.Time, id uuid.UUID) bool {
-	birth := caller.BirthTime(id)
-	if birth.After(wall) {
+	createdAt := caller.BirthTime(id)
+	if createdAt.After(wall) {
 		return false
 	}
-	return birth.After(d.covers.Add(d.policy.Skew))
+	return createdAt.After(d.covers.Add(d.policy.Skew))
 }
 
-// Finish notes the reply of a copy that was admitted to run. A request that is
-// proven not to have run is forgotten, so that a further attempt may run.
+// Finish records the reply to a copy that was admitted to run. A request that is
+// proven not to have run is removed, so that a further attempt may run.
 func (d *Dedup) Finish(id uuid.UUID, reply Reply) {
 	entry, known := d.entries[id]
 	if !known || entry.ended {
@@ -140,8 +146,8 @@
 	close(entry.done)
 }
 
-// storable replaces an answer that is too large to keep by the word that the
-// request has run.
+// replayable returns the reply to keep for replays. A reply with too large a body
+// is replaced by one that says only that the request may have run.
 func (d *Dedup) storable(reply Reply) Reply {
 	if reply.Outcome != caller.Done || len(reply.Body) <= d.policy.KeepBody {
 		return reply
@@ -149,13 +155,14 @@
 	return Reply{Outcome: caller.Unknown, Reason: caller.ReasonMaybeRunBefore, Server: reply.Server}
 }
 
-// expire forgets what is older than the window or beyond the bounds, and no
-// longer covers the time of what it forgot.
+// expire removes the oldest requests that are past the window or exceed the limits,
+// and moves coveredSince past the removed ones. It stops at a request that has not
+// finished.
 func (d *Dedup) expire(wall time.Time) {
 	for len(d.order) > 0 {
 		oldest := d.order[0]
-		crowded := len(d.entries) > d.policy.MostEntries || d.bytes > d.policy.MostBodyBytes
-		if !oldest.ended || !crowded && wall.Sub(oldest.arrived) < d.policy.Window {
+		overLimit := len(d.entries) > d.policy.MostEntries || d.bytes > d.policy.MostBodyBytes
+		if !oldest.ended || !overLimit && wall.Sub(oldest.arrived) < d.policy.Window {
 			return
 		}
 		d.order[0] = nil
--- a/dispatch/dedup_test.go
+++ b/dispatch/dedup_test.go
@@ -12,7 +12,7 @@
 	"cicadarouter/dispatch"
 )
 
-// idAt mints a request id that a caller's clock would give at a time.
+// idAt returns the request id that a caller would create at a time on its clock.
 func idAt(at time.Time, serial int) uuid.UUID {
 	var id uuid.UUID
 	millis := at.UnixMilli()
@@ -35,17 +35,17 @@
 	}
 }
 
-// sent is a request as its caller knows it.
+// sentRequest is a request with the record of its runs.
 type sent struct {
 	id       uuid.UUID
 	attempts int
 	ran      int
 	running  []int // routers that run a copy
-	notRun   bool  // a reply proved that it has not run
+	notRun   bool  // a reply said that it has not run
 }
 
-// dedupWorld is two routers that dispatch one page in turn, and callers whose
-// clocks are ahead of or behind the routers', within the margin.
+// dedupSimulation simulates two routers that dispatch one page alternately, and
+// callers whose clocks differ from the routers' within MaxClockSkew.
 type dedupWorld struct {
 	now      time.Time
 	routers  [2]*dispatch.Dedup
@@ -53,8 +53,9 @@
 	requests []*sent
 }
 
-// TestAtMostOnce: whatever is re-sent, to whichever router dispatches the page
-// at the time, with memories that expire and overflow, no request runs twice.
+// TestAtMostOnce checks that no request runs twice, however often it is sent again,
+// whichever router dispatches the page at the time, and although entries expire and
+// exceed the limits.
 func TestAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.UnixMilli(1_800_000_000_000)
@@ -83,7 +84,7 @@
 			t.Fatalf("request %s ran %d times", request.id, request.ran)
 		}
 		if request.notRun && request.ran > 0 {
-			t.Fatalf("request %s ran although it was told not run", request.id)
+			t.Fatalf("request %s ran although its reply said that it did not", request.id)
 		}
 	}
 }
@@ -101,8 +102,8 @@
 	}
 }
 
-// attempt brings a copy to the router that dispatches the page. Its effect
-// comes at once; its reply comes with finish, or never.
+// attempt delivers a copy to the router that dispatches the page. An admitted copy
+// takes effect at once; its reply comes with finish, or never.
 func (w *dedupWorld) attempt(request *sent) {
 	request.attempts++
 	admission, _, _ := w.routers[w.holder].Begin(w.now, request.id, request.attempts)
@@ -127,7 +128,7 @@
 	case "unknown":
 		reply = dispatch.Reply{Outcome: caller.Unknown}
 	case "not run":
-		request.ran-- // it was refused before it had any effect
+		request.ran-- // it was rejected before it took effect
 		reply = dispatch.Reply{Outcome: caller.NotRun}
 	}
 	w.routers[router].Finish(request.id, reply)
@@ -137,13 +138,14 @@
 	w.now = w.now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
 }
 
-// handOver gives the page to the other router, whose memory covers nothing yet.
+// handOver makes the other router the dispatcher, which covers only requests from
+// now on.
 func (w *dedupWorld) handOver(*rapid.T) {
 	w.holder = 1 - w.holder
 	w.routers[w.holder].Uncover(w.now)
 }
 
-// restart replaces the dispatching router by one without memory.
+// restart replaces the dispatcher by one without entries.
 func (w *dedupWorld) restart(*rapid.T) {
 	w.routers[w.holder] = dispatch.NewDedup(testPolicy(), w.now)
 	for _, request := range w.requests {
@@ -151,9 +153,8 @@
 	}
 }
 
-// Symptom: a request runs twice, long after its first run.
-// Sequence: it runs and ends; its memory expires; its caller sends it again.
-// Cause: a memory that has dropped what it knew still claims to cover the time.
+// A request that is sent again after its entry expired must not run a second time:
+// the time of an expired entry is no longer covered.
 func TestExpiredMemoryCoversNothing(t *testing.T) {
 	start := time.UnixMilli(1_800_000_000_000)
 	d := dispatch.NewDedup(testPolicy(), start)
@@ -167,7 +168,8 @@
 	assert.Equal(t, admission, dispatch.AdmitUnknown)
 }
 
-// TestReplay: a copy that comes after the end gets the same answer.
+// TestReplay checks that a copy waits for a running one, and that a later copy gets
+// the same reply.
 func TestReplay(t *testing.T) {
 	now := time.UnixMilli(1_800_000_000_000)
 	d := dispatch.NewDedup(testPolicy(), now)
@@ -183,8 +185,8 @@
 	assert.Equal(t, reply.Status, 201)
 }
 
-// TestLargeAnswerIsNotReplayed: what is too large to keep is told as run, never
-// run again.
+// TestLargeAnswerIsNotReplayed checks that a request whose reply is too large to
+// keep is reported as possibly run and does not run again.
 func TestLargeAnswerIsNotReplayed(t *testing.T) {
 	now := time.UnixMilli(1_800_000_000_000)
 	d := dispatch.NewDedup(testPolicy(), now)
@@ -197,9 +199,10 @@
 	assert.Equal(t, reply.Reason, caller.ReasonMaybeRunBefore)
 }
 
-// TestRefusalOfLastAttempt: a refusal proves only that its own attempt has not run.
+// TestRefusalOfLastAttempt checks that a rejection proves only that its own attempt
+// has not run.
 func TestRefusalOfLastAttempt(t *testing.T) {
-	refusal := dispatch.Reply{Outcome: caller.NotRun}
+	rejection := dispatch.Reply{Outcome: caller.NotRun}
 	rows := []struct {
 		name    string
 		attempt int
@@ -208,8 +211,8 @@
 	}{
 		{"first attempt", 1, nil, caller.NotRun},
 		{"the caller's second attempt", 2, nil, caller.Unknown},
-		{"after a refusal", 1, []caller.Outcome{caller.NotRun}, caller.NotRun},
-		{"after an unknown end", 1, []caller.Outcome{caller.Unknown, caller.NotRun}, caller.Unknown},
+		{"after a rejection", 1, []caller.Outcome{caller.NotRun}, caller.NotRun},
+		{"after an unknown outcome", 1, []caller.Outcome{caller.Unknown, caller.NotRun}, caller.Unknown},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -217,7 +220,7 @@
 			for _, outcome := range row.earlier {
 				history.Note(dispatch.Reply{Outcome: outcome})
 			}
-			assert.Equal(t, history.Conclude(refusal).Outcome, row.want)
+			assert.Equal(t, history.Conclude(rejection).Outcome, row.want)
 		})
 	}
 }
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -1,5 +1,5 @@
-// Package dispatch holds the decisions of the request path: whether a request
-// may run, when, and what its caller may be told. It is pure: time comes in as
-// an argument and nothing here does I/O. Types that are shared between
-// goroutines say so.
+// Package dispatch holds the decisions of the request path: whether and when a
+// request may run, and what may be reported to its caller. It is pure: the time is
+// an argument and nothing here does I/O. Types that may be used by several
+// goroutines at once say so.
 package dispatch
--- a/dispatch/gate_test.go
+++ b/dispatch/gate_test.go
@@ -32,53 +32,54 @@
 	}
 }
 
-// TestGateBounds: never more requests at a time than slots, never a longer queue
-// than the policy says, and nobody is left waiting while a slot is free.
+// TestGateBounds checks that there are never more running requests than slots,
+// never more waiting ones than the policy allows, and none waiting while a slot is
+// free.
 func TestGateBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const slots, queue = 3, 2
 		policy := dispatch.GatePolicy{Queue: queue, FirstService: 10 * time.Millisecond}
 		gate := dispatch.NewGate(policy, slots, dispatch.NewRoundRobin())
 		var now time.Duration
-		var inside, waiting []*dispatch.Waiter
-		sort := func() {
+		var running, waiting []*dispatch.Waiter
+		classify := func() {
 			var still []*dispatch.Waiter
 			for _, w := range waiting {
 				switch {
 				case admitted(w):
-					inside = append(inside, w)
+					running = append(running, w)
 				case !settled(w):
 					still = append(still, w)
 				}
-				// Shed waiters are gone.
+				// Shed waiters are dropped.
 			}
 			waiting = still
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(t *rapid.T) {
-				sort()
-				if len(inside) > slots || gate.InFlight() != len(inside) {
-					t.Fatalf("%d inside, gate says %d, slots %d", len(inside), gate.InFlight(), slots)
+				classify()
+				if len(running) > slots || gate.InFlight() != len(running) {
+					t.Fatalf("%d running, limiter reports %d, slots %d", len(running), gate.InFlight(), slots)
 				}
 				if len(waiting) > queue*slots {
-					t.Fatalf("%d wait", len(waiting))
+					t.Fatalf("%d waiting", len(waiting))
 				}
-				if len(waiting) > 0 && len(inside) < slots {
-					t.Fatalf("%d wait while a slot is free", len(waiting))
+				if len(waiting) > 0 && len(running) < slots {
+					t.Fatalf("%d waiting while a slot is free", len(waiting))
 				}
 			},
 			"enter": func(t *rapid.T) {
 				budget := time.Duration(rapid.IntRange(0, 200).Draw(t, "budget")) * time.Millisecond
 				w := waiter(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "caller"), now+budget)
-				if ok, comeBack := gate.Enter(now, w); ok {
+				if ok, retryAfter := gate.Enter(now, w); ok {
 					waiting = append(waiting, w)
-				} else if comeBack <= 0 {
-					t.Fatalf("refused without a time to come back")
+				} else if retryAfter <= 0 {
+					t.Fatalf("rejected without a retry delay")
 				}
 			},
 			"exit": func(t *rapid.T) {
-				if len(inside) > 0 {
-					inside = inside[1:]
+				if len(running) > 0 {
+					running = running[1:]
 					gate.Exit(now, time.Duration(rapid.IntRange(1, 30).Draw(t, "held"))*time.Millisecond)
 				}
 			},
@@ -95,8 +96,8 @@
 	})
 }
 
-// TestHopelessWaitIsRefusedAtOnce: who cannot be served in time is told so when
-// it comes, not when its time is over.
+// TestWaitBeyondDeadlineIsRejectedAtOnce checks that a request that cannot complete
+// in time is rejected on arrival, not at its deadline.
 func TestHopelessWaitIsRefusedAtOnce(t *testing.T) {
 	policy := dispatch.GatePolicy{Queue: 100, FirstService: 10 * time.Millisecond}
 	gate := dispatch.NewGate(policy, 1, &dispatch.FIFO{})
@@ -104,27 +105,28 @@
 		ok, _ := gate.Enter(0, waiter("", time.Second))
 		assert.Assert(t, ok)
 	}
-	ok, comeBack := gate.Enter(0, waiter("", 35*time.Millisecond))
+	ok, retryAfter := gate.Enter(0, waiter("", 35*time.Millisecond))
 	assert.Assert(t, !ok)
-	assert.Equal(t, comeBack, 30*time.Millisecond)
+	assert.Equal(t, retryAfter, 30*time.Millisecond)
 }
 
-// TestQueueIsBounded: patience alone does not make the queue longer.
+// TestQueueIsBounded checks that long deadlines do not make the queue exceed its
+// limit.
 func TestQueueIsBounded(t *testing.T) {
 	const slots, queue = 2, 3
 	gate := dispatch.NewGate(dispatch.GatePolicy{Queue: queue, FirstService: time.Millisecond}, slots, &dispatch.FIFO{})
-	taken := 0
+	accepted := 0
 	for range 100 {
 		if ok, _ := gate.Enter(0, waiter("", time.Hour)); ok {
-			taken++
+			accepted++
 		}
 	}
-	assert.Equal(t, taken, slots+slots*queue)
+	assert.Equal(t, accepted, slots+slots*queue)
 }
 
-// Symptom: calm callers are refused while one caller bursts.
-// Sequence: the burst fills the queue; a calm caller's request comes.
-// Cause: a full queue turned away whoever came, not who filled it.
+// A burst of one caller that fills the queue must not lock out other callers: a
+// full queue evicts a waiter of the caller that filled it rather than rejecting the
+// new request.
 func TestBurstDoesNotKeepOthersOut(t *testing.T) {
 	gate := dispatch.NewGate(dispatch.GatePolicy{Queue: 3, FirstService: time.Millisecond}, 1, dispatch.NewRoundRobin())
 	var burst []*dispatch.Waiter
@@ -135,14 +137,15 @@
 		burst = append(burst, w)
 	}
 	ok, _ := gate.Enter(0, waiter("burst", time.Second))
-	assert.Assert(t, !ok, "the burst makes no room for itself")
+	assert.Assert(t, !ok, "the burst got room for a further request of its own")
 	ok, _ = gate.Enter(0, waiter("calm", time.Second))
 	assert.Assert(t, ok)
-	assert.Assert(t, burst[3].Shed, "the burst's newest waiter made room")
+	assert.Assert(t, burst[3].Shed, "the burst's newest waiter was not evicted")
 	assert.Equal(t, gate.Waiting(), 3)
 }
 
-// TestRoundRobinIsFair: a caller's burst does not delay another caller.
+// TestRoundRobinIsFair checks that a burst of one caller does not delay another
+// caller.
 func TestRoundRobinIsFair(t *testing.T) {
 	order := dispatch.NewRoundRobin()
 	for range 10 {
@@ -153,7 +156,8 @@
 	assert.Equal(t, order.Pop(0).Caller, "calm")
 }
 
-// TestBudgetBoundsRetries: retries stay a share of first attempts.
+// TestBudgetBoundsRetries checks that retries are limited to a fraction of the
+// first attempts.
 func TestBudgetBoundsRetries(t *testing.T) {
 	budget := dispatch.NewBudget(0.1, 5)
 	retries := 0
--- a/dispatch/history.go
+++ b/dispatch/history.go
@@ -2,23 +2,23 @@
 
 import "cicadarouter/contract/caller"
 
-// History remembers whether any attempt at a request may have run, so that a
-// refusal of the last attempt is not told as "not run" of the whole request.
-// The zero History is that of a request without earlier attempts.
+// History records whether any attempt at a request may have run, so that a rejected
+// last attempt is not reported as "not run" for the whole request. The zero value
+// is for a request without earlier attempts.
 type History struct{ mayHaveRun bool }
 
-// NewHistory returns the history of a request that its caller says it sends for
-// the attempt-th time. What became of the caller's earlier attempts is not known.
+// NewHistory returns the history of a request that is its caller's attempt-th. The
+// outcome of the caller's earlier attempts is not known, so they may have run.
 func NewHistory(attempt int) History { return History{mayHaveRun: attempt > 1} }
 
-// Note takes the reply of an attempt that is not the last.
+// Record records the reply to an attempt that is not the last.
 func (h *History) Note(reply Reply) {
 	if reply.Outcome != caller.NotRun {
 		h.mayHaveRun = true
 	}
 }
 
-// Conclude turns the reply of the last attempt into the request's.
+// FinalReply turns the reply to the last attempt into the reply to the request.
 func (h *History) Conclude(reply Reply) Reply {
 	if reply.Outcome == caller.NotRun && h.mayHaveRun {
 		reply.Outcome = caller.Unknown
--- a/dispatch/load.go
+++ b/dispatch/load.go
@@ -7,33 +7,36 @@
 	"time"
 )
 
-// hashBusy is the time that requests for one hash held slots.
+// hashLoad is the time that requests for one key hash held slots, and their number.
 type hashBusy struct {
 	busy  time.Duration
 	count int
 }
 
-// LoadMeter measures how long requests held slots, by shard and by hash, since
-// the last reading. It is not safe for concurrent use.
+// LoadMeter measures how long requests held slots, by shard and by key hash, since
+// the last call to Read. It is not safe for concurrent use.
 type LoadMeter struct {
 	since  time.Duration
 	shards map[uint64]time.Duration
 	hashes map[uint64]*hashBusy
 }
 
-// Bounds of what a meter keeps and tells.
+// Limits of what a meter keeps and reports: the number of key hashes kept, the
+// number reported per shard, and the minimum fraction of the shard's load of a
+// reported one.
 const (
 	mostHashes   = 512
 	toldHashes   = 2
 	hotShareTold = 0.1
 )
 
-// NewLoadMeter returns a meter that starts at now.
+// NewLoadMeter returns a meter that starts measuring at now.
 func NewLoadMeter(now time.Duration) *LoadMeter {
 	return &LoadMeter{since: now, shards: map[uint64]time.Duration{}, hashes: map[uint64]*hashBusy{}}
 }
 
-// Add notes that a request for a hash of the shard that begins at low held a slot.
+// Add records how long a request for a hash held a slot; the shard of the hash
+// begins at low.
 func (m *LoadMeter) Add(low, hash uint64, held time.Duration) {
 	m.shards[low] += held
 	entry, known := m.hashes[hash]
@@ -48,7 +51,7 @@
 	entry.count++
 }
 
-// shrink drops the colder half of the hashes.
+// dropColdHashes drops the less loaded half of the hashes.
 func (m *LoadMeter) shrink() {
 	busy := make([]time.Duration, 0, len(m.hashes))
 	for _, entry := range m.hashes {
@@ -59,25 +62,27 @@
 	maps.DeleteFunc(m.hashes, func(_ uint64, entry *hashBusy) bool { return entry.busy <= median })
 }
 
-// HotHash is a hash with the share of time that its requests held slots.
+// HotHash is a key hash with its load: the average number of slots that its
+// requests held.
 type HotHash struct {
 	Hash uint64
 	Rate float64
 }
 
-// ShardRate is the load of a shard, in busy slots.
+// ShardRate is the load of a shard, as the average number of busy slots, with its
+// most loaded hashes.
 type ShardRate struct {
 	Low  uint64
 	Rate float64
 	Hot  []HotHash
 }
 
-// Since returns when the present reading began.
+// Since returns when the current measurement began.
 func (m *LoadMeter) Since() time.Duration { return m.since }
 
-// Read returns the loads of the shards that were not idle since the last
-// reading, and starts anew. shardOf returns the first hash of the shard that a
-// hash lies in.
+// Read returns the loads of the shards that were not idle since the last call, and
+// starts a new measurement. shardOf returns the first hash of the shard that a hash
+// belongs to.
 func (m *LoadMeter) Read(now time.Duration, shardOf func(hash uint64) uint64) []ShardRate {
 	elapsed := float64(max(now-m.since, time.Millisecond))
 	hot := m.hotByShard(elapsed, shardOf)
@@ -104,7 +109,8 @@
 	return hot
 }
 
-// hottest keeps the few hashes that carry a notable part of the shard's load.
+// hottest returns the few most loaded hashes that carry a notable part of the
+// shard's load.
 func hottest(hashes []HotHash, rate float64) []HotHash {
 	slices.SortFunc(hashes, func(a, b HotHash) int {
 		if c := cmp.Compare(b.Rate, a.Rate); c != 0 {
--- a/dispatch/order.go
+++ b/dispatch/order.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// FIFO serves waiters in the order in which they came.
+// FIFO admits waiters in the order of their arrival.
 type FIFO struct{ queue []*Waiter }
 
 // Push implements Order.
@@ -25,7 +25,7 @@
 // Ahead implements Order.
 func (f *FIFO) Ahead(time.Duration, string) int { return len(f.queue) }
 
-// Evict implements Order: the newcomer is last and has no better right.
+// Evict implements Order. It evicts none, since a new waiter is last in the order.
 func (f *FIFO) Evict(time.Duration, string) *Waiter { return nil }
 
 // popLast removes the newest waiter.
@@ -36,8 +36,9 @@
 	return waiter
 }
 
-// RoundRobin serves callers in turn, and each caller's waiters in the order in
-// which they came, so that one caller's burst does not delay the others.
+// RoundRobin admits one waiter of each caller in turn, and the waiters of one
+// caller in the order of their arrival, so that a burst of one caller does not
+// delay the others.
 type RoundRobin struct {
 	queues map[string]*FIFO
 	turn   []string
@@ -80,8 +81,8 @@
 // Len implements Order.
 func (r *RoundRobin) Len() int { return r.length }
 
-// Ahead implements Order. In the rounds until a new waiter's turn, each other
-// caller gets as many turns as the newcomer's caller.
+// CountAhead implements Order. Until a new waiter is admitted, each other caller
+// gets at most as many turns as the new waiter's caller.
 func (r *RoundRobin) Ahead(_ time.Duration, caller string) int {
 	own := r.waitingOf(caller)
 	ahead := 0
@@ -98,8 +99,8 @@
 	return 0
 }
 
-// Evict implements Order: the newest waiter of the caller with the most goes,
-// if the newcomer's caller has fewer.
+// Evict implements Order. It evicts the newest waiter of the caller with the most
+// waiters, if that caller has at least two more than the new waiter's caller.
 func (r *RoundRobin) Evict(_ time.Duration, caller string) *Waiter {
 	longest := ""
 	for name, queue := range r.queues {
--- a/ownership/advance.go
+++ b/ownership/advance.go
@@ -7,22 +7,23 @@
 	"cicadarouter/record"
 )
 
-// Release asks for a shard to be taken from its owner and given to another.
+// Release proposes to take a shard from its owner and give it to the server Next.
 type Release struct {
 	Low  uint64
 	Next string
 }
 
-// Split asks for a shard to be divided so that a new one begins at At.
+// Split proposes to divide a shard so that a new one begins at At.
 type Split struct {
 	At uint64
 }
 
-// Proposal is what placement or membership would like to change in a page.
+// Proposal is a set of changes to a page that placement or group membership asks
+// for.
 type Proposal struct {
 	Splits   []Split
 	Releases []Release
-	// Group replaces the renewing group, if not empty.
+	// Group is the new renewal group; it is empty if the group does not change.
 	Group []string
 }
 
@@ -31,8 +32,8 @@
 	return len(p.Splits) == 0 && len(p.Releases) == 0 && len(p.Group) == 0
 }
 
-// Propose replaces the proposal that waits for the next write. What no longer
-// fits the page is left out when the write is built.
+// Propose replaces the proposal that is pending for the next write. Changes that no
+// longer fit the page are left out when the write is built.
 func (m *Machine) Propose(now time.Duration, proposal Proposal) {
 	m.proposal = proposal
 	if m.known && m.view.Active {
@@ -41,13 +42,14 @@
 	}
 }
 
-// Idle reports whether nothing is being written or waits for release.
+// Idle reports whether there is no write, proposal, shard release or group change
+// pending.
 func (m *Machine) Idle() bool {
 	return m.writing == nil && m.proposal.Empty() && len(m.stopTargets()) == 0
 }
 
-// advance writes the next generation if anything has become provably safe, or
-// is proposed.
+// writeNextGeneration requests a write of the next generation if a pending change
+// has become provably safe or a change is proposed.
 func (m *Machine) advance(now time.Duration) {
 	if m.writing != nil || !m.view.Active {
 		return
@@ -69,7 +71,8 @@
 	m.ready.Write = &next
 }
 
-// assignReleased gives an owner to each shard that nobody can hold any more.
+// assignReleasedShards assigns an owner to each releasing shard that no server can
+// hold any more.
 func (m *Machine) assignReleased(now time.Duration, next *record.Page) bool {
 	changed := false
 	for i := range next.Shards {
@@ -92,8 +95,8 @@
 	return changed
 }
 
-// nextOwner prefers the server that the move was planned for, and spreads
-// shards without a plan over the eligible servers.
+// nextOwner returns the server that the move was planned for if it is eligible.
+// Other shards are spread over the eligible servers.
 func (m *Machine) nextOwner(shard record.Shard, index int) string {
 	if slices.Contains(m.view.Eligible, shard.Next) {
 		return shard.Next
@@ -104,7 +107,7 @@
 	return m.view.Eligible[index%len(m.view.Eligible)]
 }
 
-// released reports whether no server but the next owner can hold the shard.
+// unheld reports whether no server can hold a releasing shard any more.
 func (m *Machine) released(now time.Duration, shard record.Shard) bool {
 	if shard.Released == 0 {
 		return true // never owned
@@ -112,41 +115,42 @@
 	if !m.takeoverSettled(now) {
 		return false
 	}
-	gathered := m.stopTarget(shard.Released - 1)
+	promises := m.stopTarget(shard.Released - 1)
 	if m.view.Unchecked {
-		return m.releasedUnchecked(now, shard, gathered)
+		return m.releasedUnchecked(now, shard, promises)
 	}
-	return m.lapsed(now, gathered) || m.confirmed(shard, gathered)
+	return m.lapsed(now, promises) || m.confirmed(shard, promises)
 }
 
-// releasedUnchecked asks for more where the server runs whatever reaches it: no
-// router may dispatch on the old generation any more, and what was sent before
-// has ended by its deadline. The server's own word cannot shorten that wait,
-// since a request may still be on its way to it.
-func (m *Machine) releasedUnchecked(now time.Duration, shard record.Shard, gathered *collection) bool {
-	if !m.lapsed(now, gathered) {
+// unheldUnchecked is the stricter condition for servers that run requests without
+// checking tokens: no router may dispatch on the old generation any more, and the
+// requests sent before have ended by their deadline. A confirmation by the server
+// cannot shorten that wait, since a request may still be in transit to it.
+func (m *Machine) releasedUnchecked(now time.Duration, shard record.Shard, promises *collection) bool {
+	if !m.lapsed(now, promises) {
 		return false
 	}
 	if slices.Contains(m.view.LostServers, shard.Owner) {
 		return true
 	}
-	lastSent := max(gathered.majorityAt+m.terms.Guard(m.terms.Lease), m.takeoverSettledAt())
+	lastSent := max(promises.majorityAt+m.terms.Guard(m.terms.Lease), m.takeoverSettledAt())
 	if now < lastSent+m.terms.Guard(m.view.DrainWait) {
 		return false
 	}
-	return m.confirmed(shard, gathered) || !m.view.WaitForOperator
+	return m.confirmed(shard, promises) || !m.view.WaitForOperator
 }
 
-// confirmed reports whether the old owner itself has let go of the shard, which
-// saves the wait for the lapse. Only an answer to a message sent after a
-// majority stopped counts: an owner that restarts after answering forgets what
-// it let go of, and an earlier majority might still grant it to the new run.
-func (m *Machine) confirmed(shard record.Shard, gathered *collection) bool {
+// releaseConfirmed reports whether the old owner has confirmed that it released the
+// shard, which saves waiting for the lease to expire. Only a response to a message
+// sent after a majority stopped counts: an owner that restarts after its response
+// loses track of the release, and a majority formed before the stop could still
+// grant the shard to the new incarnation.
+func (m *Machine) confirmed(shard record.Shard, promises *collection) bool {
 	state, known := m.holders[HolderID{Kind: BackendServer, Name: shard.Owner}]
-	if !known || !state.stamped || !gathered.majority {
+	if !known || !state.stamped || !promises.majority {
 		return false
 	}
-	if state.ackSentAt < gathered.majorityAt || state.generation < shard.Released {
+	if state.ackSentAt < promises.majorityAt || state.generation < shard.Released {
 		return false
 	}
 	high := m.page.ShardHigh(m.page.ShardAt(shard.Low))
@@ -155,15 +159,15 @@
 	})
 }
 
-// takeoverSettled reports whether the domain that had the page before can no
-// longer renew it.
+// previousDomainExpired reports whether no lease granted by the failure domain that
+// had the page before a takeover can be valid any more.
 func (m *Machine) takeoverSettled(now time.Duration) bool {
 	return now >= m.takeoverSettledAt()
 }
 
-// takeoverSettledAt returns when nothing that the domain that had the page
-// before may have granted can run any more. Its group is not asked: it may be
-// cut off, and a new group's word says nothing of it.
+// previousDomainExpiresAt returns when every lease that the page's previous failure
+// domain may have granted has expired. The wait is by time alone: the previous
+// group may be unreachable, and the new group's promises do not cover it.
 func (m *Machine) takeoverSettledAt() time.Duration {
 	if m.page.TakenOver == 0 {
 		return 0
@@ -175,7 +179,8 @@
 	return m.takenSeen + wait
 }
 
-// finishGroup drops the old group once no lease that it alone agreed to can run.
+// dropOldGroup removes the old group from the page once no lease that only the old
+// group agreed to can be valid.
 func (m *Machine) finishGroup(now time.Duration, next *record.Page) bool {
 	if len(m.page.OldGroup) == 0 {
 		return false
@@ -187,7 +192,8 @@
 	return true
 }
 
-// applyProposal changes next as proposed and reports whether it did.
+// applyProposal applies the proposal to next and reports whether that changed
+// anything.
 func applyProposal(next *record.Page, proposal Proposal) bool {
 	changed := false
 	for _, split := range proposal.Splits {
@@ -205,7 +211,7 @@
 	return changed
 }
 
-// splitShard divides an owned shard; both parts keep its owner and token.
+// splitShard divides an owned shard; both parts keep the owner and token.
 func splitShard(next *record.Page, at uint64) bool {
 	if !next.Contains(at) {
 		return false
@@ -234,10 +240,11 @@
 	return true
 }
 
-// TakeOver returns the page as another failure domain takes it: every shard is
-// released and the group is replaced without the old group's word. It is for
-// domains that an operator declared lost, and for services whose domains stop
-// renewing by themselves when cut off.
+// TakeOver returns the generation of the page with which another failure domain
+// takes it over: every shard is releasing and the group is replaced without
+// agreement of the old group. It is for domains that an operator declared lost, and
+// for services whose domains stop renewing by themselves when cut off (Bounded
+// pages).
 func TakeOver(page record.Page, home string, group []string, attempt string) record.Page {
 	next := page.Clone()
 	next.Generation++
--- a/ownership/collection.go
+++ b/ownership/collection.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// collection gathers promises to stop one generation and all older ones.
+// promiseSet collects voters' promises to stop one generation and all older ones.
 type collection struct {
-	// lapsedAt holds, for each voter that promised, this machine's time at
-	// which nothing that the voter agreed to can still run.
+	// leasesExpireAt holds, for each voter that promised, the local time at which
+	// every lease that the voter agreed to has expired.
 	lapsedAt map[string]time.Duration
-	// majorityAt is when a majority had promised.
+	// majorityAt is when a majority had promised; it is valid if reachedMajority is
+	// set.
 	majority   bool
 	majorityAt time.Duration
 }
 
-// stopTarget returns the collection for "no lease on the generation or an older one".
+// promisesFor returns the promises to stop the generation and all older ones.
 func (m *Machine) stopTarget(generation uint64) *collection {
 	if known, ok := m.collections[generation]; ok {
 		return known
@@ -25,20 +26,22 @@
 	return fresh
 }
 
-// forgetCollections drops those that nothing in the newest generation waits for,
-// and re-counts the others against its groups.
+// pruneStopPromises drops the promises that no pending change of the newest
+// generation needs, and checks the others against the majority of the page's
+// current groups.
 func (m *Machine) forgetCollections() {
 	needed := m.stopTargets()
-	for generation, gathered := range m.collections {
+	for generation, promises := range m.collections {
 		if !slices.Contains(needed, generation) {
 			delete(m.collections, generation)
 			continue
 		}
-		gathered.majority = gathered.majority && m.majority(gathered.promised())
+		promises.majority = promises.majority && m.majority(promises.promised())
 	}
 }
 
-// stopTargets lists the generations that pending changes need stopped.
+// generationsToStop lists the generations that must be stopped for the pending
+// changes.
 func (m *Machine) stopTargets() []uint64 {
 	var targets []uint64
 	for _, shard := range m.page.Shards {
@@ -53,13 +56,13 @@
 	return slices.Compact(targets)
 }
 
-// requestStops asks those voters that have not promised yet.
+// requestStops asks the voters that have not promised yet.
 func (m *Machine) requestStops() {
 	for _, generation := range m.stopTargets() {
-		gathered := m.stopTarget(generation)
+		promises := m.stopTarget(generation)
 		var missing []string
 		for _, host := range m.page.Voters() {
-			if _, promised := gathered.lapsedAt[host]; !promised {
+			if _, promised := promises.lapsedAt[host]; !promised {
 				missing = append(missing, host)
 			}
 		}
@@ -70,31 +73,31 @@
 	}
 }
 
-// Promised takes a voter's promise to stop a generation.
+// HandlePromise processes a voter's promise to stop a generation.
 func (m *Machine) Promised(now time.Duration, generation uint64, host string, promise Promise) {
-	gathered, wanted := m.collections[generation]
+	promises, wanted := m.collections[generation]
 	if !wanted {
 		return
 	}
-	if _, twice := gathered.lapsedAt[host]; twice {
+	if _, twice := promises.lapsedAt[host]; twice {
 		return
 	}
-	gathered.lapsedAt[host] = now + m.terms.Guard(promise.Remaining)
-	m.countPromises(now, gathered)
+	promises.lapsedAt[host] = now + m.terms.Guard(promise.Remaining)
+	m.countPromises(now, promises)
 	m.advance(now)
 }
 
-func (m *Machine) countPromises(now time.Duration, gathered *collection) {
-	if gathered.majority || !m.majority(gathered.promised()) {
+func (m *Machine) countPromises(now time.Duration, promises *collection) {
+	if promises.majority || !m.majority(promises.promised()) {
 		return
 	}
-	gathered.majority = true
-	gathered.majorityAt = now
+	promises.majority = true
+	promises.majorityAt = now
 	m.probeOwners(now)
 }
 
-// probeOwners asks the old owners of releasing shards at once whether they have
-// let go, rather than at the next tick.
+// probeOwners immediately asks the old owners of releasing shards whether they have
+// released them, rather than at the next tick.
 func (m *Machine) probeOwners(now time.Duration) {
 	asked := map[string]bool{}
 	for _, shard := range m.page.Shards {
@@ -106,15 +109,15 @@
 	}
 }
 
-// countLost lets a host that an operator declared lost count as stopped once
-// everything that it may have agreed to before has lapsed.
-func (m *Machine) countLost(now time.Duration, gathered *collection) {
+// addLostHosts counts a host that an operator declared lost as stopped; the leases
+// that it may have agreed to expire after one lease duration.
+func (m *Machine) countLost(now time.Duration, promises *collection) {
 	for _, host := range m.view.LostHosts {
-		if _, promised := gathered.lapsedAt[host]; !promised {
-			gathered.lapsedAt[host] = now + m.terms.Guard(m.terms.Lease)
+		if _, promised := promises.lapsedAt[host]; !promised {
+			promises.lapsedAt[host] = now + m.terms.Guard(m.terms.Lease)
 		}
 	}
-	m.countPromises(now, gathered)
+	m.countPromises(now, promises)
 }
 
 func (c *collection) promised() map[string]bool {
@@ -125,14 +128,14 @@
 	return hosts
 }
 
-// lapsed reports whether a majority stopped and all that it agreed to has
-// lapsed, so that no lease on the generation or an older one can run.
-func (m *Machine) lapsed(now time.Duration, gathered *collection) bool {
-	over := map[string]bool{}
-	for host, at := range gathered.lapsedAt {
+// leasesExpired reports whether a majority stopped and the leases that it agreed to
+// have expired, so that no lease on the generation or an older one can be valid.
+func (m *Machine) lapsed(now time.Duration, promises *collection) bool {
+	expired := map[string]bool{}
+	for host, at := range promises.lapsedAt {
 		if now >= at {
-			over[host] = true
+			expired[host] = true
 		}
 	}
-	return gathered.majority && m.majority(over)
+	return promises.majority && m.majority(expired)
 }
--- a/ownership/doc.go
+++ b/ownership/doc.go
@@ -1,52 +1,59 @@
-// Package ownership decides who may hold which keys. It is pure: every input
-// comes with the caller's monotonic time, every output is a value, and nothing
-// here reads a clock, opens a connection or starts a goroutine.
+// Package ownership decides which lease holder may hold which keys. It is pure:
+// the caller passes the monotonic time with every input, every output is a value,
+// and nothing here reads a clock, does I/O or starts a goroutine.
 //
-// Three state machines share the work:
+// A page (record.Page) is a contiguous range of a service's key hashes. It is
+// divided into shards that one backend server each owns, and every change of it is
+// a new generation.
 //
-//   - Voter runs in every controller. It agrees to renewals of a page's
-//     generation and promises to stop agreeing.
-//   - Machine runs in a controller for each page of whose renewal group it is
-//     a member. It gathers agreement, turns it into leases and writes the next
-//     generation of the page when that is proven safe.
-//   - Holder runs where leases are held: in backend servers that check tokens
-//     and in routers.
+// The package consists of three state machines:
+//
+//   - Voter runs in every controller. It agrees to lease renewals for a page's
+//     generation, and it promises to stop agreeing to a generation.
+//   - StateMachine runs in a controller for each page in whose renewal group the
+//     controller is. It collects agreement from a majority, turns it into leases
+//     and writes the page's next generation once that is proven safe.
+//   - Holder runs where leases are held: in backend servers that check fencing
+//     tokens and in routers.
 //
 // # Invariants
 //
-// I1. A lease on generation g runs until stamp+Lease on its holder's clock, and
-// the stamp was taken from that clock before a majority of g's group agreed.
+// I1. A lease on generation g expires at the holder's clock reading plus
+// LeaseDuration. That reading was taken before a majority of g's group agreed.
 //
 // I2. A voter that promised to stop g never agrees to g or an older generation
 // again. A voter that restarted agrees to nothing before it has read the store.
 //
 // I3. A shard gets a new owner only in a generation after the one in which it
-// became releasing, and only once no lease on an older generation can run: a
-// majority stopped, and either what they agreed to has lapsed or the old owner
-// has confirmed the release.
+// became releasing, and only once no lease on an older generation can be valid: a
+// majority stopped, and either the leases that it agreed to have expired or the
+// old owner has confirmed the release.
 //
-// At most one server holds a key at any moment follows: a lease that names the
-// old owner is on a generation older than the releasing one (releasing
-// generations name nobody), it needs a majority, and any majority meets the
-// stopped one in a voter that accounted for it.
+// From these follows that at most one server holds a key at any moment: a lease
+// that names the old owner is on a generation older than the releasing one, as
+// releasing generations name no owner. Such a lease needs a majority, and every
+// majority shares a voter with the majority that stopped, which has accounted for
+// the lease.
 package ownership
 
 import "time"
 
-// Terms are the times that the safety of leases rests on. All processes of a
-// deployment must use the same Terms.
+// Terms are the durations and the clock bound that the safety of leases depends on.
+// All processes of a deployment must use the same Terms.
 type Terms struct {
-	// Lease is how long a lease runs from its stamp, on the holder's clock.
+	// LeaseDuration is how long a lease is valid from the holder's clock reading
+	// that it is based on, on that clock.
 	Lease time.Duration
-	// Drift is the most by which two clocks' rates differ, as a share.
+	// MaxClockDrift is the maximum difference of a clock's rate from the true rate,
+	// as a fraction.
 	Drift float64
-	// StoreAway bounds renewal without contact to the store, for pages whose
-	// service moves when cut off.
+	// MaxStoreOutage is how long leases are renewed without contact to the store,
+	// for pages that another failure domain takes over when theirs is cut off.
 	StoreAway time.Duration
 }
 
-// DefaultTerms serve a key again within 2 s of a loss; docs/design/ownership.md
-// has the sum.
+// DefaultTerms returns terms under which a key is served again within 2 s of the
+// loss of its owner; docs/design/ownership.md has the calculation.
 func DefaultTerms() Terms {
 	const (
 		lease     = 750 * time.Millisecond
@@ -56,9 +63,9 @@
 	return Terms{Lease: lease, Drift: drift, StoreAway: storeAway}
 }
 
-// Guard returns how long a process must wait on its own clock to be sure that d
-// has passed on any other. A fast own clock would otherwise end the wait while
-// a slow holder's lease still runs.
+// SafeWait returns how long a process must wait on its own clock to be sure that d
+// has passed on any other. Without the margin a fast local clock would end the wait
+// while a lease is still valid on a holder's slow clock.
 func (t Terms) Guard(d time.Duration) time.Duration {
 	return time.Duration(float64(d)*(1+t.Drift)/(1-t.Drift)) + 1
 }
--- a/ownership/faults_test.go
+++ b/ownership/faults_test.go
@@ -10,11 +10,11 @@
 	"cicadarouter/record"
 )
 
-// The sequences of events that the stateful tests found, or that they reach too
-// rarely to be relied on, told step by step.
+// Tests of fixed sequences of events: failures that the stateful tests found, or
+// that they reach too rarely.
 
-// deliverIf delivers the messages that match, and those that these bring about
-// if they match too.
+// deliverIf delivers the messages that match, and those sent in response if they
+// match too.
 func (w *world) deliverIf(match func(m message) bool) {
 	for range 6 {
 		batch := w.messages
@@ -31,7 +31,7 @@
 
 func everything(message) bool { return true }
 
-// run lets the whole system work for some ticks of 10 ms.
+// runTicks runs the whole system for some ticks of 10 ms.
 func (w *world) runTicks(t testingT, ticks int) {
 	for range ticks {
 		for _, name := range w.controllerNames() {
@@ -70,8 +70,8 @@
 	return "s1"
 }
 
-// releasing returns the machine of c1 with a page whose only shard is being
-// released by s1, in generation 2, and time 0.
+// releasing returns the state machine of c1 at time 0, with a page whose only shard
+// is being released by s1 in generation 2.
 func releasing(t *testing.T, view ownership.View) *ownership.Machine {
 	attempt := func() string { return "attempt" }
 	m := ownership.NewMachine(testTerms(), attempt)
@@ -91,13 +91,13 @@
 	return m
 }
 
-// Symptom: two servers hold a key after a planned move.
-// Sequence: the old owner accepts the releasing generation and restarts; a
-// member that has not heard of that generation gets the new run's stamp and a
-// majority for the old one; its grant is slow. Then the majority stops, the
-// mover counts the old owner's answer as release and gives the key away. The
-// slow grant arrives.
-// Cause: the answer was to a message from before the majority stopped.
+// Two servers could hold a key after a planned move: the old owner accepts the
+// releasing generation and restarts. A controller that does not know that
+// generation yet gets the new incarnation's clock reading and a majority for the
+// old generation, and its grant is delayed. If the owner's earlier ack counts as a
+// release once the majority stops, the key gets a new owner and the delayed grant
+// still arrives. So only acks of messages sent after the majority stopped may
+// count.
 func TestOwnerRestartsBetweenItsAnswerAndTheStop(t *testing.T) {
 	m := releasing(t, ownership.View{})
 	s1 := ownership.HolderID{Kind: ownership.BackendServer, Name: "s1"}
@@ -105,16 +105,15 @@
 	running := ownership.Promise{Remaining: testTerms().Lease}
 	m.Promised(5, 1, "c1", running)
 	m.Promised(5, 1, "c2", running)
-	assert.Assert(t, m.Ready().Write == nil, "an answer from before the stop was taken for a release")
+	assert.Assert(t, m.Ready().Write == nil, "an ack from before the stop counted as a release")
 	m.Ack(6, s1, ownership.HolderAck{SentAt: 5, Stamp: 6, Incarnation: 7, Generation: 2})
-	assert.Assert(t, m.Ready().Write != nil, "the owner's answer is a release")
+	assert.Assert(t, m.Ready().Write != nil, "the owner's ack from after the stop did not count as a release")
 }
 
-// Symptom: a request runs at an unchecked server after its key's new owner has
-// run another.
-// Sequence: a router sends a request and loses its lease; the request is slow.
-// Every lease lapses and the key gets a new owner. The request arrives.
-// Cause: a server that checks no token runs what arrives before its deadline.
+// A server that does not check tokens runs every request that arrives before its
+// deadline. A request in transit when the router's lease expires could run after
+// the key's new owner has run another. So the key must stay without an owner until
+// the deadlines of such requests have passed.
 func TestUncheckedServerRunsWhatIsOnItsWay(t *testing.T) {
 	m := releasing(t, ownership.View{Unchecked: true, DrainWait: 150 * time.Millisecond})
 	view := ownership.View{Active: true, Servers: []string{"s1", "s2"}, Eligible: []string{"s2"},
@@ -124,17 +123,16 @@
 	terms := testTerms()
 	drained := terms.Guard(terms.Lease) + terms.Guard(view.DrainWait)
 	m.Tick(drained-1, view)
-	assert.Assert(t, m.Ready().Write == nil, "the key was given away while a request may be on its way")
+	assert.Assert(t, m.Ready().Write == nil, "the key got a new owner while a request could be in transit")
 	m.Tick(drained, view)
 	assert.Assert(t, m.Ready().Write != nil)
 }
 
-// Symptom: a request runs at an unchecked server after its key's new owner has
+// When another domain takes a page over, the routers of the previous domain send
+// requests until their bounded leases end. The wait for requests in transit must
+// begin at that time, not when the new group has stopped. Otherwise a late request
+// could run at a server that does not check tokens after the key's new owner has
 // run another.
-// Sequence: a domain is cut off and another takes its page. The first domain's
-// router goes on until its bounded lease ends, and its last request is slow.
-// Cause: the wait for requests in flight began when the new group had stopped,
-// not when the old domain's routers had.
 func TestUncheckedTakeOverWaitsForTheLastRequest(t *testing.T) {
 	terms := testTerms()
 	const drain = 150 * time.Millisecond
@@ -149,16 +147,15 @@
 	m.Promised(0, 1, "d1", ownership.Promise{})
 	lastSent := terms.Guard(terms.Lease) + terms.Guard(terms.StoreAway)
 	m.Tick(lastSent+terms.Guard(drain)-1, view)
-	assert.Assert(t, m.Ready().Write == nil, "the old domain's last request may be on its way")
+	assert.Assert(t, m.Ready().Write == nil, "the key got a new owner while the old domain's last request could be in transit")
 	m.Tick(lastSent+terms.Guard(drain), view)
 	assert.Assert(t, m.Ready().Write != nil)
 }
 
-// Symptom: two servers hold a key after a member of the group was replaced.
-// Sequence: a member promises to stop a generation and is replaced at its
-// address; a member that is cut off from the store asks the newcomer to agree
-// to that generation.
-// Cause: the newcomer does not know what its predecessor promised.
+// Two servers could hold a key after a voter that promised to stop a generation is
+// replaced by a new process at its address, which does not know that promise. A
+// controller without contact to the store may ask it to agree to that generation.
+// So the new process must abstain until it has read the store.
 func TestReplacedVoterAbstains(t *testing.T) {
 	w := settledWorld(t, false, false)
 	c1, c2, c3 := w.controllers["c1"], w.controllers["c2"], w.controllers["c3"]
@@ -186,10 +183,9 @@
 	assert.Equal(t, answer.Verdict, ownership.Abstains)
 }
 
-// Symptom: two routers dispatch one page.
-// Sequence: a router gives its lease up, starts again and gets a new lease; an
-// ask that tells of the release arrives after that.
-// Cause: the release named the router, not its run.
+// Two routers could dispatch one page: a router releases its lease, restarts and
+// gets a new lease, and a delayed renewal request that reports the release arrives
+// afterwards. So a release must apply to one incarnation of the router only.
 func TestReleaseIsOfOneRun(t *testing.T) {
 	terms := testTerms()
 	voter := ownership.NewVoter(terms, 0)
@@ -203,7 +199,7 @@
 	assert.Equal(t, voter.Agree(now, late).Verdict, ownership.Agreed)
 }
 
-// TestVerdicts has one row for each reason to agree or not.
+// TestVerdicts checks each reason for a voter to agree or to refuse.
 func TestVerdicts(t *testing.T) {
 	terms := testTerms()
 	lapsed := terms.Guard(terms.Lease)
@@ -215,18 +211,18 @@
 		ask     ownership.Ask
 		want    ownership.Verdict
 	}{
-		{"nothing known against it", func(v *ownership.Voter) { v.StoreRead(0) }, 0, ask, ownership.Agreed},
+		{"no reason to refuse", func(v *ownership.Voter) { v.StoreRead(0) }, 0, ask, ownership.Agreed},
 		{"store not read", func(v *ownership.Voter) { v.Learn(testPage, 5) }, 0, ask, ownership.Abstains},
-		{"newer known", func(v *ownership.Voter) { v.StoreRead(0); v.Learn(testPage, 6) }, 0, ask, ownership.Newer},
+		{"newer generation known", func(v *ownership.Voter) { v.StoreRead(0); v.Learn(testPage, 6) }, 0, ask, ownership.Newer},
 		{"stopped", func(v *ownership.Voter) { v.StoreRead(0); v.Stop(0, testPage, 5) }, 0, ask, ownership.Stopped},
-		{"older stopped", func(v *ownership.Voter) { v.StoreRead(0); v.Stop(0, testPage, 4) }, 0, ask, ownership.Agreed},
-		{"bounded, store away too long", func(v *ownership.Voter) { v.StoreRead(0) }, terms.StoreAway + 1,
+		{"older generation stopped", func(v *ownership.Voter) { v.StoreRead(0); v.Stop(0, testPage, 4) }, 0, ask, ownership.Agreed},
+		{"bounded, store outage too long", func(v *ownership.Voter) { v.StoreRead(0) }, terms.StoreAway + 1,
 			ownership.Ask{Page: testPage, Generation: 5, Bounded: true}, ownership.Abstains},
-		{"bounded, store away a little", func(v *ownership.Voter) { v.StoreRead(0) }, terms.StoreAway,
+		{"bounded, store outage within limit", func(v *ownership.Voter) { v.StoreRead(0) }, terms.StoreAway,
 			ownership.Ask{Page: testPage, Generation: 5, Bounded: true}, ownership.Agreed},
 		{"predecessor may have agreed to another router", func(v *ownership.Voter) { v.StoreRead(0) }, lapsed - 1,
 			ownership.Ask{Page: testPage, Generation: 5, Dispatcher: "r1"}, ownership.DispatcherBusy},
-		{"predecessor's agreements have lapsed", func(v *ownership.Voter) { v.StoreRead(0) }, lapsed,
+		{"predecessor's leases have expired", func(v *ownership.Voter) { v.StoreRead(0) }, lapsed,
 			ownership.Ask{Page: testPage, Generation: 5, Dispatcher: "r1"}, ownership.Agreed},
 	}
 	for _, row := range rows {
@@ -238,11 +234,9 @@
 	}
 }
 
-// Symptom: an unchecked server that nobody reaches loses its keys although its
-// record asks for the operator's word.
-// Sequence: the server freezes; its shard is released, all leases lapse and all
-// deadlines pass.
-// Cause: the wait alone was taken for a release.
+// With WaitForOperator, the keys of an unreachable server that does not check
+// tokens must not get a new owner before an operator declares it lost, even when
+// all leases have expired and all request deadlines have passed.
 func TestUncheckedServerWaitsForOperator(t *testing.T) {
 	w := settledWorld(t, false, true)
 	old := w.holders[w.page.Shards[0].Owner]
--- a/ownership/fuzz_test.go
+++ b/ownership/fuzz_test.go
@@ -17,19 +17,21 @@
 // TestMain fixes the seed of the stateful tests.
 func TestMain(m *testing.M) { fixedseed.Run(m) }
 
-// TestAtMostOneOwner drives the three state machines through every fault that
-// the brief names, singly and together, and asks the oracle after each step.
+// TestAtMostOneOwner runs the three state machines under random faults and
+// combinations of them (lost, late and repeated messages, partitions, clock drift,
+// pauses, restarts, store outages, group changes and takeovers) and checks the
+// invariants after each step.
 func TestAtMostOneOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { explore(t, false) })
 }
 
-// TestAtMostOneOwnerUnchecked does the same with servers that run whatever
-// reaches them.
+// TestAtMostOneOwnerUnchecked does the same with servers that do not check tokens.
 func TestAtMostOneOwnerUnchecked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { explore(t, true) })
 }
 
-// explore takes random actions in a new world.
+// checkRandomActions takes random actions in a new simulation and checks the
+// invariants.
 func explore(t *rapid.T, unchecked bool) {
 	w := drawnWorld(t, unchecked)
 	for _, name := range w.controllerNames() {
@@ -74,13 +76,14 @@
 	}, func(t *rapid.T) { w.check(t) }))
 }
 
-// weightedAction is an action that comes up weight times as often as others.
+// weightedAction is an action that is chosen weight times as often as one of weight
+// 1.
 type weightedAction struct {
 	act    func(*rapid.T)
 	weight int
 }
 
-// weighted lists each action under as many names as its weight says.
+// weighted lists each action under as many names as its weight.
 func weighted(acts map[string]weightedAction, check func(*rapid.T)) map[string]func(*rapid.T) {
 	all := map[string]func(*rapid.T){"": check}
 	for name, entry := range acts {
@@ -91,10 +94,10 @@
 	return all
 }
 
-// actions are what can happen in a world.
+// actions are the events that can happen in a simulation.
 type actions struct{ w *world }
 
-// settle lets the system run undisturbed for a few ticks.
+// settle runs the system without faults for a few ticks.
 func (w *world) settle(t *rapid.T) {
 	a := actions{w}
 	for range 4 {
@@ -102,8 +105,8 @@
 	}
 }
 
-// work is a stretch of ordinary running: all controllers tick and most of the
-// messages arrive.
+// runNormally runs the system without new faults: all controllers tick and messages
+// are delivered to the processes that are not paused.
 func (a actions) work(t *rapid.T) {
 	for range 2 {
 		for _, name := range a.w.controllerNames() {
@@ -126,7 +129,7 @@
 	return names
 }
 
-// watch has a controller read the store if it is behind, as a watch would.
+// watch makes a running controller read the store, as a watch would.
 func (a actions) watch(c *controller) {
 	if !c.paused {
 		a.w.read(c)
@@ -164,14 +167,14 @@
 		return
 	}
 	if a.w.paused(m.to) {
-		a.w.messages = append(a.w.messages, m) // waits in the receiver's socket
+		a.w.messages = append(a.w.messages, m) // stays in the receiver's socket buffer
 		return
 	}
 	a.w.deliver(m)
 }
 
-// deliverAll delivers what is on its way and what that brings about, in an
-// order of rapid's choice.
+// deliverAll delivers the messages in transit and those sent in response, in the
+// order sent or in reverse.
 func (a actions) deliverAll(t *rapid.T) {
 	backwards := rapid.Bool().Draw(t, "backwards")
 	for range 6 {
@@ -209,14 +212,14 @@
 
 func (a actions) drop(t *rapid.T) { _, _ = a.takeMessage(t) }
 
-// hold takes a message aside: the network will deliver it much later.
+// delay sets a message aside; the network delivers it much later.
 func (a actions) hold(t *rapid.T) {
 	if m, ok := a.takeMessage(t); ok {
 		a.w.held = append(a.w.held, m)
 	}
 }
 
-// holdFrom takes all messages of one process aside.
+// delayFrom sets all messages of one process aside.
 func (a actions) holdFrom(name string) {
 	a.w.messages = slices.DeleteFunc(a.w.messages, func(m message) bool {
 		if m.from == name {
@@ -231,8 +234,8 @@
 	a.w.held = nil
 }
 
-// partition splits the controllers in two sides. The store and each holder are
-// reached from one side or from both.
+// partition splits the controllers into two sides. The store and each holder are
+// reachable from one side or from both.
 func (a actions) partition(t *rapid.T) {
 	clear(a.w.cut)
 	near := map[string]bool{}
@@ -266,7 +269,7 @@
 	a.w.cut[[2]string{from, to}] = true
 }
 
-// isolate cuts one process off from all but a few.
+// isolate cuts one process off from all others but one.
 func (a actions) isolate(t *rapid.T) {
 	names := a.w.processNames()
 	one := rapid.SampledFrom(names).Draw(t, "one")
@@ -286,7 +289,8 @@
 
 func (a actions) store(t *rapid.T) { a.w.storeDown = rapid.Bool().Draw(t, "down") }
 
-// loseReply drops a reply of the store and lets the writer time out.
+// loseReply drops the replies of the store to one controller and lets its write
+// time out.
 func (a actions) loseReply(t *rapid.T) {
 	c := a.someController(t)
 	a.w.messages = slices.DeleteFunc(a.w.messages, func(m message) bool {
@@ -321,7 +325,8 @@
 	}
 }
 
-// restartController replaces a controller by an empty one at its address.
+// restartController replaces a controller by a new process without state at the
+// same address.
 func (a actions) restartController(t *rapid.T) {
 	c := a.someController(t)
 	c.offset = time.Duration(rapid.IntRange(0, 5000).Draw(t, "offset")) * time.Millisecond
@@ -339,7 +344,7 @@
 	a.w.startHolder(h)
 }
 
-// leave has a router give its leases up for a graceful stop.
+// leave makes a router release its leases for a graceful stop.
 func (a actions) leave(t *rapid.T) { a.someHolder(t, routerNames).leaving = true }
 
 func (a actions) move(t *rapid.T) {
@@ -386,10 +391,10 @@
 	})
 }
 
-// takeOver has the other domain take a page whose service moves when cut off,
-// whether or not the first domain is cut off.
+// takeOver makes the other domain take over a bounded page, whether or not the
+// first domain is cut off.
 func (a actions) takeOver(t *rapid.T) {
-	c := a.w.controllers[rapid.SampledFrom(heirNames).Draw(t, "heir")]
+	c := a.w.controllers[rapid.SampledFrom(heirNames).Draw(t, "controller of other domain")]
 	if c == nil || c.paused {
 		return
 	}
@@ -400,7 +405,7 @@
 	a.w.carryWrite(c, ownership.TakeOver(page, "b", slices.Clone(heirNames), a.w.newAttempt()))
 }
 
-// suspect has a controller take some servers for lost, rightly or not.
+// suspect makes a controller treat some servers as lost, whether or not they are.
 func (a actions) suspect(t *rapid.T) {
 	c := a.someController(t)
 	c.view = a.w.defaultView()
@@ -441,8 +446,8 @@
 	}
 }
 
-// declareLost has an operator declare a controller's host lost, which must be
-// true: the host is gone and its name does not come back.
+// declareLost makes an operator declare a controller's host lost. The declaration
+// must be true: the host never runs again under its name.
 func (a actions) declareLost(t *rapid.T) {
 	if len(a.w.lostHosts) > 0 {
 		return
--- a/ownership/holder.go
+++ b/ownership/holder.go
@@ -6,46 +6,48 @@
 	"time"
 )
 
-// HeldShard is a range of hashes that a lease covers.
+// HeldShard is a range of key hashes that a lease covers, with its fencing token.
 type HeldShard struct {
 	Low   uint64 `json:"low"`
 	High  uint64 `json:"high"` // inclusive
 	Token uint64 `json:"token"`
 }
 
-// Grant is a lease on what a generation of a page gives to one holder.
+// Grant is a lease on the shards that a generation of a page assigns to one holder.
 type Grant struct {
 	Page       string `json:"page"`
 	Generation uint64 `json:"generation"`
-	// Incarnation is the holder's own name for its present run. A grant meant
-	// for an earlier run is refused, since that run's memory is gone.
+	// Incarnation identifies the holder's current process lifetime. The holder
+	// chooses it. A grant for an earlier incarnation is refused, since that
+	// incarnation's state is lost.
 	Incarnation uint64 `json:"incarnation"`
-	// Expiry is the end of the lease on the holder's clock.
+	// Expiry is when the lease ends, on the holder's clock.
 	Expiry time.Duration `json:"expiry"`
-	// Shards lists what the holder holds; it is sent once for each generation.
+	// Shards lists the holder's shards. It is sent until the holder has accepted
+	// the generation; later renewals leave it out.
 	Shards []HeldShard `json:"shards,omitempty"`
 	// Complete is set when Shards is given, even if it is empty.
 	Complete bool `json:"complete,omitempty"`
 }
 
-// RefusalReason says why a holder refused a grant.
+// RefusalReason is why a holder refused a grant.
 type RefusalReason string
 
-// The reasons.
+// The reasons for refusing a grant.
 const (
 	RefusedGeneration  RefusalReason = "stale-generation"
 	RefusedIncarnation RefusalReason = "other-incarnation"
 	RefusedIncomplete  RefusalReason = "shards-needed"
 )
 
-// GrantRefusal is the typed error of a refused grant.
+// GrantRefusal is the error for a refused grant.
 type GrantRefusal struct {
 	Reason RefusalReason
-	// Known is the newest generation that the holder has accepted.
+	// KnownGeneration is the newest generation that the holder has accepted.
 	Known uint64
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (r *GrantRefusal) Error() string {
 	return fmt.Sprintf("grant refused: %s (holder knows generation %d)", r.Reason, r.Known)
 }
@@ -56,23 +58,23 @@
 	shards     []HeldShard
 }
 
-// Holder is what a lease holder knows of its own leases. It is not safe for
-// concurrent use.
+// Holder is a lease holder's state of its own leases. It is not safe for concurrent
+// use.
 type Holder struct {
 	incarnation uint64
 	pages       map[string]*heldPage
 }
 
-// NewHolder returns a holder that holds nothing.
+// NewHolder returns a holder without leases.
 func NewHolder(incarnation uint64) *Holder {
 	return &Holder{incarnation: incarnation, pages: map[string]*heldPage{}}
 }
 
-// Incarnation returns the holder's name for its present run.
+// Incarnation returns the id of the holder's current process lifetime.
 func (h *Holder) Incarnation() uint64 { return h.incarnation }
 
-// Accept takes a grant or returns a *GrantRefusal. A generation once accepted
-// is never replaced by an older one, not even after its lease has lapsed.
+// Accept applies a grant or returns a *GrantRefusal. An accepted generation is
+// never replaced by an older one, not even after its lease has expired.
 func (h *Holder) Accept(grant Grant) error {
 	held, known := h.pages[grant.Page]
 	if !known {
@@ -98,7 +100,7 @@
 	return nil
 }
 
-// Generation returns the newest generation of the page that was accepted, or 0.
+// Generation returns the newest accepted generation of the page, or 0.
 func (h *Holder) Generation(page string) uint64 {
 	if held, ok := h.pages[page]; ok {
 		return held.generation
@@ -106,7 +108,7 @@
 	return 0
 }
 
-// Expiry returns the end of the lease on the page.
+// Expiry returns when the lease on the page ends, or 0 without a lease.
 func (h *Holder) Expiry(page string) time.Duration {
 	if held, ok := h.pages[page]; ok {
 		return held.expiry
@@ -114,14 +116,15 @@
 	return 0
 }
 
-// Holds reports whether the holder owns the hash under exactly this token, by
-// its own clock, at now.
+// Holds reports whether, at the time now on its own clock, the holder has a valid
+// lease on the hash under exactly this token.
 func (h *Holder) Holds(now time.Duration, page string, hash, token uint64) bool {
 	held, ok := h.HeldAt(now, page, hash)
 	return ok && held.Token == token
 }
 
-// HeldAt returns the shard that the holder owns at the hash, at now.
+// ShardAt returns the shard with the hash, if the holder has a valid lease on it at
+// the time now.
 func (h *Holder) HeldAt(now time.Duration, page string, hash uint64) (HeldShard, bool) {
 	held, ok := h.pages[page]
 	if !ok || now >= held.expiry {
--- a/ownership/holders.go
+++ b/ownership/holders.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// holderState is what a machine knows of one lease holder.
+// holderState is what a state machine knows about one lease holder.
 type holderState struct {
 	stamped     bool
 	stamp       time.Duration
 	incarnation uint64
-	// generation is the newest that the holder's present run has accepted.
+	// generation is the newest that the holder's current incarnation has accepted.
 	generation uint64
-	// ackSentAt is when the newest message that the holder answered was sent.
+	// ackSentAt is when the latest message that the holder answered was sent.
 	ackSentAt time.Duration
 	busy      []uint64
 	sent      bool
@@ -28,7 +28,7 @@
 	return fresh
 }
 
-// holderIDs lists the holders that this page's leases or probes go to.
+// holderIDs lists the holders that get this page's grants and probes.
 func (m *Machine) holderIDs() []HolderID {
 	names := slices.Clone(m.view.Servers)
 	for _, shard := range m.page.Shards {
@@ -46,7 +46,8 @@
 	return ids
 }
 
-// Ack takes a holder's answer. Answers may come late, twice and out of order.
+// HandleAck processes a holder's response. Responses may arrive late, repeatedly
+// and out of order.
 func (m *Machine) Ack(now time.Duration, id HolderID, ack HolderAck) {
 	state := m.holder(id)
 	if state.stamped && ack.SentAt < state.ackSentAt {
@@ -69,12 +70,13 @@
 	}
 	m.advance(now)
 	if first && id == (HolderID{Kind: Router, Name: m.view.Dispatcher}) && m.round.dispatcher == "" {
-		m.startRound(now) // the page has waited for this stamp to be dispatched
+		m.startRound(now) // the dispatcher's lease needed this clock reading
 	}
 }
 
-// probeSilent sends probes to holders that got nothing since the last round
-// began, so that a holder without a lease still stamps the next round.
+// probeUncontacted probes the holders that were sent nothing since the last round
+// began, so that a current clock reading of holders without a lease is known in the
+// next round.
 func (m *Machine) probeSilent(now time.Duration) {
 	for _, id := range m.holderIDs() {
 		state := m.holder(id)
@@ -93,17 +95,17 @@
 	m.ready.Grants = append(m.ready.Grants, out)
 }
 
-// grantFor builds the lease of one holder from the stamp that it gave before
-// the round began.
-func (m *Machine) grantFor(id HolderID, stamped stampOf) *Grant {
+// grantFor returns the lease of one holder, based on the holder's clock reading
+// from before the round began.
+func (m *Machine) grantFor(id HolderID, reading stampOf) *Grant {
 	grant := &Grant{
 		Page:        m.page.Name,
 		Generation:  m.round.generation,
-		Incarnation: stamped.incarnation,
-		Expiry:      stamped.stamp + m.terms.Lease,
+		Incarnation: reading.incarnation,
+		Expiry:      reading.stamp + m.terms.Lease,
 	}
 	state := m.holder(id)
-	current := state.incarnation == stamped.incarnation && state.generation >= m.round.generation
+	current := state.incarnation == reading.incarnation && state.generation >= m.round.generation
 	grant.Complete = !current
 	if id.Kind == BackendServer && !current {
 		grant.Shards = m.shardsOf(id.Name)
@@ -111,7 +113,7 @@
 	return grant
 }
 
-// shardsOf lists the shards that the newest generation gives to a server.
+// shardsOf lists the shards that the newest generation assigns to a server.
 func (m *Machine) shardsOf(server string) []HeldShard {
 	var held []HeldShard
 	for i, shard := range m.page.Shards {
--- a/ownership/machine.go
+++ b/ownership/machine.go
@@ -6,7 +6,7 @@
 	"cicadarouter/record"
 )
 
-// HolderKind says what holds a lease.
+// HolderKind is the kind of process that holds a lease.
 type HolderKind uint8
 
 // The kinds of holders.
@@ -15,52 +15,55 @@
 	Router
 )
 
-// HolderID names a lease holder.
+// HolderID identifies a lease holder.
 type HolderID struct {
 	Kind HolderKind
 	Name string
 }
 
-// View is what the surrounding loop believes of the world. A wrong belief costs
-// time or an unneeded move; it never breaks an invariant.
+// View is the caller's current view of the cluster. A wrong view costs time or an
+// unneeded move, but never breaks an invariant.
 type View struct {
-	// Active is set while this controller should renew and write for the page.
+	// Active is set while this controller renews the page's leases and writes its
+	// generations.
 	Active bool
-	// Servers are the backend servers of the page's service and domain.
+	// Servers are the backend servers of the page's service in its failure domain.
 	Servers []string
-	// Eligible are those that may become owners, best first.
+	// Eligible are the servers that may become owners, most preferred first.
 	Eligible []string
 	// Dispatcher is the preferred dispatch router, or empty.
 	Dispatcher string
-	// LostHosts and LostServers are what operators have declared lost.
+	// LostHosts and LostServers are those that an operator has declared lost.
 	LostHosts   []string
 	LostServers []string
-	// Unchecked is set when the servers do not check tokens.
+	// TokensUnchecked is set when the servers do not check fencing tokens.
 	Unchecked bool
-	// WaitForOperator keeps keys of an unreachable unchecked server unowned.
+	// WaitForOperator leaves the keys of an unreachable server that does not check
+	// tokens without an owner until an operator declares the server lost.
 	WaitForOperator bool
-	// DrainWait is the longest that a request once sent may run.
+	// MaxRequestDuration is the longest that a request may run after it was sent.
 	DrainWait time.Duration
 }
 
-// HolderAck is a holder's answer to a grant or probe.
+// HolderAck is a holder's response to a grant or probe.
 type HolderAck struct {
-	// SentAt is this controller's time at which the grant or probe left.
+	// SentAt is the time on this controller's clock at which the grant or probe was
+	// sent.
 	SentAt time.Duration
-	// Stamp is the holder's clock when it answered.
+	// HolderTime is the holder's clock reading when it responded.
 	Stamp       time.Duration
 	Incarnation uint64
 	// Generation is the newest that the holder has accepted for the page.
 	Generation uint64
-	// Leaving is set by a router that has given up all its leases and will take
-	// none in its present run.
+	// Leaving is set by a router that has released all its leases and will accept
+	// none in its current incarnation.
 	Leaving bool
-	// Busy lists hashes that requests still run for, although the newest
-	// generation no longer gives them to the holder.
+	// Busy lists the key hashes for which requests are still running although the
+	// newest generation no longer assigns them to the holder.
 	Busy []uint64
 }
 
-// GrantOut is a grant to send, or a probe when Grant is nil.
+// GrantMessage is a grant to send, or a probe if Grant is nil.
 type GrantOut struct {
 	Holder HolderID
 	SentAt time.Duration
@@ -68,51 +71,54 @@
 	Grant  *Grant
 }
 
-// AskOut is an ask to send to other members of the group.
+// RenewalMessage is a renewal request to send to the members of the group.
 type AskOut struct {
 	Hosts []string
 	Round uint64
 	Ask   Ask
 }
 
-// StopOut is a request to stop a generation.
+// StopMessage is a request to promise to stop a generation.
 type StopOut struct {
 	Hosts      []string
 	Page       string
 	Generation uint64
 }
 
-// Ready is what the loop must do next. A Write must not be announced before
-// the store has acknowledged it.
+// Ready is what the caller must do next. A Write must not be published before the
+// store has acknowledged it.
 type Ready struct {
 	Asks   []AskOut
 	Stops  []StopOut
 	Grants []GrantOut
 	Write  *record.Page
-	// Reread asks for the page to be read again: a write's outcome is not known.
+	// Reread asks for the page to be read from the store again, because a write
+	// failed or has an unknown outcome, or because a voter knows a newer or stopped
+	// generation.
 	Reread bool
 }
 
-// WriteResult is the outcome of a conditional update.
+// WriteResult is the outcome of a conditional write to the store.
 type WriteResult uint8
 
-// The outcomes.
+// The outcomes of a write.
 const (
 	WriteDone WriteResult = iota + 1
 	WriteConflict
-	// WriteUnknown: the reply was lost; the write may or may not have taken
-	// effect, now or later.
+	// WriteUnknown: the reply was lost. The write may have taken effect, may take
+	// effect later or not at all.
 	WriteUnknown
 )
 
-// Machine renews one page and moves its shards. It is not safe for concurrent use.
+// StateMachine renews the leases of one page and moves its shards. It is not safe
+// for concurrent use.
 type Machine struct {
 	terms    Terms
 	attempts func() string
 
 	page  record.Page
 	known bool
-	// takenSeen is when the generation of the newest takeover was first seen.
+	// takeoverSeenAt is when the generation of the latest takeover was first seen.
 	takenSeen time.Duration
 
 	view        View
@@ -124,41 +130,45 @@
 	writing     *record.Page
 	ready       Ready
 
-	// dispatcher is the router that voters last reported or agreed to.
+	// dispatcher is the router that was last reported by a voter or agreed to by a
+	// majority.
 	dispatcher string
-	// dispatchAfter is when another router's lease has lapsed.
+	// dispatcherBusyUntil is when the dispatcher's lease has expired, so that
+	// another router may be granted one.
 	dispatchAfter time.Duration
-	// gaveUp is a router that gave its leases up in the run gaveUpRun.
+	// releasedDispatcher is a router that released its leases in
+	// releasedIncarnation.
 	gaveUp    string
 	gaveUpRun uint64
 }
 
-// NewMachine returns a machine for one page. attempts mints ids for writes that
-// no other writer will ever use.
-func NewMachine(terms Terms, attempts func() string) *Machine {
+// NewStateMachine returns a state machine for one page. newAttemptID returns
+// globally unique ids for write attempts.
+func NewMachine(terms Terms, newAttemptID func() string) *Machine {
 	return &Machine{
 		terms:       terms,
-		attempts:    attempts,
+		attempts:    newAttemptID,
 		holders:     map[HolderID]*holderState{},
 		collections: map[uint64]*collection{},
 	}
 }
 
-// Page returns the newest generation known.
+// Page returns the newest known generation of the page.
 func (m *Machine) Page() record.Page { return m.page }
 
-// Dispatcher returns the router that last dispatched the page, as far as known.
+// Dispatcher returns the last known dispatch router of the page, or an empty
+// string.
 func (m *Machine) Dispatcher() string { return m.dispatcher }
 
-// Ready returns what is to be done and forgets it.
+// Ready returns the pending work and clears it.
 func (m *Machine) Ready() Ready {
 	ready := m.ready
 	m.ready = Ready{}
 	return ready
 }
 
-// Learn takes a generation of the page, from whatever source. Older ones are
-// ignored: accepted configuration never reverts.
+// Learn accepts a generation of the page from any source. Generations that are not
+// newer than the known one are ignored, so that the page never reverts.
 func (m *Machine) Learn(now time.Duration, page record.Page) {
 	if m.known && page.Generation <= m.page.Generation {
 		return
@@ -178,7 +188,8 @@
 	m.requestStops()
 }
 
-// Tick starts a round of renewal and re-sends what went unanswered.
+// Tick starts a renewal round and repeats probes and stop requests that were not
+// answered.
 func (m *Machine) Tick(now time.Duration, view View) {
 	m.view = view
 	if !m.known || !view.Active {
@@ -190,7 +201,7 @@
 	m.requestStops()
 }
 
-// WriteResult takes the outcome of the write that Ready gave out.
+// HandleWriteResult processes the outcome of the write that Ready returned.
 func (m *Machine) WriteResult(now time.Duration, attempt string, result WriteResult) {
 	if m.writing == nil || m.writing.Attempt != attempt {
 		return
@@ -201,14 +212,15 @@
 		m.Learn(now, written)
 		return
 	}
-	// After a lost reply only the store knows. Reading it settles the matter,
-	// since the page carries the attempt that wrote it; assuming failure would
-	// have this machine act on a generation that is no longer the newest.
+	// After a lost reply only the store knows the outcome. A read resolves it,
+	// since the page carries the id of the attempt that wrote it. Assuming failure
+	// could make this state machine act on a generation that is no longer the
+	// newest.
 	m.ready.Reread = true
 }
 
-// WriteTimedOut tells that no reply to the write that Ready gave out will be
-// waited for any longer.
+// HandleWriteTimeout gives up waiting for a reply to the write that Ready returned;
+// its outcome counts as unknown.
 func (m *Machine) WriteTimedOut(now time.Duration) {
 	if m.writing != nil {
 		m.WriteResult(now, m.writing.Attempt, WriteUnknown)
--- a/ownership/oracle_test.go
+++ b/ownership/oracle_test.go
@@ -1,13 +1,14 @@
 package ownership_test
 
-// testingT is what the oracle needs of a test.
+// testingT is the part of *testing.T and *rapid.T that the invariant checks use.
 type testingT interface {
 	Fatalf(format string, args ...any)
 }
 
-// check is the oracle: at this moment of true time, each hash has at most one
-// server that believes it owns it, and the page at most one router that
-// believes it may dispatch it.
+// checkInvariants fails the test unless, at the current true time, at most one
+// server holds a valid lease on each key hash and at most one router holds a valid
+// lease to dispatch the page, by their own clocks. No controller may revert to an
+// older generation.
 func (w *world) check(t testingT) {
 	if w.problem != "" {
 		t.Fatalf("at %v: %s", w.time, w.problem)
@@ -15,7 +16,7 @@
 	for name, c := range w.controllers {
 		generation := c.machine.Page().Generation
 		if generation < w.known[name] {
-			t.Fatalf("%s went back from generation %d to %d", name, w.known[name], generation)
+			t.Fatalf("%s reverted from generation %d to %d", name, w.known[name], generation)
 		}
 		w.known[name] = generation
 	}
@@ -28,7 +29,7 @@
 			}
 		}
 		if len(owners) > 1 && !w.unchecked {
-			t.Fatalf("at %v: hash %d has owners %v", w.time, hash, owners)
+			t.Fatalf("at %v: hash %d has several owners: %v", w.time, hash, owners)
 		}
 	}
 	var dispatchers []string
@@ -39,6 +40,6 @@
 		}
 	}
 	if len(dispatchers) > 1 {
-		t.Fatalf("at %v: dispatchers %v", w.time, dispatchers)
+		t.Fatalf("at %v: the page has several dispatchers: %v", w.time, dispatchers)
 	}
 }
--- a/ownership/round.go
+++ b/ownership/round.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// stampOf is a holder's clock reading, frozen when a round began.
+// clockReading is a holder's last known clock reading when a round began.
 type stampOf struct {
 	stamp       time.Duration
 	incarnation uint64
 }
 
-// round is one attempt to have a majority agree to a term of a generation.
+// round is one attempt to get a majority to agree to a lease period for a
+// generation.
 type round struct {
 	number     uint64
 	startedAt  time.Duration
@@ -19,10 +20,10 @@
 	won        bool
 }
 
-// startRound freezes the holders' stamps, then asks the group. The order is the
-// point: every voter that agrees does so after the stamps were taken, and so
-// accounts for leases that run from them, however long this process pauses
-// between the agreement and the grant.
+// startRound records the holders' clock readings and then asks the group. The order
+// is essential: every voter agrees after the readings were taken and so accounts
+// for leases based on them, however long this process pauses between the agreement
+// and the grant.
 func (m *Machine) startRound(now time.Duration) {
 	m.rounds++
 	m.round = round{
@@ -33,7 +34,7 @@
 		agreed:     map[string]bool{},
 	}
 	m.round.dispatcher = m.askedDispatcher(now)
-	ask := Ask{
+	request := Ask{
 		Page:        m.page.Name,
 		Generation:  m.round.generation,
 		Dispatcher:  m.round.dispatcher,
@@ -42,58 +43,59 @@
 		ReleasedRun: m.gaveUpRun,
 		Bounded:     m.page.Bounded,
 	}
-	m.ready.Asks = append(m.ready.Asks, AskOut{Hosts: m.page.Voters(), Round: m.rounds, Ask: ask})
+	m.ready.Asks = append(m.ready.Asks, AskOut{Hosts: m.page.Voters(), Round: m.rounds, Ask: request})
 }
 
-// askedDispatcher leaves the dispatcher out of the ask while another router's
-// lease runs, so that the backend servers' leases go on meanwhile.
+// dispatcherToRenew returns the dispatcher to request a lease for. It returns an
+// empty string while another router's lease may be valid, so that the leases of
+// backend servers are renewed in the meantime.
 func (m *Machine) askedDispatcher(now time.Duration) string {
 	if !m.takeoverSettled(now) {
-		return "" // a router of the domain that had the page may still dispatch it
+		return "" // a router of the previous domain may still dispatch the page
 	}
 	if m.view.Dispatcher != m.dispatcher && now < m.dispatchAfter {
 		return ""
 	}
-	if _, stamped := m.round.stamps[HolderID{Kind: Router, Name: m.view.Dispatcher}]; !stamped {
-		return "" // no lease could follow
+	if _, answered := m.round.stamps[HolderID{Kind: Router, Name: m.view.Dispatcher}]; !answered {
+		return "" // a lease needs the router's clock reading
 	}
 	return m.view.Dispatcher
 }
 
-// dispatcherRun returns the incarnation of the round's dispatcher.
+// dispatcherIncarnation returns the incarnation of the round's dispatcher.
 func (r round) dispatcherRun() uint64 {
 	return r.stamps[HolderID{Kind: Router, Name: r.dispatcher}].incarnation
 }
 
 func (m *Machine) freezeStamps() map[HolderID]stampOf {
-	frozen := map[HolderID]stampOf{}
+	readings := map[HolderID]stampOf{}
 	for _, id := range m.holderIDs() {
 		state := m.holder(id)
 		if state.stamped {
-			frozen[id] = stampOf{stamp: state.stamp, incarnation: state.incarnation}
+			readings[id] = stampOf{stamp: state.stamp, incarnation: state.incarnation}
 		}
 	}
-	return frozen
+	return readings
 }
 
-// Answer takes a voter's answer to the ask of a round.
-func (m *Machine) Answer(now time.Duration, number uint64, host string, answer Answer) {
+// HandleRenewalResponse processes a voter's response to the request of a round.
+func (m *Machine) Answer(now time.Duration, number uint64, host string, response Answer) {
 	if number != m.round.number || m.round.generation != m.page.Generation {
 		return
 	}
-	switch answer.Verdict {
+	switch response.Verdict {
 	case Agreed:
 		m.round.agreed[host] = true
 		m.winRound(now)
 	case DispatcherBusy:
-		m.dispatcher = answer.Dispatcher
-		m.dispatchAfter = max(m.dispatchAfter, now+answer.BusyFor)
+		m.dispatcher = response.Dispatcher
+		m.dispatchAfter = max(m.dispatchAfter, now+response.BusyFor)
 	case Newer, Stopped:
 		m.ready.Reread = true
 	}
 }
 
-// winRound sends the leases of a round as soon as a majority has agreed.
+// grantLeases sends the leases of a round as soon as a majority has agreed.
 func (m *Machine) winRound(now time.Duration) {
 	if m.round.won || !m.majority(m.round.agreed) {
 		return
@@ -105,16 +107,16 @@
 		m.dispatchAfter = now + m.terms.Guard(m.terms.Lease)
 	}
 	for _, id := range m.holderIDs() {
-		stamped, ok := m.round.stamps[id]
+		reading, ok := m.round.stamps[id]
 		if !ok || id.Kind == Router && id.Name != m.round.dispatcher {
 			continue
 		}
-		m.send(now, id, m.grantFor(id, stamped))
+		m.send(now, id, m.grantFor(id, reading))
 	}
 }
 
-// majority reports whether the hosts are a majority of the page's group and,
-// while a change of group is under way, of the old group too.
+// hasMajority reports whether the hosts are a majority of the page's group and,
+// during a change of the group, of the old group too.
 func (m *Machine) majority(hosts map[string]bool) bool {
 	if !isMajority(m.page.Group, hosts) {
 		return false
--- a/ownership/scenarios_test.go
+++ b/ownership/scenarios_test.go
@@ -8,19 +8,19 @@
 	"cicadarouter/ownership"
 )
 
-// disturb does one thing that can go wrong, or nothing.
+// injectFault injects one random fault, or none.
 func (a actions) disturb(t *rapid.T) {
 	all := []func(*rapid.T){
 		a.restartController, a.restartHolder, a.partition, a.heal, a.store, a.hold, a.letGo,
 		a.changeGroup, a.request, a.request, a.request, a.resume, a.isolate, a.loseReply, a.move,
 	}
-	choice := rapid.IntRange(0, 4*len(all)).Draw(t, "disturbance")
+	choice := rapid.IntRange(0, 4*len(all)).Draw(t, "fault")
 	if choice < len(all) {
 		all[choice](t)
 	}
 }
 
-// follow lets the system work for a while, disturbed.
+// runWithFaults runs the system for some rounds and injects faults.
 func (a actions) follow(t *rapid.T, rounds int) {
 	for range rounds {
 		a.work(t)
@@ -29,7 +29,7 @@
 	}
 }
 
-// member returns a controller of the page's group that can work.
+// member returns a running controller of the page's group, or nil.
 func (a actions) member(t *rapid.T) *controller {
 	name := rapid.SampledFrom(a.w.page.Group).Draw(t, "member")
 	c := a.w.controllers[name]
@@ -39,15 +39,15 @@
 	return c
 }
 
-// failOver loses a server, by a freeze or a cut, and has its shards moved; then
-// the server comes back, believing what it believed.
+// failOver makes a server unavailable, by a pause or a network partition, and has
+// its shards moved. Then the server returns with its old state.
 func (a actions) failOver(t *rapid.T) {
 	c := a.member(t)
 	if c == nil {
 		return
 	}
 	lost := rapid.SampledFrom(serverNames).Draw(t, "lost")
-	if rapid.Bool().Draw(t, "freeze") {
+	if rapid.Bool().Draw(t, "pause") {
 		a.w.setPaused(lost, true)
 	} else {
 		for _, name := range a.w.controllerNames() {
@@ -72,16 +72,16 @@
 	c.view = a.w.defaultView()
 }
 
-// switchRouter has the group prefer another dispatch router, because the one it
-// had leaves, is cut off or is not liked any more.
+// switchRouter makes the controllers prefer another dispatch router, because the
+// previous one stops, restarts, pauses or is partitioned, or without such a reason.
 func (a actions) switchRouter(t *rapid.T) {
 	old := a.someHolder(t, routerNames)
-	switch rapid.SampledFrom([]string{"leave", "restart", "freeze", "cut", "none"}).Draw(t, "how") {
+	switch rapid.SampledFrom([]string{"leave", "restart", "pause", "cut", "none"}).Draw(t, "how") {
 	case "leave":
 		old.leaving = true
 	case "restart":
 		a.w.startHolder(old)
-	case "freeze":
+	case "pause":
 		a.w.setPaused(old.name, true)
 	case "cut":
 		for _, name := range a.w.controllerNames() {
@@ -100,8 +100,8 @@
 	a.resume(t)
 }
 
-// cutOffDomain cuts the page's domain off from the store and the other domain,
-// which then takes the page.
+// cutOffDomain partitions the page's failure domain from the store and the other
+// domain, which then takes the page over.
 func (a actions) cutOffDomain(t *rapid.T) {
 	if a.w.page.Home == "b" || !a.w.page.Bounded {
 		return
--- a/ownership/voter.go
+++ b/ownership/voter.go
@@ -2,68 +2,73 @@
 
 import "time"
 
-// Verdict is a voter's answer to an Ask.
+// Verdict is a voter's decision on a RenewalRequest.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Agreed: the voter accounts for leases with stamps taken before the ask.
+	// Agreed: the voter accounts for leases that are based on clock readings from
+	// before the request.
 	Agreed Verdict = iota + 1
-	// Newer: the voter knows a newer generation.
+	// NewerGenerationKnown: the voter knows a newer generation.
 	Newer
-	// Stopped: the voter promised to stop this generation.
+	// Stopped: the voter promised to stop this or a newer generation.
 	Stopped
-	// Abstains: the voter has not read the store since it started, or has been
-	// away from it for longer than the page allows.
+	// Abstains: the voter has not read the store since it started, or has had no
+	// contact to it for longer than the page allows.
 	Abstains
-	// DispatcherBusy: another router's lease on the page may still run.
+	// DispatcherBusy: another router's lease on the page may still be valid.
 	DispatcherBusy
 )
 
-// Ask requests agreement to one more term of a page's generation.
+// RenewalRequest asks a voter to agree to one more lease period for a page's
+// generation.
 type Ask struct {
 	Page       string
 	Generation uint64
-	// Dispatcher names the router that would dispatch the page, or is empty
-	// when only backend servers' leases are renewed.
+	// Dispatcher is the router that is to dispatch the page's requests. It is empty
+	// if only the leases of backend servers are renewed.
 	Dispatcher string
-	// Run is the incarnation of Dispatcher that the lease is for.
+	// DispatcherIncarnation is the incarnation of Dispatcher that the lease is for.
 	Run uint64
-	// Released names a router that has given up its lease on the page and will
-	// not take another in the run ReleasedRun, so that a successor need not
-	// wait. The run matters: the router may have started again and hold a new
-	// lease by the time this ask arrives.
+	// ReleasedDispatcher is a router that has released its lease on the page and
+	// will not accept another in ReleasedIncarnation, so that another router need
+	// not wait for the lease to expire. The incarnation is needed because the
+	// router may have restarted and hold a new lease by the time this request
+	// arrives.
 	Released    string
 	ReleasedRun uint64
-	// Bounded is set for pages whose service moves when cut off.
+	// Bounded is set for pages that another failure domain takes over when theirs
+	// is cut off. Renewal without contact to the store is then limited to
+	// MaxStoreOutage.
 	Bounded bool
 }
 
-// Answer is a voter's reply to an Ask.
+// RenewalResponse is a voter's response to a RenewalRequest.
 type Answer struct {
 	Verdict Verdict
-	// Known is the newest generation that the voter knows.
+	// KnownGeneration is the newest generation that the voter knows.
 	Known uint64
-	// Dispatcher is the router whose lease may still run.
+	// Dispatcher is the router whose lease may still be valid.
 	Dispatcher string
-	// BusyFor is how long that lease may still run.
+	// BusyFor is how long that lease may still be valid.
 	BusyFor time.Duration
 }
 
-// Promise is a voter's reply to a request to stop a generation.
+// Promise is a voter's response to a StopMessage.
 type Promise struct {
-	// Remaining is how long leases that this voter agreed to, on the stopped or
-	// an older generation, may still run.
+	// Remaining is how long leases that this voter agreed to, on the stopped or an
+	// older generation, may still be valid.
 	Remaining time.Duration
 }
 
-// agreement records until when leases on one generation may run.
+// agreement records until when leases on one generation may be valid.
 type agreement struct {
 	generation uint64
 	until      time.Duration
 }
 
-// vote is a voter's memory of one page.
+// pageVote is a voter's state for one page.
 type vote struct {
 	known         uint64
 	stopped       uint64
@@ -73,22 +78,24 @@
 	dispatchUntil time.Duration
 }
 
-// Voter is a controller's voice in renewals. Its memory starts empty: what it
-// forgot by restarting is covered by freshUntil and established.
+// Voter decides for a controller on lease renewals. It keeps its state in memory
+// only. predecessorLeasesUntil and hasReadStore make up for the state that a
+// restart loses.
 type Voter struct {
 	terms Terms
-	// freshUntil is when every lease that a predecessor at this address agreed
-	// to has lapsed.
+	// predecessorLeasesUntil is when every lease that an earlier process at this
+	// address agreed to has expired.
 	freshUntil time.Duration
-	// established is set by the first complete read of the store. A predecessor
-	// promised to stop a generation only after a newer one was in the store, so
-	// that read shows every generation it may have stopped as outdated.
+	// hasReadStore is set by the first complete read of the store. An earlier
+	// process promised to stop a generation only after a newer one was in the
+	// store, so every generation that it may have stopped is known to be outdated
+	// after that read.
 	established  bool
 	storeContact time.Duration
 	pages        map[string]*vote
 }
 
-// NewVoter returns a voter that starts at now with an empty memory.
+// NewVoter returns a voter that starts at now without any state.
 func NewVoter(terms Terms, now time.Duration) *Voter {
 	return &Voter{
 		terms:      terms,
@@ -97,24 +104,24 @@
 	}
 }
 
-// StoreRead tells the voter that it has learned all that the store held at
+// StoreRead records that the voter has learned everything that the store held at
 // began, a time before the read was sent.
 func (v *Voter) StoreRead(began time.Duration) {
 	v.established = true
 	v.storeContact = max(v.storeContact, began)
 }
 
-// Established reports whether the voter has read the store since it started.
+// HasReadStore reports whether the voter has read the store since it started.
 func (v *Voter) Established() bool { return v.established }
 
-// Learn tells the voter of a page's generation, from whatever source.
+// Learn records a page's generation, which may come from any source.
 func (v *Voter) Learn(page string, generation uint64) {
 	vote := v.vote(page)
 	vote.known = max(vote.known, generation)
 }
 
-// Agree answers an ask. Agreed means: until Guard(Lease) from now, this voter
-// will count a lease on the generation as running.
+// Agree decides on a renewal request. After Agreed, the voter counts a lease on the
+// generation as valid until SafeWait(LeaseDuration) from now.
 func (v *Voter) Agree(now time.Duration, ask Ask) Answer {
 	vote := v.vote(ask.Page)
 	if verdict := v.refusal(now, vote, ask); verdict != 0 {
@@ -147,9 +154,10 @@
 	return 0
 }
 
-// dispatcherBusy returns for how long another router may still dispatch the
-// page, and whether the asked one may start. Two routers that dispatch one page
-// would each run a copy of the same request; the majority's memory prevents it.
+// dispatcherBusy returns for how long another router may still dispatch the page,
+// and whether the requested one may start. If two routers dispatched one page, each
+// could run a copy of the same request. Any two majorities share a voter that
+// remembers the current dispatcher, which prevents this.
 func (v *Voter) dispatcherBusy(now time.Duration, vote *vote, ask Ask) (time.Duration, bool) {
 	if ask.Dispatcher == "" {
 		return 0, true
@@ -164,7 +172,8 @@
 	return busyUntil - now, now >= busyUntil
 }
 
-// Stop promises never again to agree to the generation or an older one.
+// Stop promises never again to agree to the generation or an older one, and returns
+// how long leases that it agreed to may still be valid.
 func (v *Voter) Stop(now time.Duration, page string, generation uint64) Promise {
 	vote := v.vote(page)
 	vote.stopped = max(vote.stopped, generation)
@@ -187,13 +196,13 @@
 	return fresh
 }
 
-// agree notes the agreement and forgets those that have lapsed.
-func (t *vote) agree(now time.Duration, generation uint64, until time.Duration) {
-	kept := t.agreements[:0]
-	for _, old := range t.agreements {
+// recordAgreement records an agreement and drops those that have expired.
+func (p *vote) agree(now time.Duration, generation uint64, until time.Duration) {
+	kept := p.agreements[:0]
+	for _, old := range p.agreements {
 		if old.until > now && old.generation != generation {
 			kept = append(kept, old)
 		}
 	}
-	t.agreements = append(kept, agreement{generation: generation, until: until})
+	p.agreements = append(kept, agreement{generation: generation, until: until})
 }
--- a/ownership/world_test.go
+++ b/ownership/world_test.go
@@ -12,9 +12,9 @@
 	"cicadarouter/record"
 )
 
-// The world of the stateful tests: processes with clocks of their own, one page
-// in a store, and a bag of messages that arrive in any order, late, twice or
-// never. The oracle looks at true time, which no process knows.
+// The simulation of the stateful tests: processes with their own clocks, one page
+// in a store, and messages that arrive in any order, late, twice or never.
+// Invariants are checked at true time, which no process knows.
 
 const (
 	testPage  = "split.0"
@@ -26,8 +26,8 @@
 	return ownership.Terms{Lease: 100 * time.Millisecond, Drift: testDrift, StoreAway: 150 * time.Millisecond}
 }
 
-// process is what every process has: a clock of its own and a run that messages
-// belong to.
+// process is the common state of all processes: a clock, and a run number that
+// pending replies belong to.
 type process struct {
 	name   string
 	rate   float64
@@ -53,12 +53,12 @@
 	kind    ownership.HolderKind
 	holder  *ownership.Holder
 	leaving bool
-	// busy holds the hashes of accepted requests that have not had their effect.
+	// busy holds the hashes of accepted requests that have not taken effect.
 	busy []uint64
 }
 
-// message is anything on its way. replyTo is set on replies, which reach only
-// the run of the process that asked.
+// message is a message in transit. runOf and run are set on replies, which reach
+// only the run of the process that sent the request.
 type message struct {
 	from, to string
 	runOf    *process
@@ -67,7 +67,7 @@
 	deliver  func()
 }
 
-// effect is a request that a server ran.
+// effect is the latest request that ran for a hash.
 type effect struct {
 	server string
 	token  uint64
@@ -78,7 +78,7 @@
 	controllers map[string]*controller
 	holders     map[string]*holder
 	messages    []message
-	// held are messages that the network delays for long.
+	// delayed are messages that the network delays for a long time.
 	held        []message
 	cut         map[[2]string]bool
 	storeDown   bool
@@ -97,17 +97,18 @@
 
 const storeName = "store"
 
-// heirNames are controllers of another failure domain, which may take the page.
+// otherDomainNames are controllers of another failure domain, which may take the
+// page over.
 var heirNames = []string{"d1", "d2", "d3"}
 
 var serverNames = []string{"s1", "s2", "s3"}
 
 var routerNames = []string{"r1", "r2"}
 
-// clockOf gives a process its clock's rate and offset.
+// clockFunc returns the rate and offset of a process's clock.
 type clockOf func(name string) (rate float64, offset time.Duration)
 
-// drawnWorld returns a world of rapid's choice.
+// randomSimulation returns a simulation with random parameters.
 func drawnWorld(t *rapid.T, unchecked bool) *world {
 	size := rapid.SampledFrom([]int{2, 3, 3, 4, 5}).Draw(t, "group")
 	bounded := rapid.Bool().Draw(t, "bounded")
@@ -119,8 +120,8 @@
 	})
 }
 
-// plainWorld returns a world for a told sequence of events: three members and
-// clocks that agree.
+// fixedSimulation returns a simulation for a fixed sequence of events, with three
+// group members and identical clocks.
 func plainWorld(bounded, unchecked bool) *world {
 	return newWorld(3, bounded, unchecked, func(string) (float64, time.Duration) { return 1, 0 })
 }
@@ -211,7 +212,7 @@
 	h.holder = ownership.NewHolder(w.incarnation)
 }
 
-// send puts a message on its way, unless the link is cut.
+// send sends a message, unless the link is cut.
 func (w *world) send(from, to string, deliver func()) {
 	if w.cut[[2]string{from, to}] {
 		return
@@ -219,7 +220,8 @@
 	w.messages = append(w.messages, message{from: from, to: to, sentAt: w.time, deliver: deliver})
 }
 
-// reply puts a reply on its way to the run of the process that asked.
+// reply sends a reply to the run of the process that sent the request, unless the
+// link is cut.
 func (w *world) reply(from string, to *process, run int, deliver func()) {
 	if w.cut[[2]string{from, to.name}] {
 		return
@@ -227,7 +229,8 @@
 	w.messages = append(w.messages, message{from: from, to: to.name, runOf: to, run: run, sentAt: w.time, deliver: deliver})
 }
 
-// deliver hands one message over, if its receiver can take it.
+// deliver delivers one message, unless it is a reply to an earlier run of its
+// receiver.
 func (w *world) deliver(m message) {
 	if m.runOf != nil && m.runOf.run != m.run {
 		return
@@ -245,7 +248,7 @@
 	return false
 }
 
-// carryOut does what a controller's machine wants done.
+// perform performs the pending work of a controller's state machine.
 func (w *world) carryOut(c *controller) {
 	for {
 		ready := c.machine.Ready()
@@ -334,7 +337,8 @@
 	})
 }
 
-// busyOf lists the hashes that a server still works on without holding them.
+// busyHashes lists the hashes of requests that a server still runs without holding
+// a lease on them.
 func (w *world) busyOf(h *holder) []uint64 {
 	var busy []uint64
 	for _, hash := range h.busy {
@@ -366,14 +370,14 @@
 	})
 }
 
-// commit takes a generation into the store and checks that it follows from the
-// one before.
+// commit stores a generation and checks that no hash changed its owner or token
+// without being released before.
 func (w *world) commit(page record.Page) {
 	for hash := uint64(0); hash <= pageHigh; hash += 5 {
 		before := w.page.Shards[w.page.ShardAt(hash)]
 		after := page.Shards[page.ShardAt(hash)]
 		if before.Grantable() && after.Grantable() && (before.Owner != after.Owner || before.Token != after.Token) {
-			w.problem = fmt.Sprintf("hash %d went from %s to %s without being released", hash, before.Owner, after.Owner)
+			w.problem = fmt.Sprintf("hash %d moved from %s to %s without being released", hash, before.Owner, after.Owner)
 		}
 	}
 	w.page = page
@@ -381,7 +385,7 @@
 	w.history = append(w.history, page)
 }
 
-// read has a controller read the store.
+// read makes a controller read the store.
 func (w *world) read(c *controller) {
 	run := c.run
 	began := c.now(w)
@@ -399,7 +403,8 @@
 	})
 }
 
-// relay has a controller learn a page from a peer, as routers' feeds do.
+// relay makes a controller learn a page from a peer, as happens through routers'
+// feeds.
 func (w *world) relay(from, to *controller) {
 	page := from.machine.Page()
 	if page.Generation == 0 {
@@ -412,7 +417,7 @@
 	})
 }
 
-// request sends a request from a router that believes it may dispatch.
+// request sends a request from a router that holds a valid lease by its own clock.
 func (w *world) request(router *holder, hash uint64) {
 	now := router.now(w)
 	if now >= router.holder.Expiry(testPage) || router.leaving {
@@ -429,11 +434,11 @@
 	w.send(router.name, server.name, func() { w.accept(server, hash, shard.Token, sentAt) })
 }
 
-// accept has a server take a request, which has its effect at once or later.
+// accept delivers a request to a server, which runs it at once if it may.
 func (w *world) accept(server *holder, hash, token uint64, sentAt time.Duration) {
 	if w.unchecked {
-		// The contract with unchecked servers: they honour deadlines. What
-		// stays longer on its way is the residual risk that the docs state.
+		// Servers that do not check tokens must honour deadlines. A request in
+		// transit for longer is the documented residual risk.
 		if w.time-sentAt < w.defaultView().DrainWait {
 			w.run(server, hash, token)
 		}
--- a/placement/average.go
+++ b/placement/average.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// average is an exponentially smoothed load.
+// loadAverage is an exponentially smoothed load.
 type average struct {
 	at   time.Duration
 	rate float64
@@ -13,14 +13,15 @@
 	set  bool
 }
 
-// add takes an observation. A single sample moves the average only by its share
-// of the smoothing time, so that one misleading report moves nothing.
+// add records a measurement. Its weight grows with the time since the previous one
+// relative to the smoothing time constant, so that a single misleading report
+// causes no moves.
 func (a *average) add(now, smoothing time.Duration, load ShardLoad) {
 	a.hot = load.Hot
 	if !a.set {
 		a.set = true
 		a.at = now
-		a.rate = load.Rate / 2 // half the trust until it is seen again
+		a.rate = load.Rate / 2 // a first sample counts half until a second one follows
 		return
 	}
 	weight := 1 - math.Exp(-float64(now-a.at)/float64(smoothing))
--- a/placement/ledger.go
+++ b/placement/ledger.go
@@ -7,7 +7,7 @@
 	"cicadarouter/record"
 )
 
-// item is a shard with its load.
+// loadedShard is a shard with its load.
 type item struct {
 	low   uint64
 	owner string
@@ -15,7 +15,8 @@
 	hot   []HotHash
 }
 
-// ledger is the load of each server as moves are planned.
+// loadModel is the expected load of each server, including the moves that are
+// already planned.
 type ledger struct {
 	servers   []Server
 	slots     map[string]float64
@@ -26,19 +27,19 @@
 	releasing int
 }
 
-func (p *Planner) newLedger(world World) *ledger {
+func (p *Planner) newLedger(input World) *ledger {
 	l := &ledger{
-		servers: world.Servers,
+		servers: input.Servers,
 		slots:   map[string]float64{},
 		load:    map[string]float64{},
 		count:   map[string]int{},
 	}
-	for _, server := range world.Servers {
+	for _, server := range input.Servers {
 		l.slots[server.Name] = float64(server.Slots)
 		l.load[server.Name] = 0
 		l.count[server.Name] = 0
 	}
-	for _, shard := range world.Page.Shards {
+	for _, shard := range input.Page.Shards {
 		l.enter(p.itemOf(shard), shard)
 	}
 	return l
@@ -71,7 +72,7 @@
 	l.items = append(l.items, entry)
 }
 
-// evacuate finds a place for every shard whose owner may own nothing any more.
+// evacuate moves every shard whose owner is no longer eligible.
 func (l *ledger) evacuate() []Move {
 	slices.SortFunc(l.stranded, func(a, b item) int { return cmp.Compare(b.rate, a.rate) })
 	var moves []Move
@@ -84,8 +85,8 @@
 	return moves
 }
 
-// lightest returns the server with the least load for its slots, and among
-// equals the one with the fewest shards.
+// leastUtilized returns the server with the least load per slot and, among equals,
+// the one with the fewest shards per slot.
 func (l *ledger) lightest() string {
 	best := l.servers[0]
 	for _, server := range l.servers[1:] {
@@ -119,7 +120,7 @@
 
 func (l *ledger) perSlot(name string) float64 { return l.load[name] / l.slots[name] }
 
-// meanPerSlot returns the load that each slot would carry if it were spread evenly.
+// meanUtilization returns the load per slot if the load were spread evenly.
 func (l *ledger) meanPerSlot() float64 {
 	total, slots := 0.0, 0.0
 	for _, server := range l.servers {
@@ -129,7 +130,7 @@
 	return total / slots
 }
 
-// imbalance returns the load of the most loaded server over the mean.
+// imbalance returns the utilization of the most utilized server over the mean.
 func (l *ledger) imbalance() float64 {
 	mean := l.meanPerSlot()
 	if mean == 0 {
@@ -138,19 +139,21 @@
 	return l.perSlot(l.heaviest()) / mean
 }
 
-// idleShare is the part of the mean load below which a server counts as idle.
+// idleFraction is the fraction of the mean utilization up to which a server counts
+// as idle.
 const idleShare = 0.5
 
-// spreadCount gives idle servers their share by number, taken from the servers
-// with the most. It serves servers that join, before their load says anything.
-func (l *ledger) spreadCount(most int) []Move {
+// fillIdleServers gives idle servers an equal number of shards, taken from the most
+// utilized servers that have more shards. It is for servers that have just joined
+// and have no meaningful load yet.
+func (l *ledger) spreadCount(maxMoves int) []Move {
 	var moves []Move
 	share := len(l.items) / len(l.servers)
 	for _, server := range l.servers {
 		if l.perSlot(server.Name) > l.meanPerSlot()*idleShare {
 			continue
 		}
-		for l.count[server.Name] < share && len(moves) < most {
+		for l.count[server.Name] < share && len(moves) < maxMoves {
 			move, ok := l.takeForJoiner(server.Name)
 			if !ok {
 				break
@@ -161,7 +164,8 @@
 	return moves
 }
 
-// takeForJoiner moves one shard from the heaviest server with shards to spare.
+// moveToIdleServer moves one shard from the most utilized server that has at least
+// two shards more than the idle one.
 func (l *ledger) takeForJoiner(to string) (Move, bool) {
 	best := -1
 	for i, entry := range l.items {
@@ -188,12 +192,12 @@
 	return Move{Low: entry.low, To: to}
 }
 
-// level moves shards from the most to the least loaded servers until the
-// imbalance is tolerable or nothing helps.
-func (l *ledger) level(tolerance float64, most int) []Move {
+// rebalance moves shards from the most to the least utilized server until the
+// imbalance is within the tolerance, no move reduces it, or maxMoves is reached.
+func (l *ledger) level(tolerance float64, maxMoves int) []Move {
 	var moves []Move
 	moved := map[uint64]bool{}
-	for len(moves) < most && l.imbalance() > tolerance {
+	for len(moves) < maxMoves && l.imbalance() > tolerance {
 		from := l.heaviest()
 		index, to := l.bestMove(from, moved)
 		if index < 0 {
@@ -205,9 +209,10 @@
 	return moves
 }
 
-// bestMove returns the move off a server that lowers the higher of the two
-// servers' loads most. A shard that would only swap the roles is not moved: the
-// hot shard itself stays and its neighbours go.
+// bestMove returns the move from a server to the least utilized one that most
+// reduces the higher utilization of the two. A shard so loaded that its move would
+// only swap the two servers' roles is not moved: a hot shard stays and other shards
+// of its server move away.
 func (l *ledger) bestMove(from string, moved map[uint64]bool) (index int, to string) {
 	to = l.lightest()
 	index = -1
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,9 +1,9 @@
-// Package placement decides which server should own which shard. It is pure:
-// time and loads come in, splits and moves come out.
+// Package placement decides which backend server should own which shard. It is
+// pure: from the time and the loads it computes splits and moves of shards.
 //
-// The cost of a plan is the imbalance of load over the page's servers plus the
-// price of the moves that lead there. The price depends on the service: one
-// that weighs churn moves only what pays back several times over.
+// A plan weighs the imbalance of load between the page's servers against the cost
+// of moving shards. The cost of a move depends on the service: for one that weighs
+// churn, a larger imbalance is left alone and fewer shards move at a time.
 package placement
 
 import (
@@ -15,13 +15,13 @@
 	"cicadarouter/record"
 )
 
-// HotHash is a single hash that carries a large part of its shard's load.
+// HotHash is a key hash that carries a large part of its shard's load.
 type HotHash struct {
 	Hash uint64
 	Rate float64
 }
 
-// ShardLoad is one observation of a shard's load, in busy slots.
+// ShardLoad is one measurement of a shard's load, in busy slots.
 type ShardLoad struct {
 	Low  uint64
 	Rate float64
@@ -34,7 +34,7 @@
 	Slots int
 }
 
-// World is what a plan is made from.
+// Input is what a plan is computed from.
 type World struct {
 	Now     time.Duration
 	Page    record.Page
@@ -42,7 +42,7 @@
 	Servers []Server
 }
 
-// Move takes the shard that begins at Low to another server.
+// Move gives the shard that begins at Low to another server.
 type Move struct {
 	Low uint64
 	To  string
@@ -54,28 +54,30 @@
 	Moves  []Move
 }
 
-// Policy holds the numbers that plans are judged by.
+// Policy holds the parameters of planning.
 type Policy struct {
 	// Smoothing is the time constant of the load averages.
 	Smoothing time.Duration
-	// Settle is the least time between two plans that move load.
+	// MinPlanInterval is the minimum time between two plans that balance load.
 	Settle time.Duration
-	// Tolerance is the imbalance (most loaded over mean) that is left alone,
-	// by what the service weighs.
+	// Tolerance is the imbalance (utilization of the most utilized server over the
+	// mean) that is left alone, by what the service weighs.
 	Tolerance map[record.Weigh]float64
-	// MovesPerPlan bounds the moves for balance in one plan.
+	// MovesPerPlan limits the moves that balance load in one plan.
 	MovesPerPlan map[record.Weigh]int
-	// LeastLoad is the share of its slots that the heaviest server must have
-	// busy before load is worth a move. Below it nobody waits for a slot, and
-	// what looks like imbalance is mostly chance.
+	// MinUtilization is the fraction of its slots that the most utilized server
+	// must have busy before shards are moved to balance load. Below it no request
+	// waits for a slot, and an apparent imbalance is mostly random.
 	LeastLoad float64
-	// SplitShare is the part of a server's load that one shard must carry to be split.
+	// MinSplitFraction is the fraction of a server's load that one shard must carry
+	// to be split.
 	SplitShare float64
-	// MostShards bounds the shards of a page.
+	// MaxShards limits the shards of a page: a page with as many is not split
+	// further.
 	MostShards int
 }
 
-// DefaultPolicy is the policy measured in docs/design/placement.md.
+// DefaultPolicy returns the policy that docs/design/placement.md evaluates.
 func DefaultPolicy() Policy {
 	return Policy{
 		Smoothing:    time.Second,
@@ -88,8 +90,8 @@
 	}
 }
 
-// Planner makes plans for one page from the loads that it is told. It is not
-// safe for concurrent use.
+// Planner computes plans for one page from the loads that are reported to it. It is
+// not safe for concurrent use.
 type Planner struct {
 	policy   Policy
 	loads    map[uint64]*average
@@ -98,21 +100,21 @@
 	owners   map[string]float64 // load by owner at the last plan
 }
 
-// NewPlanner returns a planner without observations.
+// NewPlanner returns a planner without load measurements.
 func NewPlanner(policy Policy) *Planner {
 	return &Planner{policy: policy, loads: map[uint64]*average{}, owners: map[string]float64{}}
 }
 
-// Observe takes the loads of shards as a dispatch router reports them. Shards
-// that it leaves out were idle.
+// Observe records the loads of shards that a dispatch router reports. Shards that
+// are not reported were idle.
 func (p *Planner) Observe(now time.Duration, loads []ShardLoad) {
 	p.observed = now
-	told := make(map[uint64]bool, len(loads))
+	reported := make(map[uint64]bool, len(loads))
 	for _, load := range loads {
-		told[load.Low] = true
+		reported[load.Low] = true
 	}
 	for low, known := range p.loads {
-		if !told[low] {
+		if !reported[low] {
 			known.add(now, p.policy.Smoothing, ShardLoad{Low: low})
 		}
 	}
@@ -133,41 +135,42 @@
 	return ordered
 }
 
-// Plan returns what to change. Shards whose owner may no longer own anything
-// are always moved; moves for balance come at most once per Settle.
-func (p *Planner) Plan(world World) Plan {
-	if len(world.Servers) == 0 {
+// Plan returns the changes to make now. Shards whose owner is no longer eligible
+// are always moved; splits and moves that balance load are made at most once per
+// MinPlanInterval, and not while shards are releasing.
+func (p *Planner) Plan(input World) Plan {
+	if len(input.Servers) == 0 {
 		return Plan{}
 	}
-	ledger := p.newLedger(world)
-	plan := Plan{Moves: ledger.evacuate()}
-	p.owners = maps.Clone(ledger.load)
-	if len(plan.Moves) > 0 || ledger.releasing > 0 {
+	model := p.newLedger(input)
+	plan := Plan{Moves: model.evacuate()}
+	p.owners = maps.Clone(model.load)
+	if len(plan.Moves) > 0 || model.releasing > 0 {
 		return plan
 	}
-	if p.planned != 0 && world.Now-p.planned < p.policy.Settle {
+	if p.planned != 0 && input.Now-p.planned < p.policy.Settle {
 		return plan
 	}
-	plan = p.balance(world, ledger)
+	plan = p.balance(input, model)
 	if len(plan.Moves)+len(plan.Splits) > 0 {
-		p.planned = world.Now
+		p.planned = input.Now
 	}
 	return plan
 }
 
-func (p *Planner) balance(world World, ledger *ledger) Plan {
-	if moves := ledger.spreadCount(p.policy.MovesPerPlan[world.Weigh]); len(moves) > 0 {
+func (p *Planner) balance(input World, model *ledger) Plan {
+	if moves := model.spreadCount(p.policy.MovesPerPlan[input.Weigh]); len(moves) > 0 {
 		return Plan{Moves: moves}
 	}
-	if ledger.perSlot(ledger.heaviest()) < p.policy.LeastLoad {
+	if model.perSlot(model.heaviest()) < p.policy.LeastLoad {
 		return Plan{}
 	}
-	tolerance := p.policy.Tolerance[world.Weigh]
-	if ledger.imbalance() <= tolerance {
+	tolerance := p.policy.Tolerance[input.Weigh]
+	if model.imbalance() <= tolerance {
 		return Plan{}
 	}
-	if splits := p.splits(world, ledger); len(splits) > 0 {
+	if splits := p.splits(input, model); len(splits) > 0 {
 		return Plan{Splits: splits}
 	}
-	return Plan{Moves: ledger.level(tolerance, p.policy.MovesPerPlan[world.Weigh])}
+	return Plan{Moves: model.level(tolerance, p.policy.MovesPerPlan[input.Weigh])}
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -14,7 +14,8 @@
 	"cicadarouter/record"
 )
 
-// scene is a page whose keys have loads, and a planner that is told of them.
+// testPage is a page with the loads of its key hashes, and a planner that gets
+// these loads.
 type scene struct {
 	planner *placement.Planner
 	page    record.Page
@@ -43,7 +44,7 @@
 	return s
 }
 
-// tick reports loads, takes a plan and carries it out at once.
+// tick reports the loads, gets a plan and applies it at once.
 func (s *scene) tick() placement.Plan {
 	s.now += 150 * time.Millisecond
 	s.planner.Observe(s.now, s.shardLoads())
@@ -77,7 +78,7 @@
 	return loads
 }
 
-// imbalance is the most loaded server over the mean.
+// imbalance returns the load of the most loaded server over the mean.
 func (s *scene) imbalance() float64 {
 	byServer := map[string]float64{}
 	total := 0.0
@@ -98,7 +99,8 @@
 	}
 }
 
-// TestLoadEvensOut: an uneven load is even within 10 s, without a hot key.
+// TestLoadIsBalancedWithin10Seconds checks that an uneven load without a hot key is
+// balanced within 10 s.
 func TestLoadEvensOut(t *testing.T) {
 	s := newScene(5, 40)
 	for i := range 40 {
@@ -110,8 +112,8 @@
 	assert.Assert(t, s.moved < 40)
 }
 
-// TestHotKeyStays: the neighbours of a hot key move away from it; the key
-// itself does not move.
+// TestHotKeyIsNotMoved checks that the other keys are moved away from the server of
+// a hot key, and that the hot key is not moved.
 func TestHotKeyStays(t *testing.T) {
 	s := newScene(5, 40)
 	for i := range 400 {
@@ -124,10 +126,11 @@
 	assert.Equal(t, s.page.Shards[s.page.ShardAt(hot)].Owner, owner)
 	total := 0.01*400 + 1.2
 	best := 1.2 / (total / 5) // the hot key alone on its server
-	assert.Assert(t, s.imbalance() <= max(best, 1)*1.15, "%.2f, at best %.2f", s.imbalance(), best)
+	assert.Assert(t, s.imbalance() <= max(best, 1)*1.15, "imbalance %.2f, best possible %.2f", s.imbalance(), best)
 }
 
-// TestOneSampleMovesNothing: a single misleading report is not acted on.
+// TestSingleSampleCausesNoMove checks that a single misleading report causes no
+// moves or splits.
 func TestOneSampleMovesNothing(t *testing.T) {
 	s := newScene(5, 40)
 	for i := range 40 {
@@ -143,22 +146,23 @@
 	assert.Equal(t, len(s.page.Shards), 40)
 }
 
-// Symptom: shards move every second or two on a quiet service.
-// Sequence: each server has a tenth of a slot busy; chance makes one look loaded.
-// Cause: imbalance was judged without asking whether anybody waits for a slot.
+// Shards of a lightly loaded service must not be moved: with less than a tenth of
+// the slots busy no request waits for a slot, and imbalance is mostly random.
+// Without the minimum utilization, shards moved every second or two.
 func TestQuietServiceKeepsItsShards(t *testing.T) {
 	s := newScene(5, 40)
 	for i := range 40 {
 		s.loads[uint64(i)*100+50] = 0.01
 		if i%5 == 0 {
-			s.loads[uint64(i)*100+50] = 0.04 // all at one server: 0.32 of its 4 slots
+			s.loads[uint64(i)*100+50] = 0.04 // all at one server, with 0.32 of its 4 slots busy
 		}
 	}
 	s.run(20 * time.Second)
 	assert.Equal(t, s.moved, 0)
 }
 
-// TestChurnIsWeighed: a service that weighs churn moves less for the same load.
+// TestChurnPreferenceReducesMoves checks that a service that weighs churn has fewer
+// moves for the same load.
 func TestChurnIsWeighed(t *testing.T) {
 	moves := map[record.Weigh]int{}
 	for _, weigh := range []record.Weigh{record.WeighUnavailability, record.WeighChurn} {
@@ -173,8 +177,9 @@
 	assert.Assert(t, moves[record.WeighChurn] < moves[record.WeighUnavailability], "%v", moves)
 }
 
-// TestServerLeavesAndJoins: a server that may own nothing loses all its shards
-// at once, spread over the others; one that joins gets its share.
+// TestServerRemovedAndAdded checks that a server that is no longer eligible loses
+// all its shards at once to the others, and that a new server gets an equal number
+// of shards.
 func TestServerLeavesAndJoins(t *testing.T) {
 	s := newScene(5, 40)
 	all := s.servers
--- a/placement/split.go
+++ b/placement/split.go
@@ -1,30 +1,30 @@
 package placement
 
-// splits returns where shards of the most loaded server should be divided. A
-// shard with a hot hash is cut around that hash, so that its neighbours can
-// move away from it; one without is cut in the middle.
-func (p *Planner) splits(world World, ledger *ledger) []uint64 {
-	if len(world.Page.Shards) >= p.policy.MostShards {
+// splits returns where to divide shards of the most utilized server. A shard with a
+// hot hash is split around that hash, so that the neighbouring hashes can be moved
+// away from it; any other is split in the middle.
+func (p *Planner) splits(input World, model *ledger) []uint64 {
+	if len(input.Page.Shards) >= p.policy.MostShards {
 		return nil
 	}
-	heaviest := ledger.heaviest()
-	limit := ledger.load[heaviest] * p.policy.SplitShare
-	excess := ledger.load[heaviest] - ledger.meanPerSlot()*ledger.slots[heaviest]
-	var cuts []uint64
-	for _, entry := range ledger.items {
-		if entry.owner != heaviest || entry.rate < limit || entry.rate < excess {
+	mostUtilized := model.heaviest()
+	limit := model.load[mostUtilized] * p.policy.SplitShare
+	excess := model.load[mostUtilized] - model.meanPerSlot()*model.slots[mostUtilized]
+	var points []uint64
+	for _, entry := range model.items {
+		if entry.owner != mostUtilized || entry.rate < limit || entry.rate < excess {
 			continue
 		}
-		cuts = append(cuts, p.cut(world, entry)...)
+		points = append(points, p.cut(input, entry)...)
 	}
-	return cuts
+	return points
 }
 
-// cut returns the new shard boundaries for one shard, or none if it is a
+// splitPoints returns the new shard boundaries for one shard, or none if it is a
 // single hash already.
-func (p *Planner) cut(world World, entry item) []uint64 {
-	index := world.Page.ShardAt(entry.low)
-	high := world.Page.ShardHigh(index)
+func (p *Planner) cut(input World, entry item) []uint64 {
+	index := input.Page.ShardAt(entry.low)
+	high := input.Page.ShardHigh(index)
 	if entry.low == high {
 		return nil
 	}
@@ -38,28 +38,29 @@
 
 func (p *Planner) cutAround(entry item, high uint64) []uint64 {
 	hot := entry.hot[0].Hash
-	var cuts []uint64
+	var points []uint64
 	if hot > entry.low && hot <= high {
-		cuts = append(cuts, hot)
+		points = append(points, hot)
 	}
 	if hot >= entry.low && hot < high {
-		cuts = append(cuts, hot+1)
+		points = append(points, hot+1)
 	}
-	for _, at := range cuts {
+	for _, at := range points {
 		p.loads[at] = &average{at: p.observed, set: true, rate: 0}
 	}
-	if len(cuts) == 0 {
+	if len(points) == 0 {
 		return nil
 	}
-	p.spread(entry, cuts)
-	return cuts
+	p.spread(entry, points)
+	return points
 }
 
-// spread gives the parts of a shard cut around its hot hash their loads.
-func (p *Planner) spread(entry item, cuts []uint64) {
-	rest := (entry.rate - entry.hot[0].Rate) / float64(len(cuts))
+// assignPartLoads sets the load averages of the parts of a shard that is split
+// around its hot hash.
+func (p *Planner) spread(entry item, points []uint64) {
+	rest := (entry.rate - entry.hot[0].Rate) / float64(len(points))
 	p.loads[entry.low].rate = rest
-	for _, at := range cuts {
+	for _, at := range points {
 		p.loads[at].rate = rest
 	}
 	if entry.hot[0].Hash == entry.low {
@@ -69,7 +70,7 @@
 	p.loads[entry.hot[0].Hash].rate = entry.hot[0].Rate
 }
 
-// share divides a shard's load evenly between its halves.
+// splitLoadEvenly divides a shard's load average evenly between its halves.
 func (p *Planner) share(low, middle uint64) {
 	half := p.loads[low].rate / 2
 	p.loads[low].rate = half
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,8 +1,9 @@
-// Package routing is the operator's configuration as the data path uses it:
-// which service a request goes to, how long it may take, and what it may cost.
+// Package routing holds the operator's configuration in the form that the request
+// path uses: which service a request goes to, how long it may take, and the limits
+// that apply to it.
 //
-// A Configuration is immutable. A request keeps the configuration under which
-// it was accepted until it is answered, so that old and new versions serve side
+// A Configuration is immutable. A request keeps the configuration under which it
+// was accepted until it is answered, so that old and new versions are in use side
 // by side without a lock.
 package routing
 
@@ -14,53 +15,56 @@
 	"time"
 )
 
-// Target is one service that a route sends requests to, with its weight.
+// Target is one service that a route sends requests to, with its relative weight.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// Kind says what the requests of a route are like. The zero value is the strictest: a request
-// that may run once at most.
+// Kind describes the requests of a route. The zero value is the strictest: requests
+// that may run at most once.
 type Kind struct {
 	// Idempotent requests may be executed more than once.
 	Idempotent bool
-	// LargeBody and LargeAnswer are set if requests, or answers, are far longer than usual.
+	// LargeBody and LargeAnswer are set if request bodies or response bodies are
+	// far larger than usual.
 	LargeBody, LargeAnswer bool
 }
 
-// Route says how requests below a path prefix are handled.
+// Route configures the handling of requests under a path prefix.
 type Route struct {
 	Name   string
 	Prefix string
 	Kind
-	// Timeout is the longest time to the final answer; 0 means no bound.
+	// Timeout is the maximum time to the final response; 0 means no limit.
 	Timeout time.Duration
 	// TargetLatency is the latency objective.
 	TargetLatency time.Duration
-	// Priority is the rank under overload; 0 is the most urgent.
+	// Priority ranks requests under overload; 0 is the most urgent.
 	Priority int
 	Targets  []Target
-	// MaxAttempts bounds the backend servers that one request is sent to.
+	// MaxAttempts limits the number of backend servers that one request is sent to.
 	MaxAttempts int
 }
 
-// Service is a group of interchangeable or key-owning backend servers.
+// Service is a group of backend servers that are interchangeable or own keys.
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConnections is what one server accepts from all hosts together.
+	// MaxConnections is the number of connections that one server accepts from all
+	// hosts together.
 	MaxConnections int
-	// Keyed services run a request only at the server that owns its key.
+	// Keyed is set if a request may run only at the server that owns its key.
 	Keyed bool
-	// Warmup is how long keys that arrive without a hand-over are slow.
+	// Warmup is how long requests for a key are slow at a new owner that took the
+	// key over without a handoff.
 	Warmup time.Duration
-	// ColdPerSecond is how many requests a second a cold server bears from all hosts
-	// together; 0 if it is not limited.
+	// ColdStartLimit is the number of requests per second that a cold server can
+	// handle from all hosts together; 0 means no limit.
 	ColdPerSecond float64
 }
 
-// Limits bound what callers may send.
+// Limits restrict what callers may send and how long they may take for it.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -71,25 +75,25 @@
 // Configuration is one version of the operator's configuration.
 type Configuration struct {
 	Version uint64
-	// Doubts are what could not be read and was taken for the strictest. They don't keep the
-	// rest from being in force.
+	// Warnings are errors in entries that could not be read and were replaced by
+	// the strictest setting. They do not keep the configuration from taking effect.
 	Doubts   []error
 	Hosts    map[string][]Route
 	Services map[string]Service
 	Limits   Limits
 }
 
-// InvalidError reports a configuration that cannot be put in force.
+// InvalidError is the error for a configuration that is rejected.
 type InvalidError struct {
 	Field, Value, Fix string
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *InvalidError) Error() string {
 	return fmt.Sprintf("configuration: %s = %q: %s", e.Field, e.Value, e.Fix)
 }
 
-// Check returns an *InvalidError for the first fault found.
+// Check returns an *InvalidError for the first invalid field found.
 func (c *Configuration) Check() error {
 	for name, service := range c.Services {
 		if service.ColdPerSecond < 0 {
@@ -130,8 +134,7 @@
 	return nil
 }
 
-// Match returns the route of the host with the longest prefix that begins the
-// path, or nil.
+// Match returns the route of the host with the longest prefix of the path, or nil.
 func (c *Configuration) Match(host, path string) *Route {
 	var best *Route
 	routes := c.Hosts[host]
@@ -144,7 +147,7 @@
 	return best
 }
 
-// Pick draws a service of the route in proportion to the weights.
+// PickService returns a random service of the route, in proportion to the weights.
 func (r *Route) Pick() string {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Service
@@ -163,15 +166,17 @@
 	return r.Targets[0].Service
 }
 
-// InForce holds the configuration in force. It never goes back to an older
-// version, whichever source offers it: a late answer of a slow or partitioned
-// store must not undo what requests have already been handled under.
+// ActiveConfiguration holds the configuration that is in force. It never reverts to
+// an older version, whichever source that comes from: a late response from a slow
+// or partitioned store must not undo a version that requests have already been
+// handled under.
 type InForce struct{ current atomic.Pointer[Configuration] }
 
-// Current returns the configuration in force, or nil before the first.
+// Current returns the active configuration, or nil before the first.
 func (f *InForce) Current() *Configuration { return f.current.Load() }
 
-// Offer puts a configuration in force if it is newer, and reports whether it did.
+// Update makes a configuration the active one if it is newer, and reports whether
+// it did.
 func (f *InForce) Offer(offered *Configuration) bool {
 	for {
 		current := f.current.Load()
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -26,15 +26,15 @@
 
 func TestWeights(t *testing.T) {
 	route := &configuration(1).Hosts["h"][1]
-	const draws = 20000
+	const picks = 20000
 	others := 0
-	for range draws {
+	for range picks {
 		if route.Pick() == "other" {
 			others++
 		}
 	}
-	// Ten standard deviations of a draw of 2000 in 20000 are 424.
-	assert.Assert(t, others > 1500 && others < 2500, "%d of %d went to a part of a tenth", others, draws)
+	// Ten standard deviations of the expected 2000 picks out of 20000 are 424.
+	assert.Assert(t, others > 1500 && others < 2500, "%d of %d picks went to a service with a tenth of the weight", others, picks)
 }
 
 func TestNeverBack(t *testing.T) {
@@ -47,14 +47,14 @@
 }
 
 func TestFaultsAreNamed(t *testing.T) {
-	for name, spoil := range map[string]func(*Route){
+	for name, invalidate := range map[string]func(*Route){
 		"prefix": func(r *Route) { r.Prefix = "/a" }, "targets": func(r *Route) { r.Targets = nil },
 		"service": func(r *Route) { r.Targets = []Target{{Service: "none", Weight: 1}} },
 		"weight":  func(r *Route) { r.Targets = []Target{{Service: "s"}} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := configuration(1)
-			spoil(&c.Hosts["h"][0])
+			invalidate(&c.Hosts["h"][0])
 			var invalid *InvalidError
 			assert.Assert(t, errors.As(c.Check(), &invalid))
 			assert.Equal(t, invalid.Field, "route h short "+name)
--- a/tools/mutants/path.go
+++ b/tools/mutants/path.go
@@ -1,29 +1,29 @@
 package main
 
-// pathMutants break the rules that the request path rests on.
+// pathMutants break the rules that the request path depends on.
 func pathMutants() []mutant {
 	in := func(pkg, file, name, old, fresh string) mutant {
 		return mutant{name: name, file: file, old: old, new: fresh, pkg: pkg, run: "."}
 	}
 	const dedup, gate = "dispatch/dedup.go", "dispatch/gate.go"
 	return []mutant{
-		in("dispatch", dedup, "run a re-sent request whose first attempt may be elsewhere",
+		in("dispatch", dedup, "run a retried request whose first attempt may have run elsewhere",
 			"if attempt > 1 && !d.firstWouldBeHere(wall, id) {", "if attempt > 1000 {"),
-		in("dispatch", dedup, "trust callers' clocks",
-			"return birth.After(d.covers.Add(d.policy.Skew))", "return birth.After(d.covers)"),
-		in("dispatch", dedup, "forget that memory was dropped",
+		in("dispatch", dedup, "ignore clock skew of callers",
+			"return createdAt.After(d.covers.Add(d.policy.Skew))", "return createdAt.After(d.covers)"),
+		in("dispatch", dedup, "ignore that entries were dropped",
 			"			d.covers = oldest.arrived\n", "			_ = oldest.arrived\n"),
-		in("dispatch", dedup, "keep an old memory's claim after a gap",
+		in("dispatch", dedup, "keep coverage after another router dispatched",
 			"func (d *Dedup) Uncover(now time.Time) { d.covers = now }", "func (d *Dedup) Uncover(time.Time) {}"),
-		in("dispatch", dedup, "replay a part as the whole",
+		in("dispatch", dedup, "keep reply bodies of any size",
 			"if reply.Outcome != caller.Done || len(reply.Body) <= d.policy.KeepBody {", "if len(reply.Body) >= 0 {"),
-		in("dispatch", "dispatch/history.go", "tell not run of the last attempt only",
+		in("dispatch", "dispatch/history.go", "report not run for the last attempt only",
 			"if reply.Outcome == caller.NotRun && h.mayHaveRun {", "if false {"),
 		in("dispatch", gate, "admit more than the slots",
 			"	if g.inFlight < g.slots && g.order.Len() == 0 {", "	if g.inFlight <= g.slots && g.order.Len() == 0 {"),
-		in("dispatch", gate, "queue without bound",
+		in("dispatch", gate, "queue without limit",
 			"if g.order.Len() < g.policy.Queue*g.slots {", "if g.policy.Queue > 0 {"),
-		in("dispatch", gate, "queue what cannot make its deadline",
+		in("dispatch", gate, "queue a request that cannot meet its deadline",
 			"if now+wait+g.service > waiter.Deadline || !g.makeRoom(now, waiter.Caller) {", "if !g.makeRoom(now, waiter.Caller) {"),
 		in("dispatch", "dispatch/budget.go", "retry without budget",
 			"	b.tokens--\n", ""),
@@ -42,8 +42,8 @@
 			"			running.moved = true\n			running.cancel()\n", "			running.moved = true\n"),
 		in("domain", "domain/loop.go", "date all events of a batch alike",
 			"			next.apply(l, l.c.clock.Now())\n", "			next.apply(l, l.c.clock.Now()-time.Second)\n"),
-		in("placement", "placement/placement.go", "balance what nobody waits for",
-			"	if ledger.perSlot(ledger.heaviest()) < p.policy.LeastLoad {", "	if p.policy.LeastLoad < 0 {"),
+		in("placement", "placement/placement.go", "balance load although no request waits",
+			"	if model.perSlot(model.heaviest()) < p.policy.LeastLoad {", "	if p.policy.LeastLoad < 0 {"),
 		in("placement", "placement/average.go", "act on a single sample",
 			"weight := 1 - math.Exp(-float64(now-a.at)/float64(smoothing))", "weight := 1 - math.Exp(-1000*float64(now-a.at)/float64(smoothing))"),
 		in("directory", "directory/directory.go", "take an older version",
