--- a/dispatch/dedup_test.go
+++ b/dispatch/dedup_test.go
@@ -59,27 +59,27 @@
 func TestAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.UnixMilli(1_800_000_000_000)
-		w := &dedupWorld{now: start}
-		w.routers[0] = dispatch.NewDedup(testPolicy(), start)
-		w.routers[1] = dispatch.NewDedup(testPolicy(), start)
+		s := &dedupWorld{now: start}
+		s.routers[0] = dispatch.NewDedup(testPolicy(), start)
+		s.routers[1] = dispatch.NewDedup(testPolicy(), start)
 		t.Repeat(map[string]func(*rapid.T){
-			"":          func(t *rapid.T) { w.check(t) },
-			"send":      w.send,
-			"send more": w.send,
-			"re-send":   w.resend,
-			"re-send 2": w.resend,
-			"re-send 3": w.resend,
-			"finish":    w.finish,
-			"finish 2":  w.finish,
-			"wait":      w.wait,
-			"hand over": w.handOver,
-			"restart":   w.restart,
+			"":          func(t *rapid.T) { s.check(t) },
+			"send":      s.send,
+			"send more": s.send,
+			"re-send":   s.resend,
+			"re-send 2": s.resend,
+			"re-send 3": s.resend,
+			"finish":    s.finish,
+			"finish 2":  s.finish,
+			"wait":      s.wait,
+			"hand over": s.handOver,
+			"restart":   s.restart,
 		})
 	})
 }
 
-func (w *dedupWorld) check(t *rapid.T) {
-	for _, request := range w.requests {
+func (s *dedupWorld) check(t *rapid.T) {
+	for _, request := range s.requests {
 		if request.ran > 1 {
 			t.Fatalf("request %s ran %d times", request.id, request.ran)
 		}
@@ -89,35 +89,35 @@
 	}
 }
 
-func (w *dedupWorld) send(t *rapid.T) {
+func (s *dedupWorld) send(t *rapid.T) {
 	ahead := time.Duration(rapid.IntRange(-499, 499).Draw(t, "caller's clock is ahead by ms")) * time.Millisecond
-	request := &sent{id: idAt(w.now.Add(ahead), len(w.requests))}
-	w.requests = append(w.requests, request)
-	w.attempt(request)
+	request := &sent{id: idAt(s.now.Add(ahead), len(s.requests))}
+	s.requests = append(s.requests, request)
+	s.attempt(request)
 }
 
-func (w *dedupWorld) resend(t *rapid.T) {
-	if len(w.requests) > 0 {
-		w.attempt(rapid.SampledFrom(w.requests).Draw(t, "request"))
+func (s *dedupWorld) resend(t *rapid.T) {
+	if len(s.requests) > 0 {
+		s.attempt(rapid.SampledFrom(s.requests).Draw(t, "request"))
 	}
 }
 
 // attempt delivers a copy to the router that dispatches the page. An admitted copy
 // takes effect at once; its reply comes with finish, or never.
-func (w *dedupWorld) attempt(request *sent) {
+func (s *dedupWorld) attempt(request *sent) {
 	request.attempts++
-	admission, _, _ := w.routers[w.holder].Begin(w.now, request.id, request.attempts)
+	admission, _, _ := s.routers[s.holder].Begin(s.now, request.id, request.attempts)
 	if admission == dispatch.AdmitRun {
 		request.ran++
-		request.running = append(request.running, w.holder)
+		request.running = append(request.running, s.holder)
 	}
 }
 
-func (w *dedupWorld) finish(t *rapid.T) {
-	if len(w.requests) == 0 {
+func (s *dedupWorld) finish(t *rapid.T) {
+	if len(s.requests) == 0 {
 		return
 	}
-	request := rapid.SampledFrom(w.requests).Draw(t, "request")
+	request := rapid.SampledFrom(s.requests).Draw(t, "request")
 	if len(request.running) == 0 {
 		return
 	}
@@ -131,24 +131,24 @@
 		request.ran-- // it was rejected before it took effect
 		reply = dispatch.Reply{Outcome: caller.NotRun}
 	}
-	w.routers[router].Finish(request.id, reply)
+	s.routers[router].Finish(request.id, reply)
 }
 
-func (w *dedupWorld) wait(t *rapid.T) {
-	w.now = w.now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
+func (s *dedupWorld) wait(t *rapid.T) {
+	s.now = s.now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
 }
 
 // handOver makes the other router the dispatcher, which covers only requests from
 // now on.
-func (w *dedupWorld) handOver(*rapid.T) {
-	w.holder = 1 - w.holder
-	w.routers[w.holder].Uncover(w.now)
+func (s *dedupWorld) handOver(*rapid.T) {
+	s.holder = 1 - s.holder
+	s.routers[s.holder].Uncover(s.now)
 }
 
 // restart replaces the dispatcher by one without entries.
-func (w *dedupWorld) restart(*rapid.T) {
-	w.routers[w.holder] = dispatch.NewDedup(testPolicy(), w.now)
-	for _, request := range w.requests {
+func (s *dedupWorld) restart(*rapid.T) {
+	s.routers[s.holder] = dispatch.NewDedup(testPolicy(), s.now)
+	for _, request := range s.requests {
 		request.running = nil
 	}
 }
--- a/dispatch/gate.go
+++ b/dispatch/gate.go
@@ -48,8 +48,8 @@
 
 // DefaultLimiterPolicy returns the policy that docs/design/dispatch.md evaluates.
 func DefaultGatePolicy() GatePolicy {
-	const queue = 16
-	return GatePolicy{Queue: queue, FirstService: 2 * time.Millisecond}
+	const queuePerSlot = 16
+	return GatePolicy{Queue: queuePerSlot, FirstService: 2 * time.Millisecond}
 }
 
 // ConcurrencyLimiter admits requests to one backend server: never more at a time
@@ -71,67 +71,67 @@
 
 // SetSlots changes the number of slots. Waiting requests are admitted to additional
 // slots at the next Release.
-func (g *Gate) SetSlots(slots int) { g.slots = slots }
+func (l *Gate) SetSlots(slots int) { l.slots = slots }
 
 // InFlight returns the number of requests that hold a slot.
-func (g *Gate) InFlight() int { return g.inFlight }
+func (l *Gate) InFlight() int { return l.inFlight }
 
 // Waiting returns the number of waiting requests, including cancelled ones.
-func (g *Gate) Waiting() int { return g.order.Len() }
+func (l *Gate) Waiting() int { return l.order.Len() }
 
 // MeanServiceTime returns the moving average of the time that a request holds a
 // slot.
-func (g *Gate) Service() time.Duration { return g.service }
+func (l *Gate) Service() time.Duration { return l.service }
 
 // LoadPerSlot returns the number of running and waiting requests per slot.
-func (g *Gate) Pressure() float64 {
-	return float64(g.inFlight+g.order.Len()) / float64(max(g.slots, 1))
+func (l *Gate) Pressure() float64 {
+	return float64(l.inFlight+l.order.Len()) / float64(max(l.slots, 1))
 }
 
 // EstimateWait estimates how long a request of the caller that arrives now would
 // wait for a slot.
-func (g *Gate) Wait(now time.Duration, caller string) time.Duration {
-	if g.inFlight < g.slots {
+func (l *Gate) Wait(now time.Duration, caller string) time.Duration {
+	if l.inFlight < l.slots {
 		return 0
 	}
-	ahead := time.Duration(g.order.Ahead(now, caller) + 1)
-	return g.service * ahead / time.Duration(max(g.slots, 1))
+	ahead := time.Duration(l.order.Ahead(now, caller) + 1)
+	return l.service * ahead / time.Duration(max(l.slots, 1))
 }
 
 // Enqueue requests a slot. It reports whether the waiter was admitted or queued.
 // Otherwise the expected wait exceeds the deadline or the queue is full, and
 // retryAfter is when to try again: a request that cannot complete in time is
 // rejected at once rather than at its deadline.
-func (g *Gate) Enter(now time.Duration, waiter *Waiter) (admittedOrQueued bool, retryAfter time.Duration) {
-	if g.inFlight < g.slots && g.order.Len() == 0 {
-		g.admit(waiter)
+func (l *Gate) Enter(now time.Duration, waiter *Waiter) (admittedOrQueued bool, retryAfter time.Duration) {
+	if l.inFlight < l.slots && l.order.Len() == 0 {
+		l.admit(waiter)
 		return true, 0
 	}
-	wait := g.Wait(now, waiter.Caller)
-	if now+wait+g.service > waiter.Deadline || !g.makeRoom(now, waiter.Caller) {
-		return false, max(wait, g.service)
+	wait := l.Wait(now, waiter.Caller)
+	if now+wait+l.service > waiter.Deadline || !l.makeRoom(now, waiter.Caller) {
+		return false, max(wait, l.service)
 	}
-	g.order.Push(now, waiter)
+	l.order.Push(now, waiter)
 	return true, 0
 }
 
 // makeRoom reports whether the queue has room for a waiter of the caller. If the
 // queue is full, it sheds the waiter that the order evicts, so that a burst of one
 // caller does not lock out the others.
-func (g *Gate) makeRoom(now time.Duration, caller string) bool {
-	if g.order.Len() < g.policy.Queue*g.slots {
+func (l *Gate) makeRoom(now time.Duration, caller string) bool {
+	if l.order.Len() < l.policy.Queue*l.slots {
 		return true
 	}
-	evicted := g.order.Evict(now, caller)
+	evicted := l.order.Evict(now, caller)
 	if evicted == nil {
 		return false
 	}
-	g.shed(evicted)
+	l.shed(evicted)
 	return true
 }
 
 // shed notifies a waiter that it will not be admitted.
-func (g *Gate) shed(waiter *Waiter) {
+func (l *Gate) shed(waiter *Waiter) {
 	if waiter.left {
 		return
 	}
@@ -139,15 +139,16 @@
 	close(waiter.Admitted)
 }
 
-func (g *Gate) admit(waiter *Waiter) {
-	g.inFlight++
+func (l *Gate) admit(waiter *Waiter) {
+	l.inFlight++
 	waiter.admitted = true
 	close(waiter.Admitted)
 }
 
-// Cancel removes a request from the queue. It reports whether the request already
-// had a slot, which the caller then must return with Release.
-func (g *Gate) Leave(waiter *Waiter) bool {
+// Cancel marks a waiter whose request needs no slot any more; it is skipped when
+// its turn comes. Cancel reports whether the request already had a slot, which the
+// caller must then return with Release.
+func (l *Gate) Leave(waiter *Waiter) bool {
 	waiter.left = true
 	return waiter.admitted
 }
@@ -157,34 +158,34 @@
 
 // Release returns a slot after it was held for the given time, and admits the next
 // waiter.
-func (g *Gate) Exit(now, held time.Duration) {
-	g.inFlight--
-	g.service += time.Duration(serviceWeight * float64(held-g.service))
-	g.fill(now)
+func (l *Gate) Exit(now, held time.Duration) {
+	l.inFlight--
+	l.service += time.Duration(serviceWeight * float64(held-l.service))
+	l.fill(now)
 }
 
 // admitWaiting admits waiters to free slots. Those that can no longer complete
 // within their deadline are shed at once, so that they take no slot.
-func (g *Gate) fill(now time.Duration) {
-	for g.inFlight < g.slots {
-		waiter := g.order.Pop(now)
+func (l *Gate) fill(now time.Duration) {
+	for l.inFlight < l.slots {
+		waiter := l.order.Pop(now)
 		if waiter == nil {
 			return
 		}
 		if waiter.left {
 			continue
 		}
-		if now+g.service > waiter.Deadline {
-			g.shed(waiter)
+		if now+l.service > waiter.Deadline {
+			l.shed(waiter)
 			continue
 		}
-		g.admit(waiter)
+		l.admit(waiter)
 	}
 }
 
 // ShedAll sheds all waiting requests, for a server that no longer owns their keys.
-func (g *Gate) Expel(now time.Duration) {
-	for waiter := g.order.Pop(now); waiter != nil; waiter = g.order.Pop(now) {
-		g.shed(waiter)
+func (l *Gate) Expel(now time.Duration) {
+	for waiter := l.order.Pop(now); waiter != nil; waiter = l.order.Pop(now) {
+		l.shed(waiter)
 	}
 }
--- a/ownership/collection.go
+++ b/ownership/collection.go
@@ -79,7 +79,7 @@
 	if !wanted {
 		return
 	}
-	if _, twice := promises.lapsedAt[host]; twice {
+	if _, duplicate := promises.lapsedAt[host]; duplicate {
 		return
 	}
 	promises.lapsedAt[host] = now + m.terms.Guard(promise.Remaining)
@@ -120,9 +120,9 @@
 	m.countPromises(now, promises)
 }
 
-func (c *collection) promised() map[string]bool {
+func (s *collection) promised() map[string]bool {
 	hosts := map[string]bool{}
-	for host := range c.lapsedAt {
+	for host := range s.lapsedAt {
 		hosts[host] = true
 	}
 	return hosts
--- a/ownership/faults_test.go
+++ b/ownership/faults_test.go
@@ -15,16 +15,16 @@
 
 // deliverIf delivers the messages that match, and those sent in response if they
 // match too.
-func (w *world) deliverIf(match func(m message) bool) {
+func (s *world) deliverIf(match func(m message) bool) {
 	for range 6 {
-		batch := w.messages
-		w.messages = nil
+		batch := s.messages
+		s.messages = nil
 		for _, m := range batch {
 			if match(m) {
-				w.deliver(m)
+				s.deliver(m)
 				continue
 			}
-			w.messages = append(w.messages, m)
+			s.messages = append(s.messages, m)
 		}
 	}
 }
@@ -32,39 +32,39 @@
 func everything(message) bool { return true }
 
 // runTicks runs the whole system for some ticks of 10 ms.
-func (w *world) runTicks(t testingT, ticks int) {
+func (s *world) runTicks(t testingT, ticks int) {
 	for range ticks {
-		for _, name := range w.controllerNames() {
-			c := w.controllers[name]
+		for _, name := range s.controllerNames() {
+			c := s.controllers[name]
 			if c.paused {
 				continue
 			}
-			w.read(c)
-			actions{w}.tickOne(c)
+			s.read(c)
+			actions{s}.tickOne(c)
 		}
-		w.deliverIf(func(m message) bool { return !w.paused(m.to) })
-		w.time += 10 * time.Millisecond
-		w.check(t)
+		s.deliverIf(func(m message) bool { return !s.paused(m.to) })
+		s.time += 10 * time.Millisecond
+		s.check(t)
 	}
 }
 
 func settledWorld(t *testing.T, bounded, unchecked bool) *world {
-	w := plainWorld(bounded, unchecked)
-	for _, name := range w.controllerNames() {
-		w.read(w.controllers[name])
+	s := plainWorld(bounded, unchecked)
+	for _, name := range s.controllerNames() {
+		s.read(s.controllers[name])
 	}
-	w.runTicks(t, 20)
-	assert.Assert(t, w.page.Shards[0].Grantable())
-	return w
+	s.runTicks(t, 20)
+	assert.Assert(t, s.page.Shards[0].Grantable())
+	return s
 }
 
-func (w *world) move(c *controller, next string) {
-	c.machine.Propose(c.now(w), ownership.Proposal{Releases: []ownership.Release{{Low: 0, Next: next}}})
-	w.carryOut(c)
+func (s *world) move(c *controller, next string) {
+	c.machine.Propose(c.now(s), ownership.Proposal{Releases: []ownership.Release{{Low: 0, Next: next}}})
+	s.carryOut(c)
 }
 
-func (w *world) otherServer() string {
-	if w.page.Shards[0].Owner == "s1" {
+func (s *world) otherServer() string {
+	if s.page.Shards[0].Owner == "s1" {
 		return "s2"
 	}
 	return "s1"
@@ -157,29 +157,29 @@
 // controller without contact to the store may ask it to agree to that generation.
 // So the new process must abstain until it has read the store.
 func TestReplacedVoterAbstains(t *testing.T) {
-	w := settledWorld(t, false, false)
-	c1, c2, c3 := w.controllers["c1"], w.controllers["c2"], w.controllers["c3"]
-	w.messages = nil
-	w.cut[[2]string{"c3", storeName}] = true
-	w.cut[[2]string{storeName, "c3"}] = true
-	w.cut[[2]string{"c1", "c3"}] = true
-	w.cut[[2]string{"c3", "c1"}] = true
-	w.move(c1, w.otherServer())
+	s := settledWorld(t, false, false)
+	c1, c2, c3 := s.controllers["c1"], s.controllers["c2"], s.controllers["c3"]
+	s.messages = nil
+	s.cut[[2]string{"c3", storeName}] = true
+	s.cut[[2]string{storeName, "c3"}] = true
+	s.cut[[2]string{"c1", "c3"}] = true
+	s.cut[[2]string{"c3", "c1"}] = true
+	s.move(c1, s.otherServer())
 	for range 3 {
-		actions{w}.tickOne(c1)
-		w.deliverIf(func(m message) bool { return m.from != "c3" && m.to != "c3" })
-		w.time += 5 * time.Millisecond
+		actions{s}.tickOne(c1)
+		s.deliverIf(func(m message) bool { return m.from != "c3" && m.to != "c3" })
+		s.time += 5 * time.Millisecond
 	}
-	w.startController(c2)
-	w.storeDown = true
+	s.startController(c2)
+	s.storeDown = true
 	for range 30 {
-		actions{w}.tickOne(c3)
-		actions{w}.tickOne(c1)
-		w.deliverIf(everything)
-		w.time += 10 * time.Millisecond
-		w.check(t)
+		actions{s}.tickOne(c3)
+		actions{s}.tickOne(c1)
+		s.deliverIf(everything)
+		s.time += 10 * time.Millisecond
+		s.check(t)
 	}
-	answer := c2.voter.Agree(c2.now(w), ownership.Ask{Page: testPage, Generation: c3.machine.Page().Generation})
+	answer := c2.voter.Agree(c2.now(s), ownership.Ask{Page: testPage, Generation: c3.machine.Page().Generation})
 	assert.Equal(t, answer.Verdict, ownership.Abstains)
 }
 
@@ -238,19 +238,19 @@
 // tokens must not get a new owner before an operator declares it lost, even when
 // all leases have expired and all request deadlines have passed.
 func TestUncheckedServerWaitsForOperator(t *testing.T) {
-	w := settledWorld(t, false, true)
-	old := w.holders[w.page.Shards[0].Owner]
-	for _, c := range w.controllers {
+	s := settledWorld(t, false, true)
+	old := s.holders[s.page.Shards[0].Owner]
+	for _, c := range s.controllers {
 		c.view.WaitForOperator = true
 	}
 	old.paused = true
-	w.move(w.controllers["c1"], w.otherServer())
-	w.runTicks(t, 100)
-	assert.Assert(t, w.page.Shards[0].Releasing())
-	for _, c := range w.controllers {
+	s.move(s.controllers["c1"], s.otherServer())
+	s.runTicks(t, 100)
+	assert.Assert(t, s.page.Shards[0].Releasing())
+	for _, c := range s.controllers {
 		c.view.LostServers = []string{old.name}
 	}
-	w.runTicks(t, 10)
-	assert.Assert(t, w.page.Shards[0].Grantable())
-	assert.Assert(t, w.page.Shards[0].Owner != old.name)
+	s.runTicks(t, 10)
+	assert.Assert(t, s.page.Shards[0].Grantable())
+	assert.Assert(t, s.page.Shards[0].Owner != old.name)
 }
--- a/ownership/fuzz_test.go
+++ b/ownership/fuzz_test.go
@@ -33,12 +33,12 @@
 // checkRandomActions takes random actions in a new simulation and checks the
 // invariants.
 func explore(t *rapid.T, unchecked bool) {
-	w := drawnWorld(t, unchecked)
-	for _, name := range w.controllerNames() {
-		w.read(w.controllers[name])
+	s := drawnWorld(t, unchecked)
+	for _, name := range s.controllerNames() {
+		s.read(s.controllers[name])
 	}
-	w.settle(t)
-	a := actions{w}
+	s.settle(t)
+	a := actions{s}
 	t.Repeat(weighted(map[string]weightedAction{
 		"work":           {a.work, 6},
 		"tick":           {a.tick, 1},
@@ -73,7 +73,7 @@
 		"fail over":      {a.failOver, 2},
 		"switch router":  {a.switchRouter, 2},
 		"cut off domain": {a.cutOffDomain, 1},
-	}, func(t *rapid.T) { w.check(t) }))
+	}, func(t *rapid.T) { s.check(t) }))
 }
 
 // weightedAction is an action that is chosen weight times as often as one of weight
@@ -98,8 +98,8 @@
 type actions struct{ w *world }
 
 // settle runs the system without faults for a few ticks.
-func (w *world) settle(t *rapid.T) {
-	a := actions{w}
+func (s *world) settle(t *rapid.T) {
+	a := actions{s}
 	for range 4 {
 		a.work(t)
 	}
@@ -119,10 +119,10 @@
 	}
 }
 
-func (w *world) controllerNames() []string {
+func (s *world) controllerNames() []string {
 	names := []string{}
-	for _, name := range w.processNames() {
-		if _, ok := w.controllers[name]; ok {
+	for _, name := range s.processNames() {
+		if _, ok := s.controllers[name]; ok {
 			names = append(names, name)
 		}
 	}
@@ -316,11 +316,11 @@
 	}
 }
 
-func (w *world) setPaused(name string, paused bool) {
-	if c, ok := w.controllers[name]; ok {
+func (s *world) setPaused(name string, paused bool) {
+	if c, ok := s.controllers[name]; ok {
 		c.paused = paused
 	}
-	if h, ok := w.holders[name]; ok {
+	if h, ok := s.holders[name]; ok {
 		h.paused = paused
 	}
 }
@@ -385,8 +385,8 @@
 }
 
 // namesOf lists the controllers of a failure domain.
-func (w *world) namesOf(domain string) []string {
-	return slices.DeleteFunc(w.controllerNames(), func(name string) bool {
+func (s *world) namesOf(domain string) []string {
+	return slices.DeleteFunc(s.controllerNames(), func(name string) bool {
 		return slices.Contains(heirNames, name) != (domain == "b")
 	})
 }
--- a/ownership/voter.go
+++ b/ownership/voter.go
@@ -122,33 +122,33 @@
 
 // Agree decides on a renewal request. After Agreed, the voter counts a lease on the
 // generation as valid until SafeWait(LeaseDuration) from now.
-func (v *Voter) Agree(now time.Duration, ask Ask) Answer {
-	vote := v.vote(ask.Page)
-	if verdict := v.refusal(now, vote, ask); verdict != 0 {
+func (v *Voter) Agree(now time.Duration, request Ask) Answer {
+	vote := v.vote(request.Page)
+	if verdict := v.refusal(now, vote, request); verdict != 0 {
 		return Answer{Verdict: verdict, Known: vote.known}
 	}
-	if busy, ok := v.dispatcherBusy(now, vote, ask); !ok {
+	if busy, ok := v.dispatcherBusy(now, vote, request); !ok {
 		return Answer{Verdict: DispatcherBusy, Known: vote.known, Dispatcher: vote.dispatcher, BusyFor: busy}
 	}
 	until := now + v.terms.Guard(v.terms.Lease)
-	vote.agree(now, ask.Generation, until)
-	if ask.Dispatcher != "" {
-		vote.dispatcher = ask.Dispatcher
-		vote.dispatcherRun = ask.Run
+	vote.agree(now, request.Generation, until)
+	if request.Dispatcher != "" {
+		vote.dispatcher = request.Dispatcher
+		vote.dispatcherRun = request.Run
 		vote.dispatchUntil = until
 	}
 	return Answer{Verdict: Agreed, Known: vote.known, Dispatcher: vote.dispatcher}
 }
 
-func (v *Voter) refusal(now time.Duration, vote *vote, ask Ask) Verdict {
+func (v *Voter) refusal(now time.Duration, vote *vote, request Ask) Verdict {
 	switch {
 	case !v.established:
 		return Abstains
-	case ask.Bounded && now > v.storeContact+v.terms.StoreAway:
+	case request.Bounded && now > v.storeContact+v.terms.StoreAway:
 		return Abstains
-	case ask.Generation <= vote.stopped:
+	case request.Generation <= vote.stopped:
 		return Stopped
-	case ask.Generation < vote.known:
+	case request.Generation < vote.known:
 		return Newer
 	}
 	return 0
@@ -158,14 +158,14 @@
 // and whether the requested one may start. If two routers dispatched one page, each
 // could run a copy of the same request. Any two majorities share a voter that
 // remembers the current dispatcher, which prevents this.
-func (v *Voter) dispatcherBusy(now time.Duration, vote *vote, ask Ask) (time.Duration, bool) {
-	if ask.Dispatcher == "" {
+func (v *Voter) dispatcherBusy(now time.Duration, vote *vote, request Ask) (time.Duration, bool) {
+	if request.Dispatcher == "" {
 		return 0, true
 	}
-	if vote.dispatcher == ask.Dispatcher {
+	if vote.dispatcher == request.Dispatcher {
 		return 0, true
 	}
-	if vote.dispatcher != "" && vote.dispatcher == ask.Released && vote.dispatcherRun == ask.ReleasedRun {
+	if vote.dispatcher != "" && vote.dispatcher == request.Released && vote.dispatcherRun == request.ReleasedRun {
 		return 0, true
 	}
 	busyUntil := max(vote.dispatchUntil, v.freshUntil)
--- a/ownership/world_test.go
+++ b/ownership/world_test.go
@@ -36,8 +36,8 @@
 	run    int
 }
 
-func (p *process) now(world *world) time.Duration {
-	return p.offset + time.Duration(float64(world.time)*p.rate)
+func (p *process) now(s *world) time.Duration {
+	return p.offset + time.Duration(float64(s.time)*p.rate)
 }
 
 type controller struct {
@@ -131,7 +131,7 @@
 		rate, offset := clock(name)
 		return process{name: name, rate: rate, offset: offset}
 	}
-	w := &world{
+	s := &world{
 		controllers: map[string]*controller{},
 		holders:     map[string]*holder{},
 		cut:         map[[2]string]bool{},
@@ -141,127 +141,127 @@
 		time:        time.Hour,
 	}
 	for _, name := range heirNames {
-		w.controllers[name] = &controller{process: newProcess(name)}
+		s.controllers[name] = &controller{process: newProcess(name)}
 	}
 	for i := range size + 1 {
 		name := fmt.Sprintf("c%d", i+1)
 		if i < size {
-			w.group = append(w.group, name)
+			s.group = append(s.group, name)
 		}
-		w.controllers[name] = &controller{process: newProcess(name)}
+		s.controllers[name] = &controller{process: newProcess(name)}
 	}
-	w.page = record.Page{
+	s.page = record.Page{
 		Name: testPage, Service: "split", Home: "a", Low: 0, High: pageHigh, Generation: 1,
-		Group: slices.Clone(w.group), GroupSince: 1, Attempt: "first",
+		Group: slices.Clone(s.group), GroupSince: 1, Attempt: "first",
 		Bounded: bounded,
 		Shards: []record.Shard{
 			{Low: 0, State: record.ShardReleasing},
 			{Low: 50, State: record.ShardReleasing},
 		},
 	}
-	w.history = []record.Page{w.page}
-	w.version = 1
-	for _, name := range w.controllerNames() {
-		w.startController(w.controllers[name])
+	s.history = []record.Page{s.page}
+	s.version = 1
+	for _, name := range s.controllerNames() {
+		s.startController(s.controllers[name])
 	}
 	for _, name := range serverNames {
-		w.holders[name] = &holder{process: newProcess(name), kind: ownership.BackendServer}
+		s.holders[name] = &holder{process: newProcess(name), kind: ownership.BackendServer}
 	}
 	for _, name := range routerNames {
-		w.holders[name] = &holder{process: newProcess(name), kind: ownership.Router}
+		s.holders[name] = &holder{process: newProcess(name), kind: ownership.Router}
 	}
 	for _, name := range append(slices.Clone(serverNames), routerNames...) {
-		w.startHolder(w.holders[name])
+		s.startHolder(s.holders[name])
 	}
-	return w
+	return s
 }
 
-func (w *world) startController(c *controller) {
-	w.known[c.name] = 0
+func (s *world) startController(c *controller) {
+	s.known[c.name] = 0
 	c.run++
 	c.paused = false
 	c.reading = false
-	c.voter = ownership.NewVoter(testTerms(), c.now(w))
-	c.machine = ownership.NewMachine(testTerms(), w.newAttempt)
-	c.view = w.defaultView()
+	c.voter = ownership.NewVoter(testTerms(), c.now(s))
+	c.machine = ownership.NewMachine(testTerms(), s.newAttempt)
+	c.view = s.defaultView()
 }
 
-func (w *world) defaultView() ownership.View {
+func (s *world) defaultView() ownership.View {
 	return ownership.View{
 		Active:     true,
 		Servers:    serverNames,
 		Eligible:   serverNames,
 		Dispatcher: routerNames[0],
-		Unchecked:  w.unchecked,
+		Unchecked:  s.unchecked,
 		DrainWait:  150 * time.Millisecond,
-		LostHosts:  w.lostHosts,
+		LostHosts:  s.lostHosts,
 	}
 }
 
-func (w *world) newAttempt() string {
-	w.attempts++
-	return fmt.Sprint("attempt ", w.attempts)
+func (s *world) newAttempt() string {
+	s.attempts++
+	return fmt.Sprint("attempt ", s.attempts)
 }
 
-func (w *world) startHolder(h *holder) {
-	w.incarnation++
+func (s *world) startHolder(h *holder) {
+	s.incarnation++
 	h.run++
 	h.paused = false
 	h.leaving = false
 	h.busy = nil
-	h.holder = ownership.NewHolder(w.incarnation)
+	h.holder = ownership.NewHolder(s.incarnation)
 }
 
 // send sends a message, unless the link is cut.
-func (w *world) send(from, to string, deliver func()) {
-	if w.cut[[2]string{from, to}] {
+func (s *world) send(from, to string, deliver func()) {
+	if s.cut[[2]string{from, to}] {
 		return
 	}
-	w.messages = append(w.messages, message{from: from, to: to, sentAt: w.time, deliver: deliver})
+	s.messages = append(s.messages, message{from: from, to: to, sentAt: s.time, deliver: deliver})
 }
 
 // reply sends a reply to the run of the process that sent the request, unless the
 // link is cut.
-func (w *world) reply(from string, to *process, run int, deliver func()) {
-	if w.cut[[2]string{from, to.name}] {
+func (s *world) reply(from string, to *process, run int, deliver func()) {
+	if s.cut[[2]string{from, to.name}] {
 		return
 	}
-	w.messages = append(w.messages, message{from: from, to: to.name, runOf: to, run: run, sentAt: w.time, deliver: deliver})
+	s.messages = append(s.messages, message{from: from, to: to.name, runOf: to, run: run, sentAt: s.time, deliver: deliver})
 }
 
 // deliver delivers one message, unless it is a reply to an earlier run of its
 // receiver.
-func (w *world) deliver(m message) {
+func (s *world) deliver(m message) {
 	if m.runOf != nil && m.runOf.run != m.run {
 		return
 	}
 	m.deliver()
 }
 
-func (w *world) paused(name string) bool {
-	if c, ok := w.controllers[name]; ok {
+func (s *world) paused(name string) bool {
+	if c, ok := s.controllers[name]; ok {
 		return c.paused
 	}
-	if h, ok := w.holders[name]; ok {
+	if h, ok := s.holders[name]; ok {
 		return h.paused
 	}
 	return false
 }
 
 // perform performs the pending work of a controller's state machine.
-func (w *world) carryOut(c *controller) {
+func (s *world) carryOut(c *controller) {
 	for {
 		ready := c.machine.Ready()
-		w.carryAsks(c, ready.Asks)
-		w.carryStops(c, ready.Stops)
+		s.carryAsks(c, ready.Asks)
+		s.carryStops(c, ready.Stops)
 		for _, grant := range ready.Grants {
-			w.carryGrant(c, grant)
+			s.carryGrant(c, grant)
 		}
 		if ready.Write != nil {
-			w.carryWrite(c, *ready.Write)
+			s.carryWrite(c, *ready.Write)
 		}
 		if ready.Reread {
-			w.read(c)
+			s.read(c)
 		}
 		if len(ready.Asks)+len(ready.Stops)+len(ready.Grants) == 0 {
 			return
@@ -269,197 +269,197 @@
 	}
 }
 
-func (w *world) carryAsks(c *controller, asks []ownership.AskOut) {
+func (s *world) carryAsks(c *controller, asks []ownership.AskOut) {
 	run := c.run
 	for _, ask := range asks {
 		for _, host := range ask.Hosts {
-			peer := w.controllers[host]
+			peer := s.controllers[host]
 			if host == c.name {
-				c.machine.Answer(c.now(w), ask.Round, host, c.voter.Agree(c.now(w), ask.Ask))
+				c.machine.Answer(c.now(s), ask.Round, host, c.voter.Agree(c.now(s), ask.Ask))
 				continue
 			}
-			w.send(c.name, host, func() {
-				if w.controllers[host] == nil {
+			s.send(c.name, host, func() {
+				if s.controllers[host] == nil {
 					return // declared lost
 				}
-				answer := peer.voter.Agree(peer.now(w), ask.Ask)
-				w.reply(host, &c.process, run, func() {
-					c.machine.Answer(c.now(w), ask.Round, host, answer)
-					w.carryOut(c)
+				answer := peer.voter.Agree(peer.now(s), ask.Ask)
+				s.reply(host, &c.process, run, func() {
+					c.machine.Answer(c.now(s), ask.Round, host, answer)
+					s.carryOut(c)
 				})
 			})
 		}
 	}
 }
 
-func (w *world) carryStops(c *controller, stops []ownership.StopOut) {
+func (s *world) carryStops(c *controller, stops []ownership.StopOut) {
 	run := c.run
 	for _, stop := range stops {
 		for _, host := range stop.Hosts {
-			peer := w.controllers[host]
+			peer := s.controllers[host]
 			if host == c.name {
-				c.machine.Promised(c.now(w), stop.Generation, host, c.voter.Stop(c.now(w), stop.Page, stop.Generation))
+				c.machine.Promised(c.now(s), stop.Generation, host, c.voter.Stop(c.now(s), stop.Page, stop.Generation))
 				continue
 			}
-			w.send(c.name, host, func() {
-				if w.controllers[host] == nil {
+			s.send(c.name, host, func() {
+				if s.controllers[host] == nil {
 					return // declared lost
 				}
-				promise := peer.voter.Stop(peer.now(w), stop.Page, stop.Generation)
-				w.reply(host, &c.process, run, func() {
-					c.machine.Promised(c.now(w), stop.Generation, host, promise)
-					w.carryOut(c)
+				promise := peer.voter.Stop(peer.now(s), stop.Page, stop.Generation)
+				s.reply(host, &c.process, run, func() {
+					c.machine.Promised(c.now(s), stop.Generation, host, promise)
+					s.carryOut(c)
 				})
 			})
 		}
 	}
 }
 
-func (w *world) carryGrant(c *controller, out ownership.GrantOut) {
+func (s *world) carryGrant(c *controller, out ownership.GrantOut) {
 	run := c.run
-	h := w.holders[out.Holder.Name]
-	w.send(c.name, h.name, func() {
+	h := s.holders[out.Holder.Name]
+	s.send(c.name, h.name, func() {
 		if out.Grant != nil && !h.leaving {
 			_ = h.holder.Accept(*out.Grant)
 		}
 		ack := ownership.HolderAck{
 			SentAt:      out.SentAt,
-			Stamp:       h.now(w),
+			Stamp:       h.now(s),
 			Incarnation: h.holder.Incarnation(),
 			Generation:  h.holder.Generation(out.Page),
 			Leaving:     h.leaving,
-			Busy:        w.busyOf(h),
+			Busy:        s.busyOf(h),
 		}
-		w.reply(h.name, &c.process, run, func() {
-			c.machine.Ack(c.now(w), out.Holder, ack)
-			w.carryOut(c)
+		s.reply(h.name, &c.process, run, func() {
+			c.machine.Ack(c.now(s), out.Holder, ack)
+			s.carryOut(c)
 		})
 	})
 }
 
 // busyHashes lists the hashes of requests that a server still runs without holding
 // a lease on them.
-func (w *world) busyOf(h *holder) []uint64 {
+func (s *world) busyOf(h *holder) []uint64 {
 	var busy []uint64
 	for _, hash := range h.busy {
-		if _, held := h.holder.HeldAt(h.now(w), testPage, hash); !held {
+		if _, held := h.holder.HeldAt(h.now(s), testPage, hash); !held {
 			busy = append(busy, hash)
 		}
 	}
 	return busy
 }
 
-func (w *world) carryWrite(c *controller, page record.Page) {
+func (s *world) carryWrite(c *controller, page record.Page) {
 	run := c.run
-	w.send(c.name, storeName, func() {
-		if w.storeDown {
+	s.send(c.name, storeName, func() {
+		if s.storeDown {
 			return
 		}
 		result := ownership.WriteConflict
-		if w.page.Generation == page.Generation-1 {
-			w.commit(page)
+		if s.page.Generation == page.Generation-1 {
+			s.commit(page)
 			result = ownership.WriteDone
 		}
-		w.reply(storeName, &c.process, run, func() {
-			c.machine.WriteResult(c.now(w), page.Attempt, result)
+		s.reply(storeName, &c.process, run, func() {
+			c.machine.WriteResult(c.now(s), page.Attempt, result)
 			if result == ownership.WriteDone {
 				c.voter.Learn(page.Name, page.Generation)
 			}
-			w.carryOut(c)
+			s.carryOut(c)
 		})
 	})
 }
 
 // commit stores a generation and checks that no hash changed its owner or token
 // without being released before.
-func (w *world) commit(page record.Page) {
+func (s *world) commit(page record.Page) {
 	for hash := uint64(0); hash <= pageHigh; hash += 5 {
-		before := w.page.Shards[w.page.ShardAt(hash)]
+		before := s.page.Shards[s.page.ShardAt(hash)]
 		after := page.Shards[page.ShardAt(hash)]
 		if before.Grantable() && after.Grantable() && (before.Owner != after.Owner || before.Token != after.Token) {
-			w.problem = fmt.Sprintf("hash %d moved from %s to %s without being released", hash, before.Owner, after.Owner)
+			s.problem = fmt.Sprintf("hash %d moved from %s to %s without being released", hash, before.Owner, after.Owner)
 		}
 	}
-	w.page = page
-	w.version++
-	w.history = append(w.history, page)
+	s.page = page
+	s.version++
+	s.history = append(s.history, page)
 }
 
 // read makes a controller read the store.
-func (w *world) read(c *controller) {
+func (s *world) read(c *controller) {
 	run := c.run
-	began := c.now(w)
-	w.send(c.name, storeName, func() {
-		if w.storeDown {
+	began := c.now(s)
+	s.send(c.name, storeName, func() {
+		if s.storeDown {
 			return
 		}
-		page := w.page
-		w.reply(storeName, &c.process, run, func() {
+		page := s.page
+		s.reply(storeName, &c.process, run, func() {
 			c.voter.Learn(page.Name, page.Generation)
 			c.voter.StoreRead(began)
-			c.machine.Learn(c.now(w), page)
-			w.carryOut(c)
+			c.machine.Learn(c.now(s), page)
+			s.carryOut(c)
 		})
 	})
 }
 
 // relay makes a controller learn a page from a peer, as happens through routers'
 // feeds.
-func (w *world) relay(from, to *controller) {
+func (s *world) relay(from, to *controller) {
 	page := from.machine.Page()
 	if page.Generation == 0 {
 		return
 	}
-	w.send(from.name, to.name, func() {
+	s.send(from.name, to.name, func() {
 		to.voter.Learn(page.Name, page.Generation)
-		to.machine.Learn(to.now(w), page)
-		w.carryOut(to)
+		to.machine.Learn(to.now(s), page)
+		s.carryOut(to)
 	})
 }
 
 // request sends a request from a router that holds a valid lease by its own clock.
-func (w *world) request(router *holder, hash uint64) {
-	now := router.now(w)
+func (s *world) request(router *holder, hash uint64) {
+	now := router.now(s)
 	if now >= router.holder.Expiry(testPage) || router.leaving {
 		return
 	}
 	generation := router.holder.Generation(testPage)
-	page := w.history[generation-1]
+	page := s.history[generation-1]
 	shard := page.Shards[page.ShardAt(hash)]
 	if !shard.Grantable() {
 		return
 	}
-	server := w.holders[shard.Owner]
-	sentAt := w.time
-	w.send(router.name, server.name, func() { w.accept(server, hash, shard.Token, sentAt) })
+	server := s.holders[shard.Owner]
+	sentAt := s.time
+	s.send(router.name, server.name, func() { s.accept(server, hash, shard.Token, sentAt) })
 }
 
 // accept delivers a request to a server, which runs it at once if it may.
-func (w *world) accept(server *holder, hash, token uint64, sentAt time.Duration) {
-	if w.unchecked {
+func (s *world) accept(server *holder, hash, token uint64, sentAt time.Duration) {
+	if s.unchecked {
 		// Servers that do not check tokens must honour deadlines. A request in
 		// transit for longer is the documented residual risk.
-		if w.time-sentAt < w.defaultView().DrainWait {
-			w.run(server, hash, token)
+		if s.time-sentAt < s.defaultView().DrainWait {
+			s.run(server, hash, token)
 		}
 		return
 	}
-	if server.holder.Holds(server.now(w), testPage, hash, token) {
-		w.run(server, hash, token)
+	if server.holder.Holds(server.now(s), testPage, hash, token) {
+		s.run(server, hash, token)
 	}
 }
 
-func (w *world) run(server *holder, hash, token uint64) {
-	before := w.effects[hash]
+func (s *world) run(server *holder, hash, token uint64) {
+	before := s.effects[hash]
 	if token < before.token || token == before.token && server.name != before.server {
-		w.problem = fmt.Sprintf("hash %d ran at %s under token %d after %s under token %d",
+		s.problem = fmt.Sprintf("hash %d ran at %s under token %d after %s under token %d",
 			hash, server.name, token, before.server, before.token)
 	}
-	w.effects[hash] = effect{server: server.name, token: token}
+	s.effects[hash] = effect{server: server.name, token: token}
 }
 
-func (w *world) processNames() []string {
-	names := slices.Sorted(maps.Keys(w.controllers))
+func (s *world) processNames() []string {
+	names := slices.Sorted(maps.Keys(s.controllers))
 	names = append(names, serverNames...)
 	names = append(names, routerNames...)
 	return append(names, storeName)
--- a/placement/ledger.go
+++ b/placement/ledger.go
@@ -28,21 +28,21 @@
 }
 
 func (p *Planner) newLedger(input World) *ledger {
-	l := &ledger{
+	m := &ledger{
 		servers: input.Servers,
 		slots:   map[string]float64{},
 		load:    map[string]float64{},
 		count:   map[string]int{},
 	}
 	for _, server := range input.Servers {
-		l.slots[server.Name] = float64(server.Slots)
-		l.load[server.Name] = 0
-		l.count[server.Name] = 0
+		m.slots[server.Name] = float64(server.Slots)
+		m.load[server.Name] = 0
+		m.count[server.Name] = 0
 	}
 	for _, shard := range input.Page.Shards {
-		l.enter(p.itemOf(shard), shard)
+		m.enter(p.itemOf(shard), shard)
 	}
-	return l
+	return m
 }
 
 func (p *Planner) itemOf(shard record.Shard) item {
@@ -54,32 +54,32 @@
 	return entry
 }
 
-func (l *ledger) enter(entry item, shard record.Shard) {
+func (m *ledger) enter(entry item, shard record.Shard) {
 	if shard.Releasing() {
-		l.releasing++
-		if _, eligible := l.slots[shard.Next]; eligible {
-			l.load[shard.Next] += entry.rate
-			l.count[shard.Next]++
+		m.releasing++
+		if _, eligible := m.slots[shard.Next]; eligible {
+			m.load[shard.Next] += entry.rate
+			m.count[shard.Next]++
 		}
 		return
 	}
-	if _, eligible := l.slots[entry.owner]; !eligible {
-		l.stranded = append(l.stranded, entry)
+	if _, eligible := m.slots[entry.owner]; !eligible {
+		m.stranded = append(m.stranded, entry)
 		return
 	}
-	l.load[entry.owner] += entry.rate
-	l.count[entry.owner]++
-	l.items = append(l.items, entry)
+	m.load[entry.owner] += entry.rate
+	m.count[entry.owner]++
+	m.items = append(m.items, entry)
 }
 
 // evacuate moves every shard whose owner is no longer eligible.
-func (l *ledger) evacuate() []Move {
-	slices.SortFunc(l.stranded, func(a, b item) int { return cmp.Compare(b.rate, a.rate) })
+func (m *ledger) evacuate() []Move {
+	slices.SortFunc(m.stranded, func(a, b item) int { return cmp.Compare(b.rate, a.rate) })
 	var moves []Move
-	for _, entry := range l.stranded {
-		to := l.lightest()
-		l.load[to] += entry.rate
-		l.count[to]++
+	for _, entry := range m.stranded {
+		to := m.lightest()
+		m.load[to] += entry.rate
+		m.count[to]++
 		moves = append(moves, Move{Low: entry.low, To: to})
 	}
 	return moves
@@ -87,20 +87,20 @@
 
 // leastUtilized returns the server with the least load per slot and, among equals,
 // the one with the fewest shards per slot.
-func (l *ledger) lightest() string {
-	best := l.servers[0]
-	for _, server := range l.servers[1:] {
-		if l.compare(server.Name, best.Name) < 0 {
+func (m *ledger) lightest() string {
+	best := m.servers[0]
+	for _, server := range m.servers[1:] {
+		if m.compare(server.Name, best.Name) < 0 {
 			best = server
 		}
 	}
 	return best.Name
 }
 
-func (l *ledger) heaviest() string {
-	worst := l.servers[0]
-	for _, server := range l.servers[1:] {
-		if l.compare(server.Name, worst.Name) > 0 {
+func (m *ledger) heaviest() string {
+	worst := m.servers[0]
+	for _, server := range m.servers[1:] {
+		if m.compare(server.Name, worst.Name) > 0 {
 			worst = server
 		}
 	}
@@ -108,35 +108,35 @@
 }
 
 // compare orders servers by load per slot, then by shards per slot, then by name.
-func (l *ledger) compare(a, b string) int {
-	if c := cmp.Compare(l.perSlot(a), l.perSlot(b)); c != 0 {
+func (m *ledger) compare(a, b string) int {
+	if c := cmp.Compare(m.perSlot(a), m.perSlot(b)); c != 0 {
 		return c
 	}
-	if c := cmp.Compare(float64(l.count[a])/l.slots[a], float64(l.count[b])/l.slots[b]); c != 0 {
+	if c := cmp.Compare(float64(m.count[a])/m.slots[a], float64(m.count[b])/m.slots[b]); c != 0 {
 		return c
 	}
 	return cmp.Compare(a, b)
 }
 
-func (l *ledger) perSlot(name string) float64 { return l.load[name] / l.slots[name] }
+func (m *ledger) perSlot(name string) float64 { return m.load[name] / m.slots[name] }
 
 // meanUtilization returns the load per slot if the load were spread evenly.
-func (l *ledger) meanPerSlot() float64 {
+func (m *ledger) meanPerSlot() float64 {
 	total, slots := 0.0, 0.0
-	for _, server := range l.servers {
-		total += l.load[server.Name]
-		slots += l.slots[server.Name]
+	for _, server := range m.servers {
+		total += m.load[server.Name]
+		slots += m.slots[server.Name]
 	}
 	return total / slots
 }
 
 // imbalance returns the utilization of the most utilized server over the mean.
-func (l *ledger) imbalance() float64 {
-	mean := l.meanPerSlot()
+func (m *ledger) imbalance() float64 {
+	mean := m.meanPerSlot()
 	if mean == 0 {
 		return 1
 	}
-	return l.perSlot(l.heaviest()) / mean
+	return m.perSlot(m.heaviest()) / mean
 }
 
 // idleFraction is the fraction of the mean utilization up to which a server counts
@@ -146,15 +146,15 @@
 // fillIdleServers gives idle servers an equal number of shards, taken from the most
 // utilized servers that have more shards. It is for servers that have just joined
 // and have no meaningful load yet.
-func (l *ledger) spreadCount(maxMoves int) []Move {
+func (m *ledger) spreadCount(maxMoves int) []Move {
 	var moves []Move
-	share := len(l.items) / len(l.servers)
-	for _, server := range l.servers {
-		if l.perSlot(server.Name) > l.meanPerSlot()*idleShare {
+	share := len(m.items) / len(m.servers)
+	for _, server := range m.servers {
+		if m.perSlot(server.Name) > m.meanPerSlot()*idleShare {
 			continue
 		}
-		for l.count[server.Name] < share && len(moves) < maxMoves {
-			move, ok := l.takeForJoiner(server.Name)
+		for m.count[server.Name] < share && len(moves) < maxMoves {
+			move, ok := m.takeForJoiner(server.Name)
 			if !ok {
 				break
 			}
@@ -166,45 +166,45 @@
 
 // moveToIdleServer moves one shard from the most utilized server that has at least
 // two shards more than the idle one.
-func (l *ledger) takeForJoiner(to string) (Move, bool) {
+func (m *ledger) takeForJoiner(to string) (Move, bool) {
 	best := -1
-	for i, entry := range l.items {
-		if entry.owner == to || l.count[entry.owner] <= l.count[to]+1 {
+	for i, entry := range m.items {
+		if entry.owner == to || m.count[entry.owner] <= m.count[to]+1 {
 			continue
 		}
-		if best < 0 || l.compare(entry.owner, l.items[best].owner) > 0 {
+		if best < 0 || m.compare(entry.owner, m.items[best].owner) > 0 {
 			best = i
 		}
 	}
 	if best < 0 {
 		return Move{}, false
 	}
-	return l.move(best, to), true
+	return m.move(best, to), true
 }
 
-func (l *ledger) move(index int, to string) Move {
-	entry := &l.items[index]
-	l.load[entry.owner] -= entry.rate
-	l.count[entry.owner]--
-	l.load[to] += entry.rate
-	l.count[to]++
+func (m *ledger) move(index int, to string) Move {
+	entry := &m.items[index]
+	m.load[entry.owner] -= entry.rate
+	m.count[entry.owner]--
+	m.load[to] += entry.rate
+	m.count[to]++
 	entry.owner = to
 	return Move{Low: entry.low, To: to}
 }
 
 // rebalance moves shards from the most to the least utilized server until the
 // imbalance is within the tolerance, no move reduces it, or maxMoves is reached.
-func (l *ledger) level(tolerance float64, maxMoves int) []Move {
+func (m *ledger) level(tolerance float64, maxMoves int) []Move {
 	var moves []Move
 	moved := map[uint64]bool{}
-	for len(moves) < maxMoves && l.imbalance() > tolerance {
-		from := l.heaviest()
-		index, to := l.bestMove(from, moved)
+	for len(moves) < maxMoves && m.imbalance() > tolerance {
+		from := m.heaviest()
+		index, to := m.bestMove(from, moved)
 		if index < 0 {
 			return moves
 		}
-		moved[l.items[index].low] = true
-		moves = append(moves, l.move(index, to))
+		moved[m.items[index].low] = true
+		moves = append(moves, m.move(index, to))
 	}
 	return moves
 }
@@ -213,15 +213,15 @@
 // reduces the higher utilization of the two. A shard so loaded that its move would
 // only swap the two servers' roles is not moved: a hot shard stays and other shards
 // of its server move away.
-func (l *ledger) bestMove(from string, moved map[uint64]bool) (index int, to string) {
-	to = l.lightest()
+func (m *ledger) bestMove(from string, moved map[uint64]bool) (index int, to string) {
+	to = m.lightest()
 	index = -1
-	best := l.perSlot(from)
-	for i, entry := range l.items {
+	best := m.perSlot(from)
+	for i, entry := range m.items {
 		if entry.owner != from || moved[entry.low] || entry.rate == 0 {
 			continue
 		}
-		after := max((l.load[from]-entry.rate)/l.slots[from], (l.load[to]+entry.rate)/l.slots[to])
+		after := max((m.load[from]-entry.rate)/m.slots[from], (m.load[to]+entry.rate)/m.slots[to])
 		if after < best {
 			best = after
 			index = i
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -173,17 +173,17 @@
 type InForce struct{ current atomic.Pointer[Configuration] }
 
 // Current returns the active configuration, or nil before the first.
-func (f *InForce) Current() *Configuration { return f.current.Load() }
+func (a *InForce) Current() *Configuration { return a.current.Load() }
 
 // Update makes a configuration the active one if it is newer, and reports whether
 // it did.
-func (f *InForce) Offer(offered *Configuration) bool {
+func (a *InForce) Offer(offered *Configuration) bool {
 	for {
-		current := f.current.Load()
+		current := a.current.Load()
 		if current != nil && current.Version >= offered.Version {
 			return false
 		}
-		if f.current.CompareAndSwap(current, offered) {
+		if a.current.CompareAndSwap(current, offered) {
 			return true
 		}
 	}
