--- a/bench/orders.go
+++ b/bench/orders.go
@@ -92,7 +92,7 @@
 
 // simulate runs the gate in virtual time.
 func simulate(arrivals []arrival, order dispatch.Order) OrderResult {
-	gate := dispatch.NewGate(dispatch.DefaultGatePolicy(), orderSlots, order)
+	gate := dispatch.NewConcurrencyLimiter(dispatch.DefaultLimiterPolicy(), orderSlots, order)
 	var inside []running
 	var queue []waiting
 	var calm []time.Duration
@@ -130,7 +130,7 @@
 					calm = append(calm, took)
 				}
 			}
-			gate.Exit(ended.ends, orderService)
+			gate.Release(ended.ends, orderService)
 			admit(ended.ends)
 		}
 	}
@@ -139,7 +139,7 @@
 		finishUntil(a.at)
 		asked[a.calm]++
 		w := &dispatch.Waiter{Caller: a.caller, Deadline: a.at + orderDeadline, Admitted: make(chan struct{})}
-		if ok, _ := gate.Enter(a.at, w); ok {
+		if ok, _ := gate.Enqueue(a.at, w); ok {
 			queue = append(queue, waiting{waiter: w, arrival: a})
 			admit(a.at)
 		}
--- a/bench/tagged.go
+++ b/bench/tagged.go
@@ -75,8 +75,8 @@
 	return now + q.Delay
 }
 
-// Ahead implements dispatch.Order.
-func (q *Tagged) Ahead(now time.Duration, caller string) int {
+// CountAhead implements dispatch.Order.
+func (q *Tagged) CountAhead(now time.Duration, caller string) int {
 	finish := q.finishOf(now, caller)
 	ahead := 0
 	for _, entry := range q.queue {
--- a/dispatch/dedup.go
+++ b/dispatch/dedup.go
@@ -46,72 +46,72 @@
 	// arrival.
 	Window time.Duration
 	// MaxClockSkew is how far callers' clocks may be ahead of the local one.
-	Skew time.Duration
+	MaxClockSkew time.Duration
 	// MaxEntries and MaxBodyBytes limit the remembered requests and reply bodies.
-	MostEntries   int
-	MostBodyBytes int
+	MaxEntries   int
+	MaxBodyBytes int
 	// MaxReplayBodyBytes is the largest reply body that is kept for a replay.
-	KeepBody int
+	MaxReplayBodyBytes int
 }
 
 // DefaultDedupPolicy returns a policy that keeps the memory for one page's requests
 // under 64 MB.
 func DefaultDedupPolicy() DedupPolicy {
 	return DedupPolicy{
-		Window:        time.Minute,
-		Skew:          5 * time.Second,
-		MostEntries:   100_000,
-		MostBodyBytes: 32 << 20,
-		KeepBody:      16 << 10,
+		Window:             time.Minute,
+		MaxClockSkew:       5 * time.Second,
+		MaxEntries:         100_000,
+		MaxBodyBytes:       32 << 20,
+		MaxReplayBodyBytes: 16 << 10,
 	}
 }
 
 type dedupEntry struct {
-	id      uuid.UUID
-	done    chan struct{}
-	ended   bool
-	reply   Reply
-	arrived time.Time
-	kept    int
+	id        uuid.UUID
+	done      chan struct{}
+	finished  bool
+	reply     Reply
+	arrivedAt time.Time
+	bodyBytes int
 }
 
 // Deduplicator remembers the non-idempotent requests of one page, so that a request
 // that is sent again does not run twice. It belongs to the page's dispatch router,
 // which every copy of a request passes through. It is not safe for concurrent use.
-type Dedup struct {
+type Deduplicator struct {
 	policy DedupPolicy
 	// coveredSince is the time since which every request of the page is in entries.
 	// A further attempt at a request that may be older is not run.
-	covers  time.Time
-	entries map[uuid.UUID]*dedupEntry
-	order   []*dedupEntry
-	bytes   int
+	coveredSince time.Time
+	entries      map[uuid.UUID]*dedupEntry
+	order        []*dedupEntry
+	bodyBytes    int
 }
 
 // NewDeduplicator returns an empty Deduplicator that covers requests from start on.
-func NewDedup(policy DedupPolicy, start time.Time) *Dedup {
-	return &Dedup{policy: policy, covers: start, entries: map[uuid.UUID]*dedupEntry{}}
+func NewDeduplicator(policy DedupPolicy, start time.Time) *Deduplicator {
+	return &Deduplicator{policy: policy, coveredSince: start, entries: map[uuid.UUID]*dedupEntry{}}
 }
 
 // ResetCoverage declares that only requests from now on are covered, since another
 // router may have dispatched the page in the meantime. Earlier requests that are
 // sent again and are not in entries will not run.
-func (d *Dedup) Uncover(now time.Time) { d.covers = now }
+func (d *Deduplicator) ResetCoverage(now time.Time) { d.coveredSince = now }
 
 // Begin decides on a copy of a request, which is its caller's attempt-th. wall is
 // the time on this router's wall clock.
-func (d *Dedup) Begin(wall time.Time, id uuid.UUID, attempt int) (Admission, Reply, <-chan struct{}) {
+func (d *Deduplicator) Begin(wall time.Time, id uuid.UUID, attempt int) (Admission, Reply, <-chan struct{}) {
 	d.expire(wall)
 	if entry, known := d.entries[id]; known {
-		if entry.ended {
+		if entry.finished {
 			return AdmitReplay, entry.reply, nil
 		}
 		return AdmitWait, Reply{}, entry.done
 	}
-	if attempt > 1 && !d.firstWouldBeHere(wall, id) {
+	if attempt > 1 && !d.firstAttemptCovered(wall, id) {
 		return AdmitUnknown, Reply{}, nil
 	}
-	entry := &dedupEntry{id: id, done: make(chan struct{}), arrived: wall}
+	entry := &dedupEntry{id: id, done: make(chan struct{}), arrivedAt: wall}
 	d.entries[id] = entry
 	d.order = append(d.order, entry)
 	return AdmitRun, Reply{}, nil
@@ -120,36 +120,36 @@
 // firstAttemptCovered reports whether the first attempt would be in entries if it
 // had reached any dispatch router. The creation time in the id is from the caller's
 // clock; a time ahead of the local clock proves nothing and counts as not covered.
-func (d *Dedup) firstWouldBeHere(wall time.Time, id uuid.UUID) bool {
+func (d *Deduplicator) firstAttemptCovered(wall time.Time, id uuid.UUID) bool {
 	createdAt := caller.BirthTime(id)
 	if createdAt.After(wall) {
 		return false
 	}
-	return createdAt.After(d.covers.Add(d.policy.Skew))
+	return createdAt.After(d.coveredSince.Add(d.policy.MaxClockSkew))
 }
 
 // Finish records the reply to a copy that was admitted to run. A request that is
 // proven not to have run is removed, so that a further attempt may run.
-func (d *Dedup) Finish(id uuid.UUID, reply Reply) {
+func (d *Deduplicator) Finish(id uuid.UUID, reply Reply) {
 	entry, known := d.entries[id]
-	if !known || entry.ended {
+	if !known || entry.finished {
 		return
 	}
-	entry.ended = true
-	entry.reply = d.storable(reply)
+	entry.finished = true
+	entry.reply = d.replayable(reply)
 	if reply.Outcome == caller.NotRun {
 		delete(d.entries, id)
 	} else {
-		entry.kept = len(entry.reply.Body)
-		d.bytes += entry.kept
+		entry.bodyBytes = len(entry.reply.Body)
+		d.bodyBytes += entry.bodyBytes
 	}
 	close(entry.done)
 }
 
 // replayable returns the reply to keep for replays. A reply with too large a body
 // is replaced by one that says only that the request may have run.
-func (d *Dedup) storable(reply Reply) Reply {
-	if reply.Outcome != caller.Done || len(reply.Body) <= d.policy.KeepBody {
+func (d *Deduplicator) replayable(reply Reply) Reply {
+	if reply.Outcome != caller.Done || len(reply.Body) <= d.policy.MaxReplayBodyBytes {
 		return reply
 	}
 	return Reply{Outcome: caller.Unknown, Reason: caller.ReasonMaybeRunBefore, Server: reply.Server}
@@ -158,21 +158,21 @@
 // expire removes the oldest requests that are past the window or exceed the limits,
 // and moves coveredSince past the removed ones. It stops at a request that has not
 // finished.
-func (d *Dedup) expire(wall time.Time) {
+func (d *Deduplicator) expire(wall time.Time) {
 	for len(d.order) > 0 {
 		oldest := d.order[0]
-		overLimit := len(d.entries) > d.policy.MostEntries || d.bytes > d.policy.MostBodyBytes
-		if !oldest.ended || !overLimit && wall.Sub(oldest.arrived) < d.policy.Window {
+		overLimit := len(d.entries) > d.policy.MaxEntries || d.bodyBytes > d.policy.MaxBodyBytes
+		if !oldest.finished || !overLimit && wall.Sub(oldest.arrivedAt) < d.policy.Window {
 			return
 		}
 		d.order[0] = nil
 		d.order = d.order[1:]
 		if d.entries[oldest.id] == oldest {
 			delete(d.entries, oldest.id)
-			d.bytes -= oldest.kept
+			d.bodyBytes -= oldest.bodyBytes
 		}
-		if oldest.arrived.After(d.covers) {
-			d.covers = oldest.arrived
+		if oldest.arrivedAt.After(d.coveredSince) {
+			d.coveredSince = oldest.arrivedAt
 		}
 	}
 }
--- a/dispatch/dedup_test.go
+++ b/dispatch/dedup_test.go
@@ -27,16 +27,16 @@
 
 func testPolicy() dispatch.DedupPolicy {
 	return dispatch.DedupPolicy{
-		Window:        2 * time.Second,
-		Skew:          500 * time.Millisecond,
-		MostEntries:   4,
-		MostBodyBytes: 1000,
-		KeepBody:      100,
+		Window:             2 * time.Second,
+		MaxClockSkew:       500 * time.Millisecond,
+		MaxEntries:         4,
+		MaxBodyBytes:       1000,
+		MaxReplayBodyBytes: 100,
 	}
 }
 
 // sentRequest is a request with the record of its runs.
-type sent struct {
+type sentRequest struct {
 	id       uuid.UUID
 	attempts int
 	ran      int
@@ -46,11 +46,11 @@
 
 // dedupSimulation simulates two routers that dispatch one page alternately, and
 // callers whose clocks differ from the routers' within MaxClockSkew.
-type dedupWorld struct {
-	now      time.Time
-	routers  [2]*dispatch.Dedup
-	holder   int
-	requests []*sent
+type dedupSimulation struct {
+	now        time.Time
+	routers    [2]*dispatch.Deduplicator
+	dispatcher int
+	requests   []*sentRequest
 }
 
 // TestAtMostOnce checks that no request runs twice, however often it is sent again,
@@ -59,9 +59,9 @@
 func TestAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.UnixMilli(1_800_000_000_000)
-		s := &dedupWorld{now: start}
-		s.routers[0] = dispatch.NewDedup(testPolicy(), start)
-		s.routers[1] = dispatch.NewDedup(testPolicy(), start)
+		s := &dedupSimulation{now: start}
+		s.routers[0] = dispatch.NewDeduplicator(testPolicy(), start)
+		s.routers[1] = dispatch.NewDeduplicator(testPolicy(), start)
 		t.Repeat(map[string]func(*rapid.T){
 			"":          func(t *rapid.T) { s.check(t) },
 			"send":      s.send,
@@ -78,7 +78,7 @@
 	})
 }
 
-func (s *dedupWorld) check(t *rapid.T) {
+func (s *dedupSimulation) check(t *rapid.T) {
 	for _, request := range s.requests {
 		if request.ran > 1 {
 			t.Fatalf("request %s ran %d times", request.id, request.ran)
@@ -89,14 +89,14 @@
 	}
 }
 
-func (s *dedupWorld) send(t *rapid.T) {
+func (s *dedupSimulation) send(t *rapid.T) {
 	ahead := time.Duration(rapid.IntRange(-499, 499).Draw(t, "caller's clock is ahead by ms")) * time.Millisecond
-	request := &sent{id: idAt(s.now.Add(ahead), len(s.requests))}
+	request := &sentRequest{id: idAt(s.now.Add(ahead), len(s.requests))}
 	s.requests = append(s.requests, request)
 	s.attempt(request)
 }
 
-func (s *dedupWorld) resend(t *rapid.T) {
+func (s *dedupSimulation) resend(t *rapid.T) {
 	if len(s.requests) > 0 {
 		s.attempt(rapid.SampledFrom(s.requests).Draw(t, "request"))
 	}
@@ -104,16 +104,16 @@
 
 // attempt delivers a copy to the router that dispatches the page. An admitted copy
 // takes effect at once; its reply comes with finish, or never.
-func (s *dedupWorld) attempt(request *sent) {
+func (s *dedupSimulation) attempt(request *sentRequest) {
 	request.attempts++
-	admission, _, _ := s.routers[s.holder].Begin(s.now, request.id, request.attempts)
+	admission, _, _ := s.routers[s.dispatcher].Begin(s.now, request.id, request.attempts)
 	if admission == dispatch.AdmitRun {
 		request.ran++
-		request.running = append(request.running, s.holder)
+		request.running = append(request.running, s.dispatcher)
 	}
 }
 
-func (s *dedupWorld) finish(t *rapid.T) {
+func (s *dedupSimulation) finish(t *rapid.T) {
 	if len(s.requests) == 0 {
 		return
 	}
@@ -134,20 +134,20 @@
 	s.routers[router].Finish(request.id, reply)
 }
 
-func (s *dedupWorld) wait(t *rapid.T) {
+func (s *dedupSimulation) wait(t *rapid.T) {
 	s.now = s.now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
 }
 
 // handOver makes the other router the dispatcher, which covers only requests from
 // now on.
-func (s *dedupWorld) handOver(*rapid.T) {
-	s.holder = 1 - s.holder
-	s.routers[s.holder].Uncover(s.now)
+func (s *dedupSimulation) handOver(*rapid.T) {
+	s.dispatcher = 1 - s.dispatcher
+	s.routers[s.dispatcher].ResetCoverage(s.now)
 }
 
 // restart replaces the dispatcher by one without entries.
-func (s *dedupWorld) restart(*rapid.T) {
-	s.routers[s.holder] = dispatch.NewDedup(testPolicy(), s.now)
+func (s *dedupSimulation) restart(*rapid.T) {
+	s.routers[s.dispatcher] = dispatch.NewDeduplicator(testPolicy(), s.now)
 	for _, request := range s.requests {
 		request.running = nil
 	}
@@ -155,9 +155,9 @@
 
 // A request that is sent again after its entry expired must not run a second time:
 // the time of an expired entry is no longer covered.
-func TestExpiredMemoryCoversNothing(t *testing.T) {
+func TestExpiredEntryIsNotCovered(t *testing.T) {
 	start := time.UnixMilli(1_800_000_000_000)
-	d := dispatch.NewDedup(testPolicy(), start)
+	d := dispatch.NewDeduplicator(testPolicy(), start)
 	now := start.Add(time.Second)
 	id := idAt(now, 1)
 	admission, _, _ := d.Begin(now, id, 1)
@@ -172,7 +172,7 @@
 // the same reply.
 func TestReplay(t *testing.T) {
 	now := time.UnixMilli(1_800_000_000_000)
-	d := dispatch.NewDedup(testPolicy(), now)
+	d := dispatch.NewDeduplicator(testPolicy(), now)
 	id := idAt(now, 1)
 	admission, _, _ := d.Begin(now, id, 1)
 	assert.Equal(t, admission, dispatch.AdmitRun)
@@ -189,7 +189,7 @@
 // keep is reported as possibly run and does not run again.
 func TestLargeAnswerIsNotReplayed(t *testing.T) {
 	now := time.UnixMilli(1_800_000_000_000)
-	d := dispatch.NewDedup(testPolicy(), now)
+	d := dispatch.NewDeduplicator(testPolicy(), now)
 	id := idAt(now, 1)
 	d.Begin(now, id, 1)
 	d.Finish(id, dispatch.Reply{Outcome: caller.Done, Body: make([]byte, 101)})
@@ -218,9 +218,9 @@
 		t.Run(row.name, func(t *testing.T) {
 			history := dispatch.NewHistory(row.attempt)
 			for _, outcome := range row.earlier {
-				history.Note(dispatch.Reply{Outcome: outcome})
+				history.Record(dispatch.Reply{Outcome: outcome})
 			}
-			assert.Equal(t, history.Conclude(rejection).Outcome, row.want)
+			assert.Equal(t, history.FinalReply(rejection).Outcome, row.want)
 		})
 	}
 }
--- a/dispatch/gate_test.go
+++ b/dispatch/gate_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func settled(w *dispatch.Waiter) bool {
+func decided(w *dispatch.Waiter) bool {
 	select {
 	case <-w.Admitted:
 		return true
@@ -38,8 +38,8 @@
 func TestGateBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const slots, queue = 3, 2
-		policy := dispatch.GatePolicy{Queue: queue, FirstService: 10 * time.Millisecond}
-		gate := dispatch.NewGate(policy, slots, dispatch.NewRoundRobin())
+		policy := dispatch.LimiterPolicy{MaxQueuePerSlot: queue, InitialServiceTime: 10 * time.Millisecond}
+		gate := dispatch.NewConcurrencyLimiter(policy, slots, dispatch.NewRoundRobin())
 		var now time.Duration
 		var running, waiting []*dispatch.Waiter
 		classify := func() {
@@ -48,7 +48,7 @@
 				switch {
 				case admitted(w):
 					running = append(running, w)
-				case !settled(w):
+				case !decided(w):
 					still = append(still, w)
 				}
 				// Shed waiters are dropped.
@@ -71,7 +71,7 @@
 			"enter": func(t *rapid.T) {
 				budget := time.Duration(rapid.IntRange(0, 200).Draw(t, "budget")) * time.Millisecond
 				w := waiter(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "caller"), now+budget)
-				if ok, retryAfter := gate.Enter(now, w); ok {
+				if ok, retryAfter := gate.Enqueue(now, w); ok {
 					waiting = append(waiting, w)
 				} else if retryAfter <= 0 {
 					t.Fatalf("rejected without a retry delay")
@@ -80,12 +80,12 @@
 			"exit": func(t *rapid.T) {
 				if len(running) > 0 {
 					running = running[1:]
-					gate.Exit(now, time.Duration(rapid.IntRange(1, 30).Draw(t, "held"))*time.Millisecond)
+					gate.Release(now, time.Duration(rapid.IntRange(1, 30).Draw(t, "held"))*time.Millisecond)
 				}
 			},
 			"leave": func(t *rapid.T) {
 				if len(waiting) > 0 {
-					gate.Leave(waiting[0])
+					gate.Cancel(waiting[0])
 					waiting = waiting[1:]
 				}
 			},
@@ -98,14 +98,14 @@
 
 // TestWaitBeyondDeadlineIsRejectedAtOnce checks that a request that cannot complete
 // in time is rejected on arrival, not at its deadline.
-func TestHopelessWaitIsRefusedAtOnce(t *testing.T) {
-	policy := dispatch.GatePolicy{Queue: 100, FirstService: 10 * time.Millisecond}
-	gate := dispatch.NewGate(policy, 1, &dispatch.FIFO{})
+func TestWaitBeyondDeadlineIsRejectedAtOnce(t *testing.T) {
+	policy := dispatch.LimiterPolicy{MaxQueuePerSlot: 100, InitialServiceTime: 10 * time.Millisecond}
+	gate := dispatch.NewConcurrencyLimiter(policy, 1, &dispatch.FIFO{})
 	for range 3 {
-		ok, _ := gate.Enter(0, waiter("", time.Second))
+		ok, _ := gate.Enqueue(0, waiter("", time.Second))
 		assert.Assert(t, ok)
 	}
-	ok, retryAfter := gate.Enter(0, waiter("", 35*time.Millisecond))
+	ok, retryAfter := gate.Enqueue(0, waiter("", 35*time.Millisecond))
 	assert.Assert(t, !ok)
 	assert.Equal(t, retryAfter, 30*time.Millisecond)
 }
@@ -114,10 +114,10 @@
 // limit.
 func TestQueueIsBounded(t *testing.T) {
 	const slots, queue = 2, 3
-	gate := dispatch.NewGate(dispatch.GatePolicy{Queue: queue, FirstService: time.Millisecond}, slots, &dispatch.FIFO{})
+	gate := dispatch.NewConcurrencyLimiter(dispatch.LimiterPolicy{MaxQueuePerSlot: queue, InitialServiceTime: time.Millisecond}, slots, &dispatch.FIFO{})
 	accepted := 0
 	for range 100 {
-		if ok, _ := gate.Enter(0, waiter("", time.Hour)); ok {
+		if ok, _ := gate.Enqueue(0, waiter("", time.Hour)); ok {
 			accepted++
 		}
 	}
@@ -128,17 +128,17 @@
 // full queue evicts a waiter of the caller that filled it rather than rejecting the
 // new request.
 func TestBurstDoesNotKeepOthersOut(t *testing.T) {
-	gate := dispatch.NewGate(dispatch.GatePolicy{Queue: 3, FirstService: time.Millisecond}, 1, dispatch.NewRoundRobin())
+	gate := dispatch.NewConcurrencyLimiter(dispatch.LimiterPolicy{MaxQueuePerSlot: 3, InitialServiceTime: time.Millisecond}, 1, dispatch.NewRoundRobin())
 	var burst []*dispatch.Waiter
 	for range 4 {
 		w := waiter("burst", time.Second)
-		ok, _ := gate.Enter(0, w)
+		ok, _ := gate.Enqueue(0, w)
 		assert.Assert(t, ok)
 		burst = append(burst, w)
 	}
-	ok, _ := gate.Enter(0, waiter("burst", time.Second))
+	ok, _ := gate.Enqueue(0, waiter("burst", time.Second))
 	assert.Assert(t, !ok, "the burst got room for a further request of its own")
-	ok, _ = gate.Enter(0, waiter("calm", time.Second))
+	ok, _ = gate.Enqueue(0, waiter("calm", time.Second))
 	assert.Assert(t, ok)
 	assert.Assert(t, burst[3].Shed, "the burst's newest waiter was not evicted")
 	assert.Equal(t, gate.Waiting(), 3)
@@ -159,11 +159,11 @@
 // TestBudgetBoundsRetries checks that retries are limited to a fraction of the
 // first attempts.
 func TestBudgetBoundsRetries(t *testing.T) {
-	budget := dispatch.NewBudget(0.1, 5)
+	budget := dispatch.NewRetryBudget(0.1, 5)
 	retries := 0
 	for range 1000 {
-		budget.First()
-		if budget.Retry() {
+		budget.RecordFirstAttempt()
+		if budget.TakeRetry() {
 			retries++
 		}
 	}
--- a/dispatch/history.go
+++ b/dispatch/history.go
@@ -12,14 +12,14 @@
 func NewHistory(attempt int) History { return History{mayHaveRun: attempt > 1} }
 
 // Record records the reply to an attempt that is not the last.
-func (h *History) Note(reply Reply) {
+func (h *History) Record(reply Reply) {
 	if reply.Outcome != caller.NotRun {
 		h.mayHaveRun = true
 	}
 }
 
 // FinalReply turns the reply to the last attempt into the reply to the request.
-func (h *History) Conclude(reply Reply) Reply {
+func (h *History) FinalReply(reply Reply) Reply {
 	if reply.Outcome == caller.NotRun && h.mayHaveRun {
 		reply.Outcome = caller.Unknown
 	}
--- a/dispatch/load.go
+++ b/dispatch/load.go
@@ -8,7 +8,7 @@
 )
 
 // hashLoad is the time that requests for one key hash held slots, and their number.
-type hashBusy struct {
+type hashLoad struct {
 	busy  time.Duration
 	count int
 }
@@ -18,21 +18,21 @@
 type LoadMeter struct {
 	since  time.Duration
 	shards map[uint64]time.Duration
-	hashes map[uint64]*hashBusy
+	hashes map[uint64]*hashLoad
 }
 
 // Limits of what a meter keeps and reports: the number of key hashes kept, the
 // number reported per shard, and the minimum fraction of the shard's load of a
 // reported one.
 const (
-	mostHashes   = 512
-	toldHashes   = 2
-	hotShareTold = 0.1
+	maxHashes           = 512
+	maxReportedHashes   = 2
+	minReportedFraction = 0.1
 )
 
 // NewLoadMeter returns a meter that starts measuring at now.
 func NewLoadMeter(now time.Duration) *LoadMeter {
-	return &LoadMeter{since: now, shards: map[uint64]time.Duration{}, hashes: map[uint64]*hashBusy{}}
+	return &LoadMeter{since: now, shards: map[uint64]time.Duration{}, hashes: map[uint64]*hashLoad{}}
 }
 
 // Add records how long a request for a hash held a slot; the shard of the hash
@@ -41,10 +41,10 @@
 	m.shards[low] += held
 	entry, known := m.hashes[hash]
 	if !known {
-		if len(m.hashes) >= mostHashes {
-			m.shrink()
+		if len(m.hashes) >= maxHashes {
+			m.dropColdHashes()
 		}
-		entry = &hashBusy{}
+		entry = &hashLoad{}
 		m.hashes[hash] = entry
 	}
 	entry.busy += held
@@ -52,14 +52,14 @@
 }
 
 // dropColdHashes drops the less loaded half of the hashes.
-func (m *LoadMeter) shrink() {
+func (m *LoadMeter) dropColdHashes() {
 	busy := make([]time.Duration, 0, len(m.hashes))
 	for _, entry := range m.hashes {
 		busy = append(busy, entry.busy)
 	}
 	slices.Sort(busy)
 	median := busy[len(busy)/2]
-	maps.DeleteFunc(m.hashes, func(_ uint64, entry *hashBusy) bool { return entry.busy <= median })
+	maps.DeleteFunc(m.hashes, func(_ uint64, entry *hashLoad) bool { return entry.busy <= median })
 }
 
 // HotHash is a key hash with its load: the average number of slots that its
@@ -120,7 +120,7 @@
 	})
 	kept := hashes[:0]
 	for _, hash := range hashes {
-		if len(kept) < toldHashes && hash.Rate >= rate*hotShareTold {
+		if len(kept) < maxReportedHashes && hash.Rate >= rate*minReportedFraction {
 			kept = append(kept, hash)
 		}
 	}
--- a/dispatch/order.go
+++ b/dispatch/order.go
@@ -22,8 +22,8 @@
 // Len implements Order.
 func (f *FIFO) Len() int { return len(f.queue) }
 
-// Ahead implements Order.
-func (f *FIFO) Ahead(time.Duration, string) int { return len(f.queue) }
+// CountAhead implements Order.
+func (f *FIFO) CountAhead(time.Duration, string) int { return len(f.queue) }
 
 // Evict implements Order. It evicts none, since a new waiter is last in the order.
 func (f *FIFO) Evict(time.Duration, string) *Waiter { return nil }
@@ -41,7 +41,7 @@
 // delay the others.
 type RoundRobin struct {
 	queues map[string]*FIFO
-	turn   []string
+	turns  []string
 	length int
 }
 
@@ -54,7 +54,7 @@
 	if !known {
 		queue = &FIFO{}
 		r.queues[waiter.Caller] = queue
-		r.turn = append(r.turn, waiter.Caller)
+		r.turns = append(r.turns, waiter.Caller)
 	}
 	queue.Push(now, waiter)
 	r.length++
@@ -65,15 +65,15 @@
 	if r.length == 0 {
 		return nil
 	}
-	next := r.turn[0]
-	r.turn = r.turn[1:]
+	next := r.turns[0]
+	r.turns = r.turns[1:]
 	queue := r.queues[next]
 	waiter := queue.Pop(now)
 	r.length--
 	if queue.Len() == 0 {
 		delete(r.queues, next)
 	} else {
-		r.turn = append(r.turn, next)
+		r.turns = append(r.turns, next)
 	}
 	return waiter
 }
@@ -83,8 +83,8 @@
 
 // CountAhead implements Order. Until a new waiter is admitted, each other caller
 // gets at most as many turns as the new waiter's caller.
-func (r *RoundRobin) Ahead(_ time.Duration, caller string) int {
-	own := r.waitingOf(caller)
+func (r *RoundRobin) CountAhead(_ time.Duration, caller string) int {
+	own := r.queueLen(caller)
 	ahead := 0
 	for _, queue := range r.queues {
 		ahead += min(queue.Len(), own+1)
@@ -92,7 +92,7 @@
 	return ahead
 }
 
-func (r *RoundRobin) waitingOf(caller string) int {
+func (r *RoundRobin) queueLen(caller string) int {
 	if queue, known := r.queues[caller]; known {
 		return queue.Len()
 	}
@@ -108,7 +108,7 @@
 			longest = name
 		}
 	}
-	if longest == "" || r.queues[longest].Len() <= r.waitingOf(caller)+1 {
+	if longest == "" || r.queues[longest].Len() <= r.queueLen(caller)+1 {
 		return nil
 	}
 	r.length--
--- a/domain/controller.go
+++ b/domain/controller.go
@@ -241,10 +241,10 @@
 func (v *lockedVoter) established() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.voter.Established()
+	return v.voter.HasReadStore()
 }
 
-func (v *lockedVoter) agree(now time.Duration, ask ownership.Ask) ownership.Answer {
+func (v *lockedVoter) agree(now time.Duration, ask ownership.RenewalRequest) ownership.RenewalResponse {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.voter.Agree(now, ask)
--- a/domain/events.go
+++ b/domain/events.go
@@ -21,30 +21,30 @@
 
 type asksAnswered struct {
 	host    string
-	asks    []ownership.AskOut
+	asks    []ownership.RenewalMessage
 	answers []*linkpb.Answer
 }
 
 func (e asksAnswered) apply(l *loop, now time.Duration) {
 	for i, ask := range e.asks {
-		state, known := l.pages[ask.Ask.Page]
+		state, known := l.pages[ask.Request.Page]
 		if !known {
 			continue
 		}
-		answer := ownership.Answer{
-			Verdict:    ownership.Verdict(e.answers[i].GetVerdict()),
-			Known:      e.answers[i].GetKnown(),
-			Dispatcher: e.answers[i].GetDispatcher(),
-			BusyFor:    time.Duration(e.answers[i].GetBusyForNanos()),
+		answer := ownership.RenewalResponse{
+			Verdict:         ownership.Verdict(e.answers[i].GetVerdict()),
+			KnownGeneration: e.answers[i].GetKnown(),
+			Dispatcher:      e.answers[i].GetDispatcher(),
+			BusyFor:         time.Duration(e.answers[i].GetBusyForNanos()),
 		}
-		state.machine.Answer(now, ask.Round, e.host, answer)
+		state.machine.HandleRenewalResponse(now, ask.Round, e.host, answer)
 		l.pump(now, state)
 	}
 }
 
 type stopsPromised struct {
 	host      string
-	stops     []ownership.StopOut
+	stops     []ownership.StopMessage
 	remaining []int64
 }
 
@@ -55,13 +55,13 @@
 			continue
 		}
 		promise := ownership.Promise{Remaining: time.Duration(e.remaining[i])}
-		state.machine.Promised(now, stop.Generation, e.host, promise)
+		state.machine.HandlePromise(now, stop.Generation, e.host, promise)
 		l.pump(now, state)
 	}
 }
 
 type serverAnswered struct {
-	out    ownership.GrantOut
+	out    ownership.GrantMessage
 	report backend.Report
 }
 
@@ -72,9 +72,9 @@
 	if !known {
 		return
 	}
-	state.machine.Ack(now, e.out.Holder, ownership.HolderAck{
+	state.machine.HandleAck(now, e.out.Holder, ownership.HolderAck{
 		SentAt:      e.out.SentAt,
-		Stamp:       e.report.Clock,
+		HolderTime:  e.report.Clock,
 		Incarnation: e.report.Incarnation,
 		Generation:  e.report.Generation,
 		Busy:        e.report.Busy,
@@ -106,9 +106,9 @@
 			continue
 		}
 		id := ownership.HolderID{Kind: ownership.Router, Name: e.host}
-		state.machine.Ack(now, id, ownership.HolderAck{
+		state.machine.HandleAck(now, id, ownership.HolderAck{
 			SentAt:      e.sentAt,
-			Stamp:       time.Duration(e.reply.GetClockNanos()),
+			HolderTime:  time.Duration(e.reply.GetClockNanos()),
 			Incarnation: e.reply.GetIncarnation(),
 			Generation:  status.GetGeneration(),
 			Leaving:     e.reply.GetLeaving(),
@@ -155,7 +155,7 @@
 	if !known {
 		return
 	}
-	state.machine.WriteResult(now, e.attempt, e.result)
+	state.machine.HandleWriteResult(now, e.attempt, e.result)
 	l.pump(now, state)
 }
 
--- a/domain/loop.go
+++ b/domain/loop.go
@@ -17,7 +17,7 @@
 
 // pageState is the loop's state of one page.
 type pageState struct {
-	machine *ownership.Machine
+	machine *ownership.StateMachine
 	planner *placement.Planner
 	// groupDue is when a change of group that seems needed may be proposed.
 	groupDue time.Duration
@@ -146,7 +146,7 @@
 	state, known := l.pages[page.Name]
 	if !known {
 		state = &pageState{
-			machine: ownership.NewMachine(l.c.terms, newAttempt),
+			machine: ownership.NewStateMachine(l.c.terms, newAttempt),
 			planner: placement.NewPlanner(placement.DefaultPolicy()),
 		}
 		l.pages[page.Name] = state
@@ -191,7 +191,7 @@
 
 // route passes a machine's wishes on and reports whether there were any.
 func (l *loop) route(now time.Duration, state *pageState, ready ownership.Ready) bool {
-	for _, ask := range ready.Asks {
+	for _, ask := range ready.Renewals {
 		l.routeAsk(now, state, ask)
 	}
 	for _, stop := range ready.Stops {
@@ -207,32 +207,32 @@
 		state.reading = true
 		l.out.rereads = append(l.out.rereads, state.machine.Page().Name)
 	}
-	return len(ready.Asks)+len(ready.Stops)+len(ready.Grants) > 0
+	return len(ready.Renewals)+len(ready.Stops)+len(ready.Grants) > 0
 }
 
-func (l *loop) routeAsk(now time.Duration, state *pageState, ask ownership.AskOut) {
+func (l *loop) routeAsk(now time.Duration, state *pageState, ask ownership.RenewalMessage) {
 	for _, host := range ask.Hosts {
 		if host == l.c.identity.Host {
-			answer := l.c.voter.agree(now, ask.Ask)
-			state.machine.Answer(now, ask.Round, host, answer)
+			answer := l.c.voter.agree(now, ask.Request)
+			state.machine.HandleRenewalResponse(now, ask.Round, host, answer)
 			continue
 		}
 		l.out.asks[host] = append(l.out.asks[host], ask)
 	}
 }
 
-func (l *loop) routeStop(now time.Duration, state *pageState, stop ownership.StopOut) {
+func (l *loop) routeStop(now time.Duration, state *pageState, stop ownership.StopMessage) {
 	for _, host := range stop.Hosts {
 		if host == l.c.identity.Host {
 			promise := l.c.voter.stop(now, stop.Page, stop.Generation)
-			state.machine.Promised(now, stop.Generation, host, promise)
+			state.machine.HandlePromise(now, stop.Generation, host, promise)
 			continue
 		}
 		l.out.stops[host] = append(l.out.stops[host], stop)
 	}
 }
 
-func (l *loop) routeGrant(now time.Duration, grant ownership.GrantOut) {
+func (l *loop) routeGrant(now time.Duration, grant ownership.GrantMessage) {
 	if grant.Holder.Kind == ownership.Router {
 		l.router(grant.Holder.Name).noteAsked(now)
 		l.out.leases[grant.Holder.Name] = append(l.out.leases[grant.Holder.Name], grant)
--- a/domain/outbox.go
+++ b/domain/outbox.go
@@ -26,10 +26,10 @@
 // outbox gathers what the loop wants sent, so that one message for each peer
 // and router carries all pages.
 type outbox struct {
-	asks    map[string][]ownership.AskOut
-	stops   map[string][]ownership.StopOut
-	leases  map[string][]ownership.GrantOut
-	grants  []ownership.GrantOut
+	asks    map[string][]ownership.RenewalMessage
+	stops   map[string][]ownership.StopMessage
+	leases  map[string][]ownership.GrantMessage
+	grants  []ownership.GrantMessage
 	writes  []record.Page
 	rereads []string
 	probes  []probe
@@ -40,9 +40,9 @@
 
 func newOutbox() outbox {
 	return outbox{
-		asks:   map[string][]ownership.AskOut{},
-		stops:  map[string][]ownership.StopOut{},
-		leases: map[string][]ownership.GrantOut{},
+		asks:   map[string][]ownership.RenewalMessage{},
+		stops:  map[string][]ownership.StopMessage{},
+		leases: map[string][]ownership.GrantMessage{},
 	}
 }
 
@@ -73,7 +73,7 @@
 	}
 }
 
-func (c *Controller) sendAsks(ctx context.Context, host string, asks []ownership.AskOut) {
+func (c *Controller) sendAsks(ctx context.Context, host string, asks []ownership.RenewalMessage) {
 	peer, ok := c.directory.Host(host)
 	if !ok {
 		return
@@ -89,24 +89,24 @@
 	})
 }
 
-func agreeRequest(from string, asks []ownership.AskOut) *linkpb.AgreeRequest {
+func agreeRequest(from string, asks []ownership.RenewalMessage) *linkpb.AgreeRequest {
 	request := &linkpb.AgreeRequest{From: from}
 	for _, ask := range asks {
 		request.Asks = append(request.Asks, &linkpb.Ask{
-			Page:        ask.Ask.Page,
-			Generation:  ask.Ask.Generation,
-			Dispatcher:  ask.Ask.Dispatcher,
-			Run:         ask.Ask.Run,
-			Released:    ask.Ask.Released,
-			ReleasedRun: ask.Ask.ReleasedRun,
-			Bounded:     ask.Ask.Bounded,
+			Page:        ask.Request.Page,
+			Generation:  ask.Request.Generation,
+			Dispatcher:  ask.Request.Dispatcher,
+			Run:         ask.Request.DispatcherIncarnation,
+			Released:    ask.Request.ReleasedDispatcher,
+			ReleasedRun: ask.Request.ReleasedIncarnation,
+			Bounded:     ask.Request.Bounded,
 			Round:       ask.Round,
 		})
 	}
 	return request
 }
 
-func (c *Controller) sendStops(ctx context.Context, host string, stops []ownership.StopOut) {
+func (c *Controller) sendStops(ctx context.Context, host string, stops []ownership.StopMessage) {
 	peer, ok := c.directory.Host(host)
 	if !ok {
 		return
@@ -128,7 +128,7 @@
 
 // sendLeases offers or renews a router's leases. The page itself goes along
 // until the router has acknowledged its generation.
-func (l *loop) sendLeases(ctx context.Context, host string, grants []ownership.GrantOut) {
+func (l *loop) sendLeases(ctx context.Context, host string, grants []ownership.GrantMessage) {
 	router, ok := l.c.directory.Host(host)
 	if !ok {
 		return
@@ -152,7 +152,7 @@
 	})
 }
 
-func (l *loop) pageLease(out ownership.GrantOut) *linkpb.PageLease {
+func (l *loop) pageLease(out ownership.GrantMessage) *linkpb.PageLease {
 	if out.Grant == nil {
 		return &linkpb.PageLease{Page: out.Page, Probe: true}
 	}
@@ -169,7 +169,7 @@
 	return lease
 }
 
-func (c *Controller) sendGrant(ctx context.Context, out ownership.GrantOut) {
+func (c *Controller) sendGrant(ctx context.Context, out ownership.GrantMessage) {
 	name := out.Holder.Name
 	server, ok := c.directory.Server(name)
 	if !ok {
--- a/domain/serve.go
+++ b/domain/serve.go
@@ -28,19 +28,19 @@
 	for _, ask := range request.GetAsks() {
 		now := s.c.clock.Now()
 		s.c.heard.note(ask.GetPage(), request.GetFrom(), now)
-		answer := s.c.voter.agree(now, ownership.Ask{
-			Page:        ask.GetPage(),
-			Generation:  ask.GetGeneration(),
-			Dispatcher:  ask.GetDispatcher(),
-			Run:         ask.GetRun(),
-			Released:    ask.GetReleased(),
-			ReleasedRun: ask.GetReleasedRun(),
-			Bounded:     ask.GetBounded(),
+		answer := s.c.voter.agree(now, ownership.RenewalRequest{
+			Page:                  ask.GetPage(),
+			Generation:            ask.GetGeneration(),
+			Dispatcher:            ask.GetDispatcher(),
+			DispatcherIncarnation: ask.GetRun(),
+			ReleasedDispatcher:    ask.GetReleased(),
+			ReleasedIncarnation:   ask.GetReleasedRun(),
+			Bounded:               ask.GetBounded(),
 		})
 		s.noteDispatcher(ask, answer)
 		reply.Answers = append(reply.Answers, &linkpb.Answer{
 			Verdict:      uint32(answer.Verdict),
-			Known:        answer.Known,
+			Known:        answer.KnownGeneration,
 			Dispatcher:   answer.Dispatcher,
 			BusyForNanos: int64(answer.BusyFor),
 		})
@@ -49,7 +49,7 @@
 }
 
 // noteDispatcher lets this controller's routers know who dispatches the page.
-func (s *LinkServer) noteDispatcher(ask *linkpb.Ask, answer ownership.Answer) {
+func (s *LinkServer) noteDispatcher(ask *linkpb.Ask, answer ownership.RenewalResponse) {
 	if answer.Verdict == ownership.Agreed {
 		s.c.directory.SetDispatcher(ask.GetPage(), ask.GetDispatcher())
 	}
--- a/domain/view.go
+++ b/domain/view.go
@@ -22,13 +22,13 @@
 	service, _ := l.c.directory.Service(page.Service)
 	servers := l.pageServers(page, service)
 	view := ownership.View{
-		Active:          true,
-		Dispatcher:      l.chooseDispatcher(now, state, page),
-		LostHosts:       l.c.directory.Lost(record.LostHost),
-		LostServers:     l.c.directory.Lost(record.LostServer),
-		Unchecked:       service.Fencing == record.FencingUnchecked,
-		WaitForOperator: service.WaitForOperator,
-		DrainWait:       service.Deadline(),
+		Active:             true,
+		Dispatcher:         l.chooseDispatcher(now, state, page),
+		LostHosts:          l.c.directory.Lost(record.LostHost),
+		LostServers:        l.c.directory.Lost(record.LostServer),
+		TokensUnchecked:    service.Fencing == record.FencingUnchecked,
+		WaitForOperator:    service.WaitForOperator,
+		MaxRequestDuration: service.Deadline(),
 	}
 	for _, server := range servers {
 		view.Servers = append(view.Servers, server.Name)
@@ -167,7 +167,7 @@
 
 func (l *loop) proposeMoves(now time.Duration, state *pageState, page record.Page,
 	service record.Service, view ownership.View, proposal *ownership.Proposal) {
-	world := placement.World{
+	world := placement.Input{
 		Now:     now,
 		Page:    page,
 		Weigh:   service.Weigh,
--- a/gateway/cold.go
+++ b/gateway/cold.go
@@ -63,7 +63,7 @@
 func (g *Gateway) applyColdStartLimits(configuration *routing.Configuration) {
 	for name, settings := range configuration.Services {
 		if s := g.service(name); s != nil {
-			s.setColdStartLimit(settings.ColdPerSecond, g.hosts.value())
+			s.setColdStartLimit(settings.ColdStartLimit, g.hosts.value())
 		}
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -83,7 +83,7 @@
 	// so that lines of successful requests can't displace those of failed ones.
 	requestLogLimit, failureLogLimit, callLogLimit, entryLogLimit, noticeLogLimit *logLimiter
 
-	configuration     routing.InForce
+	configuration     routing.ActiveConfiguration
 	registryListed    atomic.Bool // the registry has been read at least once
 	evacuationsListed atomic.Bool // the evacuations have been read at least once
 
@@ -220,8 +220,8 @@
 	// Services get their servers first: no request may match a route whose service has none
 	// yet.
 	g.distributeServers()
-	if g.configuration.Offer(offered) {
-		for _, doubt := range offered.Doubts {
+	if g.configuration.Update(offered) {
+		for _, doubt := range offered.Warnings {
 			if g.failureLogLimit.allow() {
 				g.log.Warn("configuration has a setting that can't be parsed; the strictest value is used", "version", offered.Version, "error", doubt.Error())
 			}
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -122,7 +122,7 @@
 	if g.stop.rejects(g.now(), req.deadline) {
 		return stoppingReply()
 	}
-	req.serviceName = req.route.Pick()
+	req.serviceName = req.route.PickService()
 	req.service = g.service(req.serviceName)
 	if req.service == nil {
 		return rejection("unknown-service", defaultRetryAfter)
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -35,7 +35,7 @@
 	mu          sync.Mutex
 	pool        *balance.Pool
 	conns       map[string]*serverConns // by server ID; only servers that have been used
-	retryBudget *dispatch.Budget
+	retryBudget *dispatch.RetryBudget
 	// retryReserveSet is set once the host has its share of the initial retry reserve.
 	retryReserveSet   bool
 	keyDemand         map[uint16]time.Duration                   // requested slot time by key, since the last report
@@ -49,7 +49,7 @@
 func newService(name string, identity Identity, keyed bool, now func() time.Duration) *service {
 	retryRatio := usedRetryFraction * cmp.Or(identity.RetryRatio, defaultRetryRatio)
 	s := &service{name: name, now: now, conns: map[string]*serverConns{},
-		retryBudget: dispatch.NewBudget(retryRatio, 0), keyDemand: map[uint16]time.Duration{}, paces: map[fleet.Incarnation]balance.ServiceTimes{}}
+		retryBudget: dispatch.NewRetryBudget(retryRatio, 0), keyDemand: map[uint16]time.Duration{}, paces: map[fleet.Incarnation]balance.ServiceTimes{}}
 	reserve := retryReserveFor(identity.RetryReserve, 0)
 	s.retryBudget.SetReserve(reserve.capacity, reserve.initial)
 	var owner balance.Owner
@@ -170,7 +170,7 @@
 func (s *service) recordRequest(key *uint16) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.retryBudget.First()
+	s.retryBudget.RecordFirstAttempt()
 	if key != nil {
 		s.keyDemand[*key] += s.pool.MeanServiceTime()
 	}
@@ -193,7 +193,7 @@
 func (s *service) takeRetry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.retryBudget.Retry()
+	return s.retryBudget.TakeRetry()
 }
 
 // acquireServer waits for a server and occupies one of its slots. The error is a
--- a/ownership/advance.go
+++ b/ownership/advance.go
@@ -34,50 +34,50 @@
 
 // Propose replaces the proposal that is pending for the next write. Changes that no
 // longer fit the page are left out when the write is built.
-func (m *Machine) Propose(now time.Duration, proposal Proposal) {
+func (m *StateMachine) Propose(now time.Duration, proposal Proposal) {
 	m.proposal = proposal
-	if m.known && m.view.Active {
-		m.advance(now)
+	if m.hasPage && m.view.Active {
+		m.writeNextGeneration(now)
 		m.requestStops()
 	}
 }
 
 // Idle reports whether there is no write, proposal, shard release or group change
 // pending.
-func (m *Machine) Idle() bool {
-	return m.writing == nil && m.proposal.Empty() && len(m.stopTargets()) == 0
+func (m *StateMachine) Idle() bool {
+	return m.writing == nil && m.proposal.Empty() && len(m.generationsToStop()) == 0
 }
 
 // writeNextGeneration requests a write of the next generation if a pending change
 // has become provably safe or a change is proposed.
-func (m *Machine) advance(now time.Duration) {
+func (m *StateMachine) writeNextGeneration(now time.Duration) {
 	if m.writing != nil || !m.view.Active {
 		return
 	}
-	for _, generation := range m.stopTargets() {
-		m.countLost(now, m.stopTarget(generation))
+	for _, generation := range m.generationsToStop() {
+		m.addLostHosts(now, m.promisesFor(generation))
 	}
 	next := m.page.Clone()
 	next.Generation++
-	changed := m.assignReleased(now, &next)
-	changed = m.finishGroup(now, &next) || changed
+	changed := m.assignReleasedShards(now, &next)
+	changed = m.dropOldGroup(now, &next) || changed
 	changed = applyProposal(&next, m.proposal) || changed
 	m.proposal = Proposal{}
 	if !changed {
 		return
 	}
-	next.Attempt = m.attempts()
+	next.Attempt = m.newAttemptID()
 	m.writing = &next
 	m.ready.Write = &next
 }
 
 // assignReleasedShards assigns an owner to each releasing shard that no server can
 // hold any more.
-func (m *Machine) assignReleased(now time.Duration, next *record.Page) bool {
+func (m *StateMachine) assignReleasedShards(now time.Duration, next *record.Page) bool {
 	changed := false
 	for i := range next.Shards {
 		shard := &next.Shards[i]
-		if !shard.Releasing() || !m.released(now, *shard) {
+		if !shard.Releasing() || !m.unheld(now, *shard) {
 			continue
 		}
 		owner := m.nextOwner(*shard, i)
@@ -97,7 +97,7 @@
 
 // nextOwner returns the server that the move was planned for if it is eligible.
 // Other shards are spread over the eligible servers.
-func (m *Machine) nextOwner(shard record.Shard, index int) string {
+func (m *StateMachine) nextOwner(shard record.Shard, index int) string {
 	if slices.Contains(m.view.Eligible, shard.Next) {
 		return shard.Next
 	}
@@ -108,36 +108,36 @@
 }
 
 // unheld reports whether no server can hold a releasing shard any more.
-func (m *Machine) released(now time.Duration, shard record.Shard) bool {
+func (m *StateMachine) unheld(now time.Duration, shard record.Shard) bool {
 	if shard.Released == 0 {
 		return true // never owned
 	}
-	if !m.takeoverSettled(now) {
+	if !m.previousDomainExpired(now) {
 		return false
 	}
-	promises := m.stopTarget(shard.Released - 1)
-	if m.view.Unchecked {
-		return m.releasedUnchecked(now, shard, promises)
+	promises := m.promisesFor(shard.Released - 1)
+	if m.view.TokensUnchecked {
+		return m.unheldUnchecked(now, shard, promises)
 	}
-	return m.lapsed(now, promises) || m.confirmed(shard, promises)
+	return m.leasesExpired(now, promises) || m.releaseConfirmed(shard, promises)
 }
 
 // unheldUnchecked is the stricter condition for servers that run requests without
 // checking tokens: no router may dispatch on the old generation any more, and the
 // requests sent before have ended by their deadline. A confirmation by the server
 // cannot shorten that wait, since a request may still be in transit to it.
-func (m *Machine) releasedUnchecked(now time.Duration, shard record.Shard, promises *collection) bool {
-	if !m.lapsed(now, promises) {
+func (m *StateMachine) unheldUnchecked(now time.Duration, shard record.Shard, promises *promiseSet) bool {
+	if !m.leasesExpired(now, promises) {
 		return false
 	}
 	if slices.Contains(m.view.LostServers, shard.Owner) {
 		return true
 	}
-	lastSent := max(promises.majorityAt+m.terms.Guard(m.terms.Lease), m.takeoverSettledAt())
-	if now < lastSent+m.terms.Guard(m.view.DrainWait) {
+	lastSent := max(promises.majorityAt+m.terms.SafeWait(m.terms.LeaseDuration), m.previousDomainExpiresAt())
+	if now < lastSent+m.terms.SafeWait(m.view.MaxRequestDuration) {
 		return false
 	}
-	return m.confirmed(shard, promises) || !m.view.WaitForOperator
+	return m.releaseConfirmed(shard, promises) || !m.view.WaitForOperator
 }
 
 // releaseConfirmed reports whether the old owner has confirmed that it released the
@@ -145,9 +145,9 @@
 // sent after a majority stopped counts: an owner that restarts after its response
 // loses track of the release, and a majority formed before the stop could still
 // grant the shard to the new incarnation.
-func (m *Machine) confirmed(shard record.Shard, promises *collection) bool {
+func (m *StateMachine) releaseConfirmed(shard record.Shard, promises *promiseSet) bool {
 	state, known := m.holders[HolderID{Kind: BackendServer, Name: shard.Owner}]
-	if !known || !state.stamped || !promises.majority {
+	if !known || !state.answered || !promises.reachedMajority {
 		return false
 	}
 	if state.ackSentAt < promises.majorityAt || state.generation < shard.Released {
@@ -161,31 +161,31 @@
 
 // previousDomainExpired reports whether no lease granted by the failure domain that
 // had the page before a takeover can be valid any more.
-func (m *Machine) takeoverSettled(now time.Duration) bool {
-	return now >= m.takeoverSettledAt()
+func (m *StateMachine) previousDomainExpired(now time.Duration) bool {
+	return now >= m.previousDomainExpiresAt()
 }
 
 // previousDomainExpiresAt returns when every lease that the page's previous failure
 // domain may have granted has expired. The wait is by time alone: the previous
 // group may be unreachable, and the new group's promises do not cover it.
-func (m *Machine) takeoverSettledAt() time.Duration {
+func (m *StateMachine) previousDomainExpiresAt() time.Duration {
 	if m.page.TakenOver == 0 {
 		return 0
 	}
-	wait := m.terms.Guard(m.terms.Lease)
+	wait := m.terms.SafeWait(m.terms.LeaseDuration)
 	if m.page.Bounded {
-		wait += m.terms.Guard(m.terms.StoreAway)
+		wait += m.terms.SafeWait(m.terms.MaxStoreOutage)
 	}
-	return m.takenSeen + wait
+	return m.takeoverSeenAt + wait
 }
 
 // dropOldGroup removes the old group from the page once no lease that only the old
 // group agreed to can be valid.
-func (m *Machine) finishGroup(now time.Duration, next *record.Page) bool {
+func (m *StateMachine) dropOldGroup(now time.Duration, next *record.Page) bool {
 	if len(m.page.OldGroup) == 0 {
 		return false
 	}
-	if !m.lapsed(now, m.stopTarget(m.page.GroupSince-1)) {
+	if !m.leasesExpired(now, m.promisesFor(m.page.GroupSince-1)) {
 		return false
 	}
 	next.OldGroup = nil
--- a/ownership/collection.go
+++ b/ownership/collection.go
@@ -6,43 +6,43 @@
 )
 
 // promiseSet collects voters' promises to stop one generation and all older ones.
-type collection struct {
+type promiseSet struct {
 	// leasesExpireAt holds, for each voter that promised, the local time at which
 	// every lease that the voter agreed to has expired.
-	lapsedAt map[string]time.Duration
+	leasesExpireAt map[string]time.Duration
 	// majorityAt is when a majority had promised; it is valid if reachedMajority is
 	// set.
-	majority   bool
-	majorityAt time.Duration
+	reachedMajority bool
+	majorityAt      time.Duration
 }
 
 // promisesFor returns the promises to stop the generation and all older ones.
-func (m *Machine) stopTarget(generation uint64) *collection {
-	if known, ok := m.collections[generation]; ok {
+func (m *StateMachine) promisesFor(generation uint64) *promiseSet {
+	if known, ok := m.stopPromises[generation]; ok {
 		return known
 	}
-	fresh := &collection{lapsedAt: map[string]time.Duration{}}
-	m.collections[generation] = fresh
+	fresh := &promiseSet{leasesExpireAt: map[string]time.Duration{}}
+	m.stopPromises[generation] = fresh
 	return fresh
 }
 
 // pruneStopPromises drops the promises that no pending change of the newest
 // generation needs, and checks the others against the majority of the page's
 // current groups.
-func (m *Machine) forgetCollections() {
-	needed := m.stopTargets()
-	for generation, promises := range m.collections {
+func (m *StateMachine) pruneStopPromises() {
+	needed := m.generationsToStop()
+	for generation, promises := range m.stopPromises {
 		if !slices.Contains(needed, generation) {
-			delete(m.collections, generation)
+			delete(m.stopPromises, generation)
 			continue
 		}
-		promises.majority = promises.majority && m.majority(promises.promised())
+		promises.reachedMajority = promises.reachedMajority && m.hasMajority(promises.hosts())
 	}
 }
 
 // generationsToStop lists the generations that must be stopped for the pending
 // changes.
-func (m *Machine) stopTargets() []uint64 {
+func (m *StateMachine) generationsToStop() []uint64 {
 	var targets []uint64
 	for _, shard := range m.page.Shards {
 		if shard.Releasing() && shard.Released > 0 {
@@ -57,72 +57,72 @@
 }
 
 // requestStops asks the voters that have not promised yet.
-func (m *Machine) requestStops() {
-	for _, generation := range m.stopTargets() {
-		promises := m.stopTarget(generation)
+func (m *StateMachine) requestStops() {
+	for _, generation := range m.generationsToStop() {
+		promises := m.promisesFor(generation)
 		var missing []string
 		for _, host := range m.page.Voters() {
-			if _, promised := promises.lapsedAt[host]; !promised {
+			if _, promised := promises.leasesExpireAt[host]; !promised {
 				missing = append(missing, host)
 			}
 		}
 		if len(missing) > 0 {
-			stop := StopOut{Hosts: missing, Page: m.page.Name, Generation: generation}
+			stop := StopMessage{Hosts: missing, Page: m.page.Name, Generation: generation}
 			m.ready.Stops = append(m.ready.Stops, stop)
 		}
 	}
 }
 
 // HandlePromise processes a voter's promise to stop a generation.
-func (m *Machine) Promised(now time.Duration, generation uint64, host string, promise Promise) {
-	promises, wanted := m.collections[generation]
+func (m *StateMachine) HandlePromise(now time.Duration, generation uint64, host string, promise Promise) {
+	promises, wanted := m.stopPromises[generation]
 	if !wanted {
 		return
 	}
-	if _, duplicate := promises.lapsedAt[host]; duplicate {
+	if _, duplicate := promises.leasesExpireAt[host]; duplicate {
 		return
 	}
-	promises.lapsedAt[host] = now + m.terms.Guard(promise.Remaining)
-	m.countPromises(now, promises)
-	m.advance(now)
+	promises.leasesExpireAt[host] = now + m.terms.SafeWait(promise.Remaining)
+	m.checkMajority(now, promises)
+	m.writeNextGeneration(now)
 }
 
-func (m *Machine) countPromises(now time.Duration, promises *collection) {
-	if promises.majority || !m.majority(promises.promised()) {
+func (m *StateMachine) checkMajority(now time.Duration, promises *promiseSet) {
+	if promises.reachedMajority || !m.hasMajority(promises.hosts()) {
 		return
 	}
-	promises.majority = true
+	promises.reachedMajority = true
 	promises.majorityAt = now
 	m.probeOwners(now)
 }
 
 // probeOwners immediately asks the old owners of releasing shards whether they have
 // released them, rather than at the next tick.
-func (m *Machine) probeOwners(now time.Duration) {
+func (m *StateMachine) probeOwners(now time.Duration) {
 	asked := map[string]bool{}
 	for _, shard := range m.page.Shards {
 		if !shard.Releasing() || shard.Owner == "" || asked[shard.Owner] {
 			continue
 		}
 		asked[shard.Owner] = true
-		m.send(now, HolderID{Kind: BackendServer, Name: shard.Owner}, nil)
+		m.queueMessage(now, HolderID{Kind: BackendServer, Name: shard.Owner}, nil)
 	}
 }
 
 // addLostHosts counts a host that an operator declared lost as stopped; the leases
 // that it may have agreed to expire after one lease duration.
-func (m *Machine) countLost(now time.Duration, promises *collection) {
+func (m *StateMachine) addLostHosts(now time.Duration, promises *promiseSet) {
 	for _, host := range m.view.LostHosts {
-		if _, promised := promises.lapsedAt[host]; !promised {
-			promises.lapsedAt[host] = now + m.terms.Guard(m.terms.Lease)
+		if _, promised := promises.leasesExpireAt[host]; !promised {
+			promises.leasesExpireAt[host] = now + m.terms.SafeWait(m.terms.LeaseDuration)
 		}
 	}
-	m.countPromises(now, promises)
+	m.checkMajority(now, promises)
 }
 
-func (s *collection) promised() map[string]bool {
+func (s *promiseSet) hosts() map[string]bool {
 	hosts := map[string]bool{}
-	for host := range s.lapsedAt {
+	for host := range s.leasesExpireAt {
 		hosts[host] = true
 	}
 	return hosts
@@ -130,12 +130,12 @@
 
 // leasesExpired reports whether a majority stopped and the leases that it agreed to
 // have expired, so that no lease on the generation or an older one can be valid.
-func (m *Machine) lapsed(now time.Duration, promises *collection) bool {
+func (m *StateMachine) leasesExpired(now time.Duration, promises *promiseSet) bool {
 	expired := map[string]bool{}
-	for host, at := range promises.lapsedAt {
+	for host, at := range promises.leasesExpireAt {
 		if now >= at {
 			expired[host] = true
 		}
 	}
-	return promises.majority && m.majority(expired)
+	return promises.reachedMajority && m.hasMajority(expired)
 }
--- a/ownership/doc.go
+++ b/ownership/doc.go
@@ -43,13 +43,13 @@
 type Terms struct {
 	// LeaseDuration is how long a lease is valid from the holder's clock reading
 	// that it is based on, on that clock.
-	Lease time.Duration
+	LeaseDuration time.Duration
 	// MaxClockDrift is the maximum difference of a clock's rate from the true rate,
 	// as a fraction.
-	Drift float64
+	MaxClockDrift float64
 	// MaxStoreOutage is how long leases are renewed without contact to the store,
 	// for pages that another failure domain takes over when theirs is cut off.
-	StoreAway time.Duration
+	MaxStoreOutage time.Duration
 }
 
 // DefaultTerms returns terms under which a key is served again within 2 s of the
@@ -60,12 +60,12 @@
 		drift     = 0.01
 		storeAway = 10 * time.Second
 	)
-	return Terms{Lease: lease, Drift: drift, StoreAway: storeAway}
+	return Terms{LeaseDuration: lease, MaxClockDrift: drift, MaxStoreOutage: storeAway}
 }
 
 // SafeWait returns how long a process must wait on its own clock to be sure that d
 // has passed on any other. Without the margin a fast local clock would end the wait
 // while a lease is still valid on a holder's slow clock.
-func (t Terms) Guard(d time.Duration) time.Duration {
-	return time.Duration(float64(d)*(1+t.Drift)/(1-t.Drift)) + 1
+func (t Terms) SafeWait(d time.Duration) time.Duration {
+	return time.Duration(float64(d)*(1+t.MaxClockDrift)/(1-t.MaxClockDrift)) + 1
 }
--- a/ownership/faults_test.go
+++ b/ownership/faults_test.go
@@ -15,7 +15,7 @@
 
 // deliverIf delivers the messages that match, and those sent in response if they
 // match too.
-func (s *world) deliverIf(match func(m message) bool) {
+func (s *simulation) deliverIf(match func(m message) bool) {
 	for range 6 {
 		batch := s.messages
 		s.messages = nil
@@ -29,10 +29,10 @@
 	}
 }
 
-func everything(message) bool { return true }
+func anyMessage(message) bool { return true }
 
 // runTicks runs the whole system for some ticks of 10 ms.
-func (s *world) runTicks(t testingT, ticks int) {
+func (s *simulation) runTicks(t testingT, ticks int) {
 	for range ticks {
 		for _, name := range s.controllerNames() {
 			c := s.controllers[name]
@@ -43,13 +43,13 @@
 			actions{s}.tickOne(c)
 		}
 		s.deliverIf(func(m message) bool { return !s.paused(m.to) })
-		s.time += 10 * time.Millisecond
-		s.check(t)
+		s.trueTime += 10 * time.Millisecond
+		s.checkInvariants(t)
 	}
 }
 
-func settledWorld(t *testing.T, bounded, unchecked bool) *world {
-	s := plainWorld(bounded, unchecked)
+func settledSimulation(t *testing.T, bounded, unchecked bool) *simulation {
+	s := fixedSimulation(bounded, unchecked)
 	for _, name := range s.controllerNames() {
 		s.read(s.controllers[name])
 	}
@@ -58,12 +58,12 @@
 	return s
 }
 
-func (s *world) move(c *controller, next string) {
+func (s *simulation) move(c *controller, next string) {
 	c.machine.Propose(c.now(s), ownership.Proposal{Releases: []ownership.Release{{Low: 0, Next: next}}})
-	s.carryOut(c)
+	s.perform(c)
 }
 
-func (s *world) otherServer() string {
+func (s *simulation) otherServer() string {
 	if s.page.Shards[0].Owner == "s1" {
 		return "s2"
 	}
@@ -72,9 +72,9 @@
 
 // releasing returns the state machine of c1 at time 0, with a page whose only shard
 // is being released by s1 in generation 2.
-func releasing(t *testing.T, view ownership.View) *ownership.Machine {
+func releasing(t *testing.T, view ownership.View) *ownership.StateMachine {
 	attempt := func() string { return "attempt" }
-	m := ownership.NewMachine(testTerms(), attempt)
+	m := ownership.NewStateMachine(testTerms(), attempt)
 	m.Learn(0, record.Page{
 		Name: testPage, High: pageHigh, Generation: 1, GroupSince: 1, Group: []string{"c1", "c2", "c3"},
 		Shards: []record.Shard{{Owner: "s1", Token: 1, State: record.ShardOwned}},
@@ -86,7 +86,7 @@
 	m.Propose(0, ownership.Proposal{Releases: []ownership.Release{{Low: 0, Next: "s2"}}})
 	written := m.Ready().Write
 	assert.Assert(t, written != nil && written.Shards[0].Releasing())
-	m.WriteResult(0, written.Attempt, ownership.WriteDone)
+	m.HandleWriteResult(0, written.Attempt, ownership.WriteDone)
 	m.Ready()
 	return m
 }
@@ -98,15 +98,15 @@
 // release once the majority stops, the key gets a new owner and the delayed grant
 // still arrives. So only acks of messages sent after the majority stopped may
 // count.
-func TestOwnerRestartsBetweenItsAnswerAndTheStop(t *testing.T) {
+func TestOwnerRestartsBetweenAckAndStop(t *testing.T) {
 	m := releasing(t, ownership.View{})
 	s1 := ownership.HolderID{Kind: ownership.BackendServer, Name: "s1"}
-	m.Ack(1, s1, ownership.HolderAck{SentAt: 1, Stamp: 1, Incarnation: 7, Generation: 2})
-	running := ownership.Promise{Remaining: testTerms().Lease}
-	m.Promised(5, 1, "c1", running)
-	m.Promised(5, 1, "c2", running)
+	m.HandleAck(1, s1, ownership.HolderAck{SentAt: 1, HolderTime: 1, Incarnation: 7, Generation: 2})
+	running := ownership.Promise{Remaining: testTerms().LeaseDuration}
+	m.HandlePromise(5, 1, "c1", running)
+	m.HandlePromise(5, 1, "c2", running)
 	assert.Assert(t, m.Ready().Write == nil, "an ack from before the stop counted as a release")
-	m.Ack(6, s1, ownership.HolderAck{SentAt: 5, Stamp: 6, Incarnation: 7, Generation: 2})
+	m.HandleAck(6, s1, ownership.HolderAck{SentAt: 5, HolderTime: 6, Incarnation: 7, Generation: 2})
 	assert.Assert(t, m.Ready().Write != nil, "the owner's ack from after the stop did not count as a release")
 }
 
@@ -114,14 +114,14 @@
 // deadline. A request in transit when the router's lease expires could run after
 // the key's new owner has run another. So the key must stay without an owner until
 // the deadlines of such requests have passed.
-func TestUncheckedServerRunsWhatIsOnItsWay(t *testing.T) {
-	m := releasing(t, ownership.View{Unchecked: true, DrainWait: 150 * time.Millisecond})
+func TestUncheckedServerRunsRequestsInFlight(t *testing.T) {
+	m := releasing(t, ownership.View{TokensUnchecked: true, MaxRequestDuration: 150 * time.Millisecond})
 	view := ownership.View{Active: true, Servers: []string{"s1", "s2"}, Eligible: []string{"s2"},
-		Unchecked: true, DrainWait: 150 * time.Millisecond}
-	m.Promised(0, 1, "c1", ownership.Promise{})
-	m.Promised(0, 1, "c2", ownership.Promise{})
+		TokensUnchecked: true, MaxRequestDuration: 150 * time.Millisecond}
+	m.HandlePromise(0, 1, "c1", ownership.Promise{})
+	m.HandlePromise(0, 1, "c2", ownership.Promise{})
 	terms := testTerms()
-	drained := terms.Guard(terms.Lease) + terms.Guard(view.DrainWait)
+	drained := terms.SafeWait(terms.LeaseDuration) + terms.SafeWait(view.MaxRequestDuration)
 	m.Tick(drained-1, view)
 	assert.Assert(t, m.Ready().Write == nil, "the key got a new owner while a request could be in transit")
 	m.Tick(drained, view)
@@ -136,19 +136,19 @@
 func TestUncheckedTakeOverWaitsForTheLastRequest(t *testing.T) {
 	terms := testTerms()
 	const drain = 150 * time.Millisecond
-	m := ownership.NewMachine(terms, func() string { return "attempt" })
+	m := ownership.NewStateMachine(terms, func() string { return "attempt" })
 	page := ownership.TakeOver(record.Page{
 		Name: testPage, High: pageHigh, Generation: 1, GroupSince: 1, Bounded: true, Group: []string{"c1"},
 		Shards: []record.Shard{{Owner: "s1", Token: 1, State: record.ShardOwned}},
 	}, "b", []string{"d1"}, "taken")
-	view := ownership.View{Active: true, Eligible: []string{"s2"}, Unchecked: true, DrainWait: drain}
+	view := ownership.View{Active: true, Eligible: []string{"s2"}, TokensUnchecked: true, MaxRequestDuration: drain}
 	m.Learn(0, page)
 	m.Tick(0, view)
-	m.Promised(0, 1, "d1", ownership.Promise{})
-	lastSent := terms.Guard(terms.Lease) + terms.Guard(terms.StoreAway)
-	m.Tick(lastSent+terms.Guard(drain)-1, view)
+	m.HandlePromise(0, 1, "d1", ownership.Promise{})
+	lastSent := terms.SafeWait(terms.LeaseDuration) + terms.SafeWait(terms.MaxStoreOutage)
+	m.Tick(lastSent+terms.SafeWait(drain)-1, view)
 	assert.Assert(t, m.Ready().Write == nil, "the key got a new owner while the old domain's last request could be in transit")
-	m.Tick(lastSent+terms.Guard(drain), view)
+	m.Tick(lastSent+terms.SafeWait(drain), view)
 	assert.Assert(t, m.Ready().Write != nil)
 }
 
@@ -157,7 +157,7 @@
 // controller without contact to the store may ask it to agree to that generation.
 // So the new process must abstain until it has read the store.
 func TestReplacedVoterAbstains(t *testing.T) {
-	s := settledWorld(t, false, false)
+	s := settledSimulation(t, false, false)
 	c1, c2, c3 := s.controllers["c1"], s.controllers["c2"], s.controllers["c3"]
 	s.messages = nil
 	s.cut[[2]string{"c3", storeName}] = true
@@ -168,62 +168,62 @@
 	for range 3 {
 		actions{s}.tickOne(c1)
 		s.deliverIf(func(m message) bool { return m.from != "c3" && m.to != "c3" })
-		s.time += 5 * time.Millisecond
+		s.trueTime += 5 * time.Millisecond
 	}
 	s.startController(c2)
 	s.storeDown = true
 	for range 30 {
 		actions{s}.tickOne(c3)
 		actions{s}.tickOne(c1)
-		s.deliverIf(everything)
-		s.time += 10 * time.Millisecond
-		s.check(t)
+		s.deliverIf(anyMessage)
+		s.trueTime += 10 * time.Millisecond
+		s.checkInvariants(t)
 	}
-	answer := c2.voter.Agree(c2.now(s), ownership.Ask{Page: testPage, Generation: c3.machine.Page().Generation})
+	answer := c2.voter.Agree(c2.now(s), ownership.RenewalRequest{Page: testPage, Generation: c3.machine.Page().Generation})
 	assert.Equal(t, answer.Verdict, ownership.Abstains)
 }
 
 // Two routers could dispatch one page: a router releases its lease, restarts and
 // gets a new lease, and a delayed renewal request that reports the release arrives
 // afterwards. So a release must apply to one incarnation of the router only.
-func TestReleaseIsOfOneRun(t *testing.T) {
+func TestReleaseAppliesToOneIncarnation(t *testing.T) {
 	terms := testTerms()
 	voter := ownership.NewVoter(terms, 0)
 	voter.StoreRead(0)
-	now := terms.Guard(terms.Lease)
-	ask := ownership.Ask{Page: testPage, Generation: 1, Dispatcher: "r1", Run: 2}
+	now := terms.SafeWait(terms.LeaseDuration)
+	ask := ownership.RenewalRequest{Page: testPage, Generation: 1, Dispatcher: "r1", DispatcherIncarnation: 2}
 	assert.Equal(t, voter.Agree(now, ask).Verdict, ownership.Agreed)
-	late := ownership.Ask{Page: testPage, Generation: 1, Dispatcher: "r2", Run: 5, Released: "r1", ReleasedRun: 1}
+	late := ownership.RenewalRequest{Page: testPage, Generation: 1, Dispatcher: "r2", DispatcherIncarnation: 5, ReleasedDispatcher: "r1", ReleasedIncarnation: 1}
 	assert.Equal(t, voter.Agree(now, late).Verdict, ownership.DispatcherBusy)
-	late.ReleasedRun = 2
+	late.ReleasedIncarnation = 2
 	assert.Equal(t, voter.Agree(now, late).Verdict, ownership.Agreed)
 }
 
 // TestVerdicts checks each reason for a voter to agree or to refuse.
 func TestVerdicts(t *testing.T) {
 	terms := testTerms()
-	lapsed := terms.Guard(terms.Lease)
-	ask := ownership.Ask{Page: testPage, Generation: 5}
+	lapsed := terms.SafeWait(terms.LeaseDuration)
+	ask := ownership.RenewalRequest{Page: testPage, Generation: 5}
 	rows := []struct {
 		name    string
 		prepare func(v *ownership.Voter)
 		at      time.Duration
-		ask     ownership.Ask
+		ask     ownership.RenewalRequest
 		want    ownership.Verdict
 	}{
 		{"no reason to refuse", func(v *ownership.Voter) { v.StoreRead(0) }, 0, ask, ownership.Agreed},
 		{"store not read", func(v *ownership.Voter) { v.Learn(testPage, 5) }, 0, ask, ownership.Abstains},
-		{"newer generation known", func(v *ownership.Voter) { v.StoreRead(0); v.Learn(testPage, 6) }, 0, ask, ownership.Newer},
+		{"newer generation known", func(v *ownership.Voter) { v.StoreRead(0); v.Learn(testPage, 6) }, 0, ask, ownership.NewerGenerationKnown},
 		{"stopped", func(v *ownership.Voter) { v.StoreRead(0); v.Stop(0, testPage, 5) }, 0, ask, ownership.Stopped},
 		{"older generation stopped", func(v *ownership.Voter) { v.StoreRead(0); v.Stop(0, testPage, 4) }, 0, ask, ownership.Agreed},
-		{"bounded, store outage too long", func(v *ownership.Voter) { v.StoreRead(0) }, terms.StoreAway + 1,
-			ownership.Ask{Page: testPage, Generation: 5, Bounded: true}, ownership.Abstains},
-		{"bounded, store outage within limit", func(v *ownership.Voter) { v.StoreRead(0) }, terms.StoreAway,
-			ownership.Ask{Page: testPage, Generation: 5, Bounded: true}, ownership.Agreed},
+		{"bounded, store outage too long", func(v *ownership.Voter) { v.StoreRead(0) }, terms.MaxStoreOutage + 1,
+			ownership.RenewalRequest{Page: testPage, Generation: 5, Bounded: true}, ownership.Abstains},
+		{"bounded, store outage within limit", func(v *ownership.Voter) { v.StoreRead(0) }, terms.MaxStoreOutage,
+			ownership.RenewalRequest{Page: testPage, Generation: 5, Bounded: true}, ownership.Agreed},
 		{"predecessor may have agreed to another router", func(v *ownership.Voter) { v.StoreRead(0) }, lapsed - 1,
-			ownership.Ask{Page: testPage, Generation: 5, Dispatcher: "r1"}, ownership.DispatcherBusy},
+			ownership.RenewalRequest{Page: testPage, Generation: 5, Dispatcher: "r1"}, ownership.DispatcherBusy},
 		{"predecessor's leases have expired", func(v *ownership.Voter) { v.StoreRead(0) }, lapsed,
-			ownership.Ask{Page: testPage, Generation: 5, Dispatcher: "r1"}, ownership.Agreed},
+			ownership.RenewalRequest{Page: testPage, Generation: 5, Dispatcher: "r1"}, ownership.Agreed},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -238,7 +238,7 @@
 // tokens must not get a new owner before an operator declares it lost, even when
 // all leases have expired and all request deadlines have passed.
 func TestUncheckedServerWaitsForOperator(t *testing.T) {
-	s := settledWorld(t, false, true)
+	s := settledSimulation(t, false, true)
 	old := s.holders[s.page.Shards[0].Owner]
 	for _, c := range s.controllers {
 		c.view.WaitForOperator = true
--- a/ownership/holder.go
+++ b/ownership/holder.go
@@ -44,12 +44,12 @@
 type GrantRefusal struct {
 	Reason RefusalReason
 	// KnownGeneration is the newest generation that the holder has accepted.
-	Known uint64
+	KnownGeneration uint64
 }
 
 // Error implements the error interface.
 func (r *GrantRefusal) Error() string {
-	return fmt.Sprintf("grant refused: %s (holder knows generation %d)", r.Reason, r.Known)
+	return fmt.Sprintf("grant refused: %s (holder knows generation %d)", r.Reason, r.KnownGeneration)
 }
 
 type heldPage struct {
@@ -82,11 +82,11 @@
 	}
 	switch {
 	case grant.Incarnation != h.incarnation:
-		return &GrantRefusal{Reason: RefusedIncarnation, Known: held.generation}
+		return &GrantRefusal{Reason: RefusedIncarnation, KnownGeneration: held.generation}
 	case grant.Generation < held.generation:
-		return &GrantRefusal{Reason: RefusedGeneration, Known: held.generation}
+		return &GrantRefusal{Reason: RefusedGeneration, KnownGeneration: held.generation}
 	case grant.Generation > held.generation && !grant.Complete:
-		return &GrantRefusal{Reason: RefusedIncomplete, Known: held.generation}
+		return &GrantRefusal{Reason: RefusedIncomplete, KnownGeneration: held.generation}
 	}
 	if grant.Complete {
 		held.shards = slices.Clone(grant.Shards)
@@ -119,13 +119,13 @@
 // Holds reports whether, at the time now on its own clock, the holder has a valid
 // lease on the hash under exactly this token.
 func (h *Holder) Holds(now time.Duration, page string, hash, token uint64) bool {
-	held, ok := h.HeldAt(now, page, hash)
+	held, ok := h.ShardAt(now, page, hash)
 	return ok && held.Token == token
 }
 
 // ShardAt returns the shard with the hash, if the holder has a valid lease on it at
 // the time now.
-func (h *Holder) HeldAt(now time.Duration, page string, hash uint64) (HeldShard, bool) {
+func (h *Holder) ShardAt(now time.Duration, page string, hash uint64) (HeldShard, bool) {
 	held, ok := h.pages[page]
 	if !ok || now >= held.expiry {
 		return HeldShard{}, false
--- a/ownership/holders.go
+++ b/ownership/holders.go
@@ -7,8 +7,8 @@
 
 // holderState is what a state machine knows about one lease holder.
 type holderState struct {
-	stamped     bool
-	stamp       time.Duration
+	answered    bool
+	holderTime  time.Duration
 	incarnation uint64
 	// generation is the newest that the holder's current incarnation has accepted.
 	generation uint64
@@ -19,7 +19,7 @@
 	sentAt    time.Duration
 }
 
-func (m *Machine) holder(id HolderID) *holderState {
+func (m *StateMachine) holder(id HolderID) *holderState {
 	if known, ok := m.holders[id]; ok {
 		return known
 	}
@@ -29,7 +29,7 @@
 }
 
 // holderIDs lists the holders that get this page's grants and probes.
-func (m *Machine) holderIDs() []HolderID {
+func (m *StateMachine) holderIDs() []HolderID {
 	names := slices.Clone(m.view.Servers)
 	for _, shard := range m.page.Shards {
 		if shard.Owner != "" && !slices.Contains(names, shard.Owner) {
@@ -48,27 +48,27 @@
 
 // HandleAck processes a holder's response. Responses may arrive late, repeatedly
 // and out of order.
-func (m *Machine) Ack(now time.Duration, id HolderID, ack HolderAck) {
+func (m *StateMachine) HandleAck(now time.Duration, id HolderID, ack HolderAck) {
 	state := m.holder(id)
-	if state.stamped && ack.SentAt < state.ackSentAt {
+	if state.answered && ack.SentAt < state.ackSentAt {
 		return
 	}
-	first := !state.stamped
-	state.stamped = true
-	state.stamp = ack.Stamp
+	first := !state.answered
+	state.answered = true
+	state.holderTime = ack.HolderTime
 	state.incarnation = ack.Incarnation
 	state.generation = ack.Generation
 	state.ackSentAt = ack.SentAt
 	state.busy = ack.Busy
 	if ack.Leaving && id.Name == m.dispatcher {
-		m.gaveUp = id.Name
-		m.gaveUpRun = ack.Incarnation
-		m.dispatchAfter = now
+		m.releasedDispatcher = id.Name
+		m.releasedIncarnation = ack.Incarnation
+		m.dispatcherBusyUntil = now
 	}
-	if !m.known || !m.view.Active {
+	if !m.hasPage || !m.view.Active {
 		return
 	}
-	m.advance(now)
+	m.writeNextGeneration(now)
 	if first && id == (HolderID{Kind: Router, Name: m.view.Dispatcher}) && m.round.dispatcher == "" {
 		m.startRound(now) // the dispatcher's lease needed this clock reading
 	}
@@ -77,32 +77,32 @@
 // probeUncontacted probes the holders that were sent nothing since the last round
 // began, so that a current clock reading of holders without a lease is known in the
 // next round.
-func (m *Machine) probeSilent(now time.Duration) {
+func (m *StateMachine) probeUncontacted(now time.Duration) {
 	for _, id := range m.holderIDs() {
 		state := m.holder(id)
 		if state.sent && m.round.number != 0 && state.sentAt >= m.round.startedAt {
 			continue
 		}
-		m.send(now, id, nil)
+		m.queueMessage(now, id, nil)
 	}
 }
 
-func (m *Machine) send(now time.Duration, id HolderID, grant *Grant) {
+func (m *StateMachine) queueMessage(now time.Duration, id HolderID, grant *Grant) {
 	state := m.holder(id)
 	state.sent = true
 	state.sentAt = now
-	out := GrantOut{Holder: id, SentAt: now, Page: m.page.Name, Grant: grant}
+	out := GrantMessage{Holder: id, SentAt: now, Page: m.page.Name, Grant: grant}
 	m.ready.Grants = append(m.ready.Grants, out)
 }
 
 // grantFor returns the lease of one holder, based on the holder's clock reading
 // from before the round began.
-func (m *Machine) grantFor(id HolderID, reading stampOf) *Grant {
+func (m *StateMachine) grantFor(id HolderID, reading clockReading) *Grant {
 	grant := &Grant{
 		Page:        m.page.Name,
 		Generation:  m.round.generation,
 		Incarnation: reading.incarnation,
-		Expiry:      reading.stamp + m.terms.Lease,
+		Expiry:      reading.holderTime + m.terms.LeaseDuration,
 	}
 	state := m.holder(id)
 	current := state.incarnation == reading.incarnation && state.generation >= m.round.generation
@@ -114,7 +114,7 @@
 }
 
 // shardsOf lists the shards that the newest generation assigns to a server.
-func (m *Machine) shardsOf(server string) []HeldShard {
+func (m *StateMachine) shardsOf(server string) []HeldShard {
 	var held []HeldShard
 	for i, shard := range m.page.Shards {
 		if shard.Grantable() && shard.Owner == server {
--- a/ownership/machine.go
+++ b/ownership/machine.go
@@ -37,12 +37,12 @@
 	LostHosts   []string
 	LostServers []string
 	// TokensUnchecked is set when the servers do not check fencing tokens.
-	Unchecked bool
+	TokensUnchecked bool
 	// WaitForOperator leaves the keys of an unreachable server that does not check
 	// tokens without an owner until an operator declares the server lost.
 	WaitForOperator bool
 	// MaxRequestDuration is the longest that a request may run after it was sent.
-	DrainWait time.Duration
+	MaxRequestDuration time.Duration
 }
 
 // HolderAck is a holder's response to a grant or probe.
@@ -51,7 +51,7 @@
 	// sent.
 	SentAt time.Duration
 	// HolderTime is the holder's clock reading when it responded.
-	Stamp       time.Duration
+	HolderTime  time.Duration
 	Incarnation uint64
 	// Generation is the newest that the holder has accepted for the page.
 	Generation uint64
@@ -64,7 +64,7 @@
 }
 
 // GrantMessage is a grant to send, or a probe if Grant is nil.
-type GrantOut struct {
+type GrantMessage struct {
 	Holder HolderID
 	SentAt time.Duration
 	Page   string
@@ -72,14 +72,14 @@
 }
 
 // RenewalMessage is a renewal request to send to the members of the group.
-type AskOut struct {
-	Hosts []string
-	Round uint64
-	Ask   Ask
+type RenewalMessage struct {
+	Hosts   []string
+	Round   uint64
+	Request RenewalRequest
 }
 
 // StopMessage is a request to promise to stop a generation.
-type StopOut struct {
+type StopMessage struct {
 	Hosts      []string
 	Page       string
 	Generation uint64
@@ -88,10 +88,10 @@
 // Ready is what the caller must do next. A Write must not be published before the
 // store has acknowledged it.
 type Ready struct {
-	Asks   []AskOut
-	Stops  []StopOut
-	Grants []GrantOut
-	Write  *record.Page
+	Renewals []RenewalMessage
+	Stops    []StopMessage
+	Grants   []GrantMessage
+	Write    *record.Page
 	// Reread asks for the page to be read from the store again, because a write
 	// failed or has an unknown outcome, or because a voter knows a newer or stopped
 	// generation.
@@ -112,56 +112,56 @@
 
 // StateMachine renews the leases of one page and moves its shards. It is not safe
 // for concurrent use.
-type Machine struct {
-	terms    Terms
-	attempts func() string
+type StateMachine struct {
+	terms        Terms
+	newAttemptID func() string
 
-	page  record.Page
-	known bool
+	page    record.Page
+	hasPage bool
 	// takeoverSeenAt is when the generation of the latest takeover was first seen.
-	takenSeen time.Duration
+	takeoverSeenAt time.Duration
 
-	view        View
-	holders     map[HolderID]*holderState
-	round       round
-	rounds      uint64
-	collections map[uint64]*collection
-	proposal    Proposal
-	writing     *record.Page
-	ready       Ready
+	view         View
+	holders      map[HolderID]*holderState
+	round        round
+	lastRound    uint64
+	stopPromises map[uint64]*promiseSet
+	proposal     Proposal
+	writing      *record.Page
+	ready        Ready
 
 	// dispatcher is the router that was last reported by a voter or agreed to by a
 	// majority.
 	dispatcher string
 	// dispatcherBusyUntil is when the dispatcher's lease has expired, so that
 	// another router may be granted one.
-	dispatchAfter time.Duration
+	dispatcherBusyUntil time.Duration
 	// releasedDispatcher is a router that released its leases in
 	// releasedIncarnation.
-	gaveUp    string
-	gaveUpRun uint64
+	releasedDispatcher  string
+	releasedIncarnation uint64
 }
 
 // NewStateMachine returns a state machine for one page. newAttemptID returns
 // globally unique ids for write attempts.
-func NewMachine(terms Terms, newAttemptID func() string) *Machine {
-	return &Machine{
-		terms:       terms,
-		attempts:    newAttemptID,
-		holders:     map[HolderID]*holderState{},
-		collections: map[uint64]*collection{},
+func NewStateMachine(terms Terms, newAttemptID func() string) *StateMachine {
+	return &StateMachine{
+		terms:        terms,
+		newAttemptID: newAttemptID,
+		holders:      map[HolderID]*holderState{},
+		stopPromises: map[uint64]*promiseSet{},
 	}
 }
 
 // Page returns the newest known generation of the page.
-func (m *Machine) Page() record.Page { return m.page }
+func (m *StateMachine) Page() record.Page { return m.page }
 
 // Dispatcher returns the last known dispatch router of the page, or an empty
 // string.
-func (m *Machine) Dispatcher() string { return m.dispatcher }
+func (m *StateMachine) Dispatcher() string { return m.dispatcher }
 
 // Ready returns the pending work and clears it.
-func (m *Machine) Ready() Ready {
+func (m *StateMachine) Ready() Ready {
 	ready := m.ready
 	m.ready = Ready{}
 	return ready
@@ -169,40 +169,40 @@
 
 // Learn accepts a generation of the page from any source. Generations that are not
 // newer than the known one are ignored, so that the page never reverts.
-func (m *Machine) Learn(now time.Duration, page record.Page) {
-	if m.known && page.Generation <= m.page.Generation {
+func (m *StateMachine) Learn(now time.Duration, page record.Page) {
+	if m.hasPage && page.Generation <= m.page.Generation {
 		return
 	}
-	if !m.known || page.TakenOver != m.page.TakenOver {
-		m.takenSeen = now
+	if !m.hasPage || page.TakenOver != m.page.TakenOver {
+		m.takeoverSeenAt = now
 	}
 	m.page = page
-	m.known = true
+	m.hasPage = true
 	m.round = round{}
-	m.forgetCollections()
+	m.pruneStopPromises()
 	if !m.view.Active {
 		return
 	}
 	m.startRound(now)
-	m.advance(now)
+	m.writeNextGeneration(now)
 	m.requestStops()
 }
 
 // Tick starts a renewal round and repeats probes and stop requests that were not
 // answered.
-func (m *Machine) Tick(now time.Duration, view View) {
+func (m *StateMachine) Tick(now time.Duration, view View) {
 	m.view = view
-	if !m.known || !view.Active {
+	if !m.hasPage || !view.Active {
 		return
 	}
-	m.probeSilent(now)
+	m.probeUncontacted(now)
 	m.startRound(now)
-	m.advance(now)
+	m.writeNextGeneration(now)
 	m.requestStops()
 }
 
 // HandleWriteResult processes the outcome of the write that Ready returned.
-func (m *Machine) WriteResult(now time.Duration, attempt string, result WriteResult) {
+func (m *StateMachine) HandleWriteResult(now time.Duration, attempt string, result WriteResult) {
 	if m.writing == nil || m.writing.Attempt != attempt {
 		return
 	}
@@ -221,8 +221,8 @@
 
 // HandleWriteTimeout gives up waiting for a reply to the write that Ready returned;
 // its outcome counts as unknown.
-func (m *Machine) WriteTimedOut(now time.Duration) {
+func (m *StateMachine) HandleWriteTimeout(now time.Duration) {
 	if m.writing != nil {
-		m.WriteResult(now, m.writing.Attempt, WriteUnknown)
+		m.HandleWriteResult(now, m.writing.Attempt, WriteUnknown)
 	}
 }
--- a/ownership/oracle_test.go
+++ b/ownership/oracle_test.go
@@ -9,27 +9,27 @@
 // server holds a valid lease on each key hash and at most one router holds a valid
 // lease to dispatch the page, by their own clocks. No controller may revert to an
 // older generation.
-func (s *world) check(t testingT) {
-	if s.problem != "" {
-		t.Fatalf("at %v: %s", s.time, s.problem)
+func (s *simulation) checkInvariants(t testingT) {
+	if s.violation != "" {
+		t.Fatalf("at %v: %s", s.trueTime, s.violation)
 	}
 	for name, c := range s.controllers {
 		generation := c.machine.Page().Generation
-		if generation < s.known[name] {
-			t.Fatalf("%s reverted from generation %d to %d", name, s.known[name], generation)
+		if generation < s.newestKnown[name] {
+			t.Fatalf("%s reverted from generation %d to %d", name, s.newestKnown[name], generation)
 		}
-		s.known[name] = generation
+		s.newestKnown[name] = generation
 	}
 	for hash := uint64(0); hash <= pageHigh; hash += 5 {
 		var owners []string
 		for _, name := range serverNames {
 			h := s.holders[name]
-			if _, held := h.holder.HeldAt(h.now(s), testPage, hash); held {
+			if _, held := h.holder.ShardAt(h.now(s), testPage, hash); held {
 				owners = append(owners, name)
 			}
 		}
 		if len(owners) > 1 && !s.unchecked {
-			t.Fatalf("at %v: hash %d has several owners: %v", s.time, hash, owners)
+			t.Fatalf("at %v: hash %d has several owners: %v", s.trueTime, hash, owners)
 		}
 	}
 	var dispatchers []string
@@ -40,6 +40,6 @@
 		}
 	}
 	if len(dispatchers) > 1 {
-		t.Fatalf("at %v: the page has several dispatchers: %v", s.time, dispatchers)
+		t.Fatalf("at %v: the page has several dispatchers: %v", s.trueTime, dispatchers)
 	}
 }
--- a/ownership/round.go
+++ b/ownership/round.go
@@ -3,121 +3,121 @@
 import "time"
 
 // clockReading is a holder's last known clock reading when a round began.
-type stampOf struct {
-	stamp       time.Duration
+type clockReading struct {
+	holderTime  time.Duration
 	incarnation uint64
 }
 
 // round is one attempt to get a majority to agree to a lease period for a
 // generation.
 type round struct {
-	number     uint64
-	startedAt  time.Duration
-	generation uint64
-	dispatcher string
-	stamps     map[HolderID]stampOf
-	agreed     map[string]bool
-	won        bool
+	number        uint64
+	startedAt     time.Duration
+	generation    uint64
+	dispatcher    string
+	clockReadings map[HolderID]clockReading
+	agreed        map[string]bool
+	granted       bool
 }
 
 // startRound records the holders' clock readings and then asks the group. The order
 // is essential: every voter agrees after the readings were taken and so accounts
 // for leases based on them, however long this process pauses between the agreement
 // and the grant.
-func (m *Machine) startRound(now time.Duration) {
-	m.rounds++
+func (m *StateMachine) startRound(now time.Duration) {
+	m.lastRound++
 	m.round = round{
-		number:     m.rounds,
-		startedAt:  now,
-		generation: m.page.Generation,
-		stamps:     m.freezeStamps(),
-		agreed:     map[string]bool{},
+		number:        m.lastRound,
+		startedAt:     now,
+		generation:    m.page.Generation,
+		clockReadings: m.snapshotClockReadings(),
+		agreed:        map[string]bool{},
 	}
-	m.round.dispatcher = m.askedDispatcher(now)
-	request := Ask{
-		Page:        m.page.Name,
-		Generation:  m.round.generation,
-		Dispatcher:  m.round.dispatcher,
-		Run:         m.round.dispatcherRun(),
-		Released:    m.gaveUp,
-		ReleasedRun: m.gaveUpRun,
-		Bounded:     m.page.Bounded,
+	m.round.dispatcher = m.dispatcherToRenew(now)
+	request := RenewalRequest{
+		Page:                  m.page.Name,
+		Generation:            m.round.generation,
+		Dispatcher:            m.round.dispatcher,
+		DispatcherIncarnation: m.round.dispatcherIncarnation(),
+		ReleasedDispatcher:    m.releasedDispatcher,
+		ReleasedIncarnation:   m.releasedIncarnation,
+		Bounded:               m.page.Bounded,
 	}
-	m.ready.Asks = append(m.ready.Asks, AskOut{Hosts: m.page.Voters(), Round: m.rounds, Ask: request})
+	m.ready.Renewals = append(m.ready.Renewals, RenewalMessage{Hosts: m.page.Voters(), Round: m.lastRound, Request: request})
 }
 
 // dispatcherToRenew returns the dispatcher to request a lease for. It returns an
 // empty string while another router's lease may be valid, so that the leases of
 // backend servers are renewed in the meantime.
-func (m *Machine) askedDispatcher(now time.Duration) string {
-	if !m.takeoverSettled(now) {
+func (m *StateMachine) dispatcherToRenew(now time.Duration) string {
+	if !m.previousDomainExpired(now) {
 		return "" // a router of the previous domain may still dispatch the page
 	}
-	if m.view.Dispatcher != m.dispatcher && now < m.dispatchAfter {
+	if m.view.Dispatcher != m.dispatcher && now < m.dispatcherBusyUntil {
 		return ""
 	}
-	if _, answered := m.round.stamps[HolderID{Kind: Router, Name: m.view.Dispatcher}]; !answered {
+	if _, answered := m.round.clockReadings[HolderID{Kind: Router, Name: m.view.Dispatcher}]; !answered {
 		return "" // a lease needs the router's clock reading
 	}
 	return m.view.Dispatcher
 }
 
 // dispatcherIncarnation returns the incarnation of the round's dispatcher.
-func (r round) dispatcherRun() uint64 {
-	return r.stamps[HolderID{Kind: Router, Name: r.dispatcher}].incarnation
+func (r round) dispatcherIncarnation() uint64 {
+	return r.clockReadings[HolderID{Kind: Router, Name: r.dispatcher}].incarnation
 }
 
-func (m *Machine) freezeStamps() map[HolderID]stampOf {
-	readings := map[HolderID]stampOf{}
+func (m *StateMachine) snapshotClockReadings() map[HolderID]clockReading {
+	readings := map[HolderID]clockReading{}
 	for _, id := range m.holderIDs() {
 		state := m.holder(id)
-		if state.stamped {
-			readings[id] = stampOf{stamp: state.stamp, incarnation: state.incarnation}
+		if state.answered {
+			readings[id] = clockReading{holderTime: state.holderTime, incarnation: state.incarnation}
 		}
 	}
 	return readings
 }
 
 // HandleRenewalResponse processes a voter's response to the request of a round.
-func (m *Machine) Answer(now time.Duration, number uint64, host string, response Answer) {
+func (m *StateMachine) HandleRenewalResponse(now time.Duration, number uint64, host string, response RenewalResponse) {
 	if number != m.round.number || m.round.generation != m.page.Generation {
 		return
 	}
 	switch response.Verdict {
 	case Agreed:
 		m.round.agreed[host] = true
-		m.winRound(now)
+		m.grantLeases(now)
 	case DispatcherBusy:
 		m.dispatcher = response.Dispatcher
-		m.dispatchAfter = max(m.dispatchAfter, now+response.BusyFor)
-	case Newer, Stopped:
+		m.dispatcherBusyUntil = max(m.dispatcherBusyUntil, now+response.BusyFor)
+	case NewerGenerationKnown, Stopped:
 		m.ready.Reread = true
 	}
 }
 
 // grantLeases sends the leases of a round as soon as a majority has agreed.
-func (m *Machine) winRound(now time.Duration) {
-	if m.round.won || !m.majority(m.round.agreed) {
+func (m *StateMachine) grantLeases(now time.Duration) {
+	if m.round.granted || !m.hasMajority(m.round.agreed) {
 		return
 	}
-	m.round.won = true
+	m.round.granted = true
 	if m.round.dispatcher != "" {
 		m.dispatcher = m.round.dispatcher
-		m.gaveUp = ""
-		m.dispatchAfter = now + m.terms.Guard(m.terms.Lease)
+		m.releasedDispatcher = ""
+		m.dispatcherBusyUntil = now + m.terms.SafeWait(m.terms.LeaseDuration)
 	}
 	for _, id := range m.holderIDs() {
-		reading, ok := m.round.stamps[id]
+		reading, ok := m.round.clockReadings[id]
 		if !ok || id.Kind == Router && id.Name != m.round.dispatcher {
 			continue
 		}
-		m.send(now, id, m.grantFor(id, reading))
+		m.queueMessage(now, id, m.grantFor(id, reading))
 	}
 }
 
 // hasMajority reports whether the hosts are a majority of the page's group and,
 // during a change of the group, of the old group too.
-func (m *Machine) majority(hosts map[string]bool) bool {
+func (m *StateMachine) hasMajority(hosts map[string]bool) bool {
 	if !isMajority(m.page.Group, hosts) {
 		return false
 	}
--- a/ownership/scenarios_test.go
+++ b/ownership/scenarios_test.go
@@ -9,9 +9,9 @@
 )
 
 // injectFault injects one random fault, or none.
-func (a actions) disturb(t *rapid.T) {
+func (a actions) injectFault(t *rapid.T) {
 	all := []func(*rapid.T){
-		a.restartController, a.restartHolder, a.partition, a.heal, a.store, a.hold, a.letGo,
+		a.restartController, a.restartHolder, a.partition, a.heal, a.store, a.delay, a.releaseDelayed,
 		a.changeGroup, a.request, a.request, a.request, a.resume, a.isolate, a.loseReply, a.move,
 	}
 	choice := rapid.IntRange(0, 4*len(all)).Draw(t, "fault")
@@ -21,18 +21,18 @@
 }
 
 // runWithFaults runs the system for some rounds and injects faults.
-func (a actions) follow(t *rapid.T, rounds int) {
+func (a actions) runWithFaults(t *rapid.T, rounds int) {
 	for range rounds {
-		a.work(t)
+		a.runNormally(t)
 		a.request(t)
-		a.disturb(t)
+		a.injectFault(t)
 	}
 }
 
 // member returns a running controller of the page's group, or nil.
 func (a actions) member(t *rapid.T) *controller {
-	name := rapid.SampledFrom(a.w.page.Group).Draw(t, "member")
-	c := a.w.controllers[name]
+	name := rapid.SampledFrom(a.sim.page.Group).Draw(t, "member")
+	c := a.sim.controllers[name]
 	if c == nil || c.paused {
 		return nil
 	}
@@ -48,11 +48,11 @@
 	}
 	lost := rapid.SampledFrom(serverNames).Draw(t, "lost")
 	if rapid.Bool().Draw(t, "pause") {
-		a.w.setPaused(lost, true)
+		a.sim.setPaused(lost, true)
 	} else {
-		for _, name := range a.w.controllerNames() {
-			a.w.cut[[2]string{name, lost}] = true
-			a.w.cut[[2]string{lost, name}] = true
+		for _, name := range a.sim.controllerNames() {
+			a.sim.cut[[2]string{name, lost}] = true
+			a.sim.cut[[2]string{lost, name}] = true
 		}
 	}
 	c.view.Eligible = slices.DeleteFunc(slices.Clone(serverNames), func(name string) bool { return name == lost })
@@ -63,13 +63,13 @@
 		}
 	}
 	a.request(t)
-	c.machine.Propose(c.now(a.w), ownership.Proposal{Releases: releases})
-	a.w.carryOut(c)
-	a.follow(t, 10)
-	a.w.setPaused(lost, false)
-	a.follow(t, 2)
+	c.machine.Propose(c.now(a.sim), ownership.Proposal{Releases: releases})
+	a.sim.perform(c)
+	a.runWithFaults(t, 10)
+	a.sim.setPaused(lost, false)
+	a.runWithFaults(t, 2)
 	a.heal(t)
-	c.view = a.w.defaultView()
+	c.view = a.sim.defaultView()
 }
 
 // switchRouter makes the controllers prefer another dispatch router, because the
@@ -80,22 +80,22 @@
 	case "leave":
 		old.leaving = true
 	case "restart":
-		a.w.startHolder(old)
+		a.sim.startHolder(old)
 	case "pause":
-		a.w.setPaused(old.name, true)
+		a.sim.setPaused(old.name, true)
 	case "cut":
-		for _, name := range a.w.controllerNames() {
-			a.w.cut[[2]string{name, old.name}] = true
+		for _, name := range a.sim.controllerNames() {
+			a.sim.cut[[2]string{name, old.name}] = true
 		}
 	}
-	a.follow(t, 1)
-	for _, c := range a.w.controllers {
+	a.runWithFaults(t, 1)
+	for _, c := range a.sim.controllers {
 		c.view.Dispatcher = routerNames[0]
 		if old.name == routerNames[0] {
 			c.view.Dispatcher = routerNames[1]
 		}
 	}
-	a.follow(t, 6)
+	a.runWithFaults(t, 6)
 	a.heal(t)
 	a.resume(t)
 }
@@ -103,17 +103,17 @@
 // cutOffDomain partitions the page's failure domain from the store and the other
 // domain, which then takes the page over.
 func (a actions) cutOffDomain(t *rapid.T) {
-	if a.w.page.Home == "b" || !a.w.page.Bounded {
+	if a.sim.page.Home == "b" || !a.sim.page.Bounded {
 		return
 	}
-	for _, name := range a.w.namesOf("a") {
-		for _, other := range append([]string{storeName}, heirNames...) {
-			a.w.cut[[2]string{name, other}] = true
-			a.w.cut[[2]string{other, name}] = true
+	for _, name := range a.sim.namesOf("a") {
+		for _, other := range append([]string{storeName}, otherDomainNames...) {
+			a.sim.cut[[2]string{name, other}] = true
+			a.sim.cut[[2]string{other, name}] = true
 		}
 	}
 	a.takeOver(t)
-	a.follow(t, 18)
+	a.runWithFaults(t, 18)
 	a.heal(t)
-	a.follow(t, 2)
+	a.runWithFaults(t, 2)
 }
--- a/ownership/world_test.go
+++ b/ownership/world_test.go
@@ -23,7 +23,7 @@
 )
 
 func testTerms() ownership.Terms {
-	return ownership.Terms{Lease: 100 * time.Millisecond, Drift: testDrift, StoreAway: 150 * time.Millisecond}
+	return ownership.Terms{LeaseDuration: 100 * time.Millisecond, MaxClockDrift: testDrift, MaxStoreOutage: 150 * time.Millisecond}
 }
 
 // process is the common state of all processes: a clock, and a run number that
@@ -36,14 +36,14 @@
 	run    int
 }
 
-func (p *process) now(s *world) time.Duration {
-	return p.offset + time.Duration(float64(s.time)*p.rate)
+func (p *process) now(s *simulation) time.Duration {
+	return p.offset + time.Duration(float64(s.trueTime)*p.rate)
 }
 
 type controller struct {
 	process
 	voter   *ownership.Voter
-	machine *ownership.Machine
+	machine *ownership.StateMachine
 	view    ownership.View
 	reading bool
 }
@@ -73,13 +73,13 @@
 	token  uint64
 }
 
-type world struct {
-	time        time.Duration
+type simulation struct {
+	trueTime    time.Duration
 	controllers map[string]*controller
 	holders     map[string]*holder
 	messages    []message
 	// delayed are messages that the network delays for a long time.
-	held        []message
+	delayed     []message
 	cut         map[[2]string]bool
 	storeDown   bool
 	page        record.Page
@@ -88,32 +88,32 @@
 	attempts    int
 	incarnation uint64
 	effects     map[uint64]effect
-	known       map[string]uint64 // newest generation of each controller
+	newestKnown map[string]uint64 // newest generation of each controller
 	group       []string
 	unchecked   bool
 	lostHosts   []string
-	problem     string
+	violation   string
 }
 
 const storeName = "store"
 
 // otherDomainNames are controllers of another failure domain, which may take the
 // page over.
-var heirNames = []string{"d1", "d2", "d3"}
+var otherDomainNames = []string{"d1", "d2", "d3"}
 
 var serverNames = []string{"s1", "s2", "s3"}
 
 var routerNames = []string{"r1", "r2"}
 
 // clockFunc returns the rate and offset of a process's clock.
-type clockOf func(name string) (rate float64, offset time.Duration)
+type clockFunc func(name string) (rate float64, offset time.Duration)
 
 // randomSimulation returns a simulation with random parameters.
-func drawnWorld(t *rapid.T, unchecked bool) *world {
+func randomSimulation(t *rapid.T, unchecked bool) *simulation {
 	size := rapid.SampledFrom([]int{2, 3, 3, 4, 5}).Draw(t, "group")
 	bounded := rapid.Bool().Draw(t, "bounded")
 	rates := []float64{1 - testDrift, 1 + testDrift, 1}
-	return newWorld(size, bounded, unchecked, func(name string) (float64, time.Duration) {
+	return newSimulation(size, bounded, unchecked, func(name string) (float64, time.Duration) {
 		rate := rapid.SampledFrom(rates).Draw(t, "rate of "+name)
 		offset := rapid.IntRange(0, 5000).Draw(t, "offset of "+name)
 		return rate, time.Duration(offset) * time.Millisecond
@@ -122,25 +122,25 @@
 
 // fixedSimulation returns a simulation for a fixed sequence of events, with three
 // group members and identical clocks.
-func plainWorld(bounded, unchecked bool) *world {
-	return newWorld(3, bounded, unchecked, func(string) (float64, time.Duration) { return 1, 0 })
+func fixedSimulation(bounded, unchecked bool) *simulation {
+	return newSimulation(3, bounded, unchecked, func(string) (float64, time.Duration) { return 1, 0 })
 }
 
-func newWorld(size int, bounded, unchecked bool, clock clockOf) *world {
+func newSimulation(size int, bounded, unchecked bool, clock clockFunc) *simulation {
 	newProcess := func(name string) process {
 		rate, offset := clock(name)
 		return process{name: name, rate: rate, offset: offset}
 	}
-	s := &world{
+	s := &simulation{
 		controllers: map[string]*controller{},
 		holders:     map[string]*holder{},
 		cut:         map[[2]string]bool{},
 		effects:     map[uint64]effect{},
-		known:       map[string]uint64{},
+		newestKnown: map[string]uint64{},
 		unchecked:   unchecked,
-		time:        time.Hour,
+		trueTime:    time.Hour,
 	}
-	for _, name := range heirNames {
+	for _, name := range otherDomainNames {
 		s.controllers[name] = &controller{process: newProcess(name)}
 	}
 	for i := range size + 1 {
@@ -176,34 +176,34 @@
 	return s
 }
 
-func (s *world) startController(c *controller) {
-	s.known[c.name] = 0
+func (s *simulation) startController(c *controller) {
+	s.newestKnown[c.name] = 0
 	c.run++
 	c.paused = false
 	c.reading = false
 	c.voter = ownership.NewVoter(testTerms(), c.now(s))
-	c.machine = ownership.NewMachine(testTerms(), s.newAttempt)
+	c.machine = ownership.NewStateMachine(testTerms(), s.newAttempt)
 	c.view = s.defaultView()
 }
 
-func (s *world) defaultView() ownership.View {
+func (s *simulation) defaultView() ownership.View {
 	return ownership.View{
-		Active:     true,
-		Servers:    serverNames,
-		Eligible:   serverNames,
-		Dispatcher: routerNames[0],
-		Unchecked:  s.unchecked,
-		DrainWait:  150 * time.Millisecond,
-		LostHosts:  s.lostHosts,
+		Active:             true,
+		Servers:            serverNames,
+		Eligible:           serverNames,
+		Dispatcher:         routerNames[0],
+		TokensUnchecked:    s.unchecked,
+		MaxRequestDuration: 150 * time.Millisecond,
+		LostHosts:          s.lostHosts,
 	}
 }
 
-func (s *world) newAttempt() string {
+func (s *simulation) newAttempt() string {
 	s.attempts++
 	return fmt.Sprint("attempt ", s.attempts)
 }
 
-func (s *world) startHolder(h *holder) {
+func (s *simulation) startHolder(h *holder) {
 	s.incarnation++
 	h.run++
 	h.paused = false
@@ -213,32 +213,32 @@
 }
 
 // send sends a message, unless the link is cut.
-func (s *world) send(from, to string, deliver func()) {
+func (s *simulation) send(from, to string, deliver func()) {
 	if s.cut[[2]string{from, to}] {
 		return
 	}
-	s.messages = append(s.messages, message{from: from, to: to, sentAt: s.time, deliver: deliver})
+	s.messages = append(s.messages, message{from: from, to: to, sentAt: s.trueTime, deliver: deliver})
 }
 
 // reply sends a reply to the run of the process that sent the request, unless the
 // link is cut.
-func (s *world) reply(from string, to *process, run int, deliver func()) {
+func (s *simulation) reply(from string, to *process, run int, deliver func()) {
 	if s.cut[[2]string{from, to.name}] {
 		return
 	}
-	s.messages = append(s.messages, message{from: from, to: to.name, runOf: to, run: run, sentAt: s.time, deliver: deliver})
+	s.messages = append(s.messages, message{from: from, to: to.name, runOf: to, run: run, sentAt: s.trueTime, deliver: deliver})
 }
 
 // deliver delivers one message, unless it is a reply to an earlier run of its
 // receiver.
-func (s *world) deliver(m message) {
+func (s *simulation) deliver(m message) {
 	if m.runOf != nil && m.runOf.run != m.run {
 		return
 	}
 	m.deliver()
 }
 
-func (s *world) paused(name string) bool {
+func (s *simulation) paused(name string) bool {
 	if c, ok := s.controllers[name]; ok {
 		return c.paused
 	}
@@ -249,56 +249,56 @@
 }
 
 // perform performs the pending work of a controller's state machine.
-func (s *world) carryOut(c *controller) {
+func (s *simulation) perform(c *controller) {
 	for {
 		ready := c.machine.Ready()
-		s.carryAsks(c, ready.Asks)
-		s.carryStops(c, ready.Stops)
+		s.sendRenewals(c, ready.Renewals)
+		s.sendStops(c, ready.Stops)
 		for _, grant := range ready.Grants {
-			s.carryGrant(c, grant)
+			s.sendGrant(c, grant)
 		}
 		if ready.Write != nil {
-			s.carryWrite(c, *ready.Write)
+			s.sendWrite(c, *ready.Write)
 		}
 		if ready.Reread {
 			s.read(c)
 		}
-		if len(ready.Asks)+len(ready.Stops)+len(ready.Grants) == 0 {
+		if len(ready.Renewals)+len(ready.Stops)+len(ready.Grants) == 0 {
 			return
 		}
 	}
 }
 
-func (s *world) carryAsks(c *controller, asks []ownership.AskOut) {
+func (s *simulation) sendRenewals(c *controller, asks []ownership.RenewalMessage) {
 	run := c.run
 	for _, ask := range asks {
 		for _, host := range ask.Hosts {
 			peer := s.controllers[host]
 			if host == c.name {
-				c.machine.Answer(c.now(s), ask.Round, host, c.voter.Agree(c.now(s), ask.Ask))
+				c.machine.HandleRenewalResponse(c.now(s), ask.Round, host, c.voter.Agree(c.now(s), ask.Request))
 				continue
 			}
 			s.send(c.name, host, func() {
 				if s.controllers[host] == nil {
 					return // declared lost
 				}
-				answer := peer.voter.Agree(peer.now(s), ask.Ask)
+				answer := peer.voter.Agree(peer.now(s), ask.Request)
 				s.reply(host, &c.process, run, func() {
-					c.machine.Answer(c.now(s), ask.Round, host, answer)
-					s.carryOut(c)
+					c.machine.HandleRenewalResponse(c.now(s), ask.Round, host, answer)
+					s.perform(c)
 				})
 			})
 		}
 	}
 }
 
-func (s *world) carryStops(c *controller, stops []ownership.StopOut) {
+func (s *simulation) sendStops(c *controller, stops []ownership.StopMessage) {
 	run := c.run
 	for _, stop := range stops {
 		for _, host := range stop.Hosts {
 			peer := s.controllers[host]
 			if host == c.name {
-				c.machine.Promised(c.now(s), stop.Generation, host, c.voter.Stop(c.now(s), stop.Page, stop.Generation))
+				c.machine.HandlePromise(c.now(s), stop.Generation, host, c.voter.Stop(c.now(s), stop.Page, stop.Generation))
 				continue
 			}
 			s.send(c.name, host, func() {
@@ -307,15 +307,15 @@
 				}
 				promise := peer.voter.Stop(peer.now(s), stop.Page, stop.Generation)
 				s.reply(host, &c.process, run, func() {
-					c.machine.Promised(c.now(s), stop.Generation, host, promise)
-					s.carryOut(c)
+					c.machine.HandlePromise(c.now(s), stop.Generation, host, promise)
+					s.perform(c)
 				})
 			})
 		}
 	}
 }
 
-func (s *world) carryGrant(c *controller, out ownership.GrantOut) {
+func (s *simulation) sendGrant(c *controller, out ownership.GrantMessage) {
 	run := c.run
 	h := s.holders[out.Holder.Name]
 	s.send(c.name, h.name, func() {
@@ -324,32 +324,32 @@
 		}
 		ack := ownership.HolderAck{
 			SentAt:      out.SentAt,
-			Stamp:       h.now(s),
+			HolderTime:  h.now(s),
 			Incarnation: h.holder.Incarnation(),
 			Generation:  h.holder.Generation(out.Page),
 			Leaving:     h.leaving,
-			Busy:        s.busyOf(h),
+			Busy:        s.busyHashes(h),
 		}
 		s.reply(h.name, &c.process, run, func() {
-			c.machine.Ack(c.now(s), out.Holder, ack)
-			s.carryOut(c)
+			c.machine.HandleAck(c.now(s), out.Holder, ack)
+			s.perform(c)
 		})
 	})
 }
 
 // busyHashes lists the hashes of requests that a server still runs without holding
 // a lease on them.
-func (s *world) busyOf(h *holder) []uint64 {
+func (s *simulation) busyHashes(h *holder) []uint64 {
 	var busy []uint64
 	for _, hash := range h.busy {
-		if _, held := h.holder.HeldAt(h.now(s), testPage, hash); !held {
+		if _, held := h.holder.ShardAt(h.now(s), testPage, hash); !held {
 			busy = append(busy, hash)
 		}
 	}
 	return busy
 }
 
-func (s *world) carryWrite(c *controller, page record.Page) {
+func (s *simulation) sendWrite(c *controller, page record.Page) {
 	run := c.run
 	s.send(c.name, storeName, func() {
 		if s.storeDown {
@@ -361,23 +361,23 @@
 			result = ownership.WriteDone
 		}
 		s.reply(storeName, &c.process, run, func() {
-			c.machine.WriteResult(c.now(s), page.Attempt, result)
+			c.machine.HandleWriteResult(c.now(s), page.Attempt, result)
 			if result == ownership.WriteDone {
 				c.voter.Learn(page.Name, page.Generation)
 			}
-			s.carryOut(c)
+			s.perform(c)
 		})
 	})
 }
 
 // commit stores a generation and checks that no hash changed its owner or token
 // without being released before.
-func (s *world) commit(page record.Page) {
+func (s *simulation) commit(page record.Page) {
 	for hash := uint64(0); hash <= pageHigh; hash += 5 {
 		before := s.page.Shards[s.page.ShardAt(hash)]
 		after := page.Shards[page.ShardAt(hash)]
 		if before.Grantable() && after.Grantable() && (before.Owner != after.Owner || before.Token != after.Token) {
-			s.problem = fmt.Sprintf("hash %d moved from %s to %s without being released", hash, before.Owner, after.Owner)
+			s.violation = fmt.Sprintf("hash %d moved from %s to %s without being released", hash, before.Owner, after.Owner)
 		}
 	}
 	s.page = page
@@ -386,7 +386,7 @@
 }
 
 // read makes a controller read the store.
-func (s *world) read(c *controller) {
+func (s *simulation) read(c *controller) {
 	run := c.run
 	began := c.now(s)
 	s.send(c.name, storeName, func() {
@@ -398,14 +398,14 @@
 			c.voter.Learn(page.Name, page.Generation)
 			c.voter.StoreRead(began)
 			c.machine.Learn(c.now(s), page)
-			s.carryOut(c)
+			s.perform(c)
 		})
 	})
 }
 
 // relay makes a controller learn a page from a peer, as happens through routers'
 // feeds.
-func (s *world) relay(from, to *controller) {
+func (s *simulation) relay(from, to *controller) {
 	page := from.machine.Page()
 	if page.Generation == 0 {
 		return
@@ -413,12 +413,12 @@
 	s.send(from.name, to.name, func() {
 		to.voter.Learn(page.Name, page.Generation)
 		to.machine.Learn(to.now(s), page)
-		s.carryOut(to)
+		s.perform(to)
 	})
 }
 
 // request sends a request from a router that holds a valid lease by its own clock.
-func (s *world) request(router *holder, hash uint64) {
+func (s *simulation) request(router *holder, hash uint64) {
 	now := router.now(s)
 	if now >= router.holder.Expiry(testPage) || router.leaving {
 		return
@@ -430,16 +430,16 @@
 		return
 	}
 	server := s.holders[shard.Owner]
-	sentAt := s.time
+	sentAt := s.trueTime
 	s.send(router.name, server.name, func() { s.accept(server, hash, shard.Token, sentAt) })
 }
 
 // accept delivers a request to a server, which runs it at once if it may.
-func (s *world) accept(server *holder, hash, token uint64, sentAt time.Duration) {
+func (s *simulation) accept(server *holder, hash, token uint64, sentAt time.Duration) {
 	if s.unchecked {
 		// Servers that do not check tokens must honour deadlines. A request in
 		// transit for longer is the documented residual risk.
-		if s.time-sentAt < s.defaultView().DrainWait {
+		if s.trueTime-sentAt < s.defaultView().MaxRequestDuration {
 			s.run(server, hash, token)
 		}
 		return
@@ -449,16 +449,16 @@
 	}
 }
 
-func (s *world) run(server *holder, hash, token uint64) {
+func (s *simulation) run(server *holder, hash, token uint64) {
 	before := s.effects[hash]
 	if token < before.token || token == before.token && server.name != before.server {
-		s.problem = fmt.Sprintf("hash %d ran at %s under token %d after %s under token %d",
+		s.violation = fmt.Sprintf("hash %d ran at %s under token %d after %s under token %d",
 			hash, server.name, token, before.server, before.token)
 	}
 	s.effects[hash] = effect{server: server.name, token: token}
 }
 
-func (s *world) processNames() []string {
+func (s *simulation) processNames() []string {
 	names := slices.Sorted(maps.Keys(s.controllers))
 	names = append(names, serverNames...)
 	names = append(names, routerNames...)
--- a/placement/ledger.go
+++ b/placement/ledger.go
@@ -8,7 +8,7 @@
 )
 
 // loadedShard is a shard with its load.
-type item struct {
+type loadedShard struct {
 	low   uint64
 	owner string
 	rate  float64
@@ -17,18 +17,18 @@
 
 // loadModel is the expected load of each server, including the moves that are
 // already planned.
-type ledger struct {
+type loadModel struct {
 	servers   []Server
 	slots     map[string]float64
 	load      map[string]float64
 	count     map[string]int
-	items     []item
-	stranded  []item
+	shards    []loadedShard
+	displaced []loadedShard
 	releasing int
 }
 
-func (p *Planner) newLedger(input World) *ledger {
-	m := &ledger{
+func (p *Planner) newLoadModel(input Input) *loadModel {
+	m := &loadModel{
 		servers: input.Servers,
 		slots:   map[string]float64{},
 		load:    map[string]float64{},
@@ -40,13 +40,13 @@
 		m.count[server.Name] = 0
 	}
 	for _, shard := range input.Page.Shards {
-		m.enter(p.itemOf(shard), shard)
+		m.addShard(p.shardLoadOf(shard), shard)
 	}
 	return m
 }
 
-func (p *Planner) itemOf(shard record.Shard) item {
-	entry := item{low: shard.Low, owner: shard.Owner}
+func (p *Planner) shardLoadOf(shard record.Shard) loadedShard {
+	entry := loadedShard{low: shard.Low, owner: shard.Owner}
 	if known, ok := p.loads[shard.Low]; ok {
 		entry.rate = known.rate
 		entry.hot = known.hot
@@ -54,7 +54,7 @@
 	return entry
 }
 
-func (m *ledger) enter(entry item, shard record.Shard) {
+func (m *loadModel) addShard(entry loadedShard, shard record.Shard) {
 	if shard.Releasing() {
 		m.releasing++
 		if _, eligible := m.slots[shard.Next]; eligible {
@@ -64,20 +64,20 @@
 		return
 	}
 	if _, eligible := m.slots[entry.owner]; !eligible {
-		m.stranded = append(m.stranded, entry)
+		m.displaced = append(m.displaced, entry)
 		return
 	}
 	m.load[entry.owner] += entry.rate
 	m.count[entry.owner]++
-	m.items = append(m.items, entry)
+	m.shards = append(m.shards, entry)
 }
 
 // evacuate moves every shard whose owner is no longer eligible.
-func (m *ledger) evacuate() []Move {
-	slices.SortFunc(m.stranded, func(a, b item) int { return cmp.Compare(b.rate, a.rate) })
+func (m *loadModel) evacuate() []Move {
+	slices.SortFunc(m.displaced, func(a, b loadedShard) int { return cmp.Compare(b.rate, a.rate) })
 	var moves []Move
-	for _, entry := range m.stranded {
-		to := m.lightest()
+	for _, entry := range m.displaced {
+		to := m.leastUtilized()
 		m.load[to] += entry.rate
 		m.count[to]++
 		moves = append(moves, Move{Low: entry.low, To: to})
@@ -87,7 +87,7 @@
 
 // leastUtilized returns the server with the least load per slot and, among equals,
 // the one with the fewest shards per slot.
-func (m *ledger) lightest() string {
+func (m *loadModel) leastUtilized() string {
 	best := m.servers[0]
 	for _, server := range m.servers[1:] {
 		if m.compare(server.Name, best.Name) < 0 {
@@ -97,7 +97,7 @@
 	return best.Name
 }
 
-func (m *ledger) heaviest() string {
+func (m *loadModel) mostUtilized() string {
 	worst := m.servers[0]
 	for _, server := range m.servers[1:] {
 		if m.compare(server.Name, worst.Name) > 0 {
@@ -108,8 +108,8 @@
 }
 
 // compare orders servers by load per slot, then by shards per slot, then by name.
-func (m *ledger) compare(a, b string) int {
-	if c := cmp.Compare(m.perSlot(a), m.perSlot(b)); c != 0 {
+func (m *loadModel) compare(a, b string) int {
+	if c := cmp.Compare(m.utilization(a), m.utilization(b)); c != 0 {
 		return c
 	}
 	if c := cmp.Compare(float64(m.count[a])/m.slots[a], float64(m.count[b])/m.slots[b]); c != 0 {
@@ -118,10 +118,10 @@
 	return cmp.Compare(a, b)
 }
 
-func (m *ledger) perSlot(name string) float64 { return m.load[name] / m.slots[name] }
+func (m *loadModel) utilization(name string) float64 { return m.load[name] / m.slots[name] }
 
 // meanUtilization returns the load per slot if the load were spread evenly.
-func (m *ledger) meanPerSlot() float64 {
+func (m *loadModel) meanUtilization() float64 {
 	total, slots := 0.0, 0.0
 	for _, server := range m.servers {
 		total += m.load[server.Name]
@@ -131,30 +131,30 @@
 }
 
 // imbalance returns the utilization of the most utilized server over the mean.
-func (m *ledger) imbalance() float64 {
-	mean := m.meanPerSlot()
+func (m *loadModel) imbalance() float64 {
+	mean := m.meanUtilization()
 	if mean == 0 {
 		return 1
 	}
-	return m.perSlot(m.heaviest()) / mean
+	return m.utilization(m.mostUtilized()) / mean
 }
 
 // idleFraction is the fraction of the mean utilization up to which a server counts
 // as idle.
-const idleShare = 0.5
+const idleFraction = 0.5
 
 // fillIdleServers gives idle servers an equal number of shards, taken from the most
 // utilized servers that have more shards. It is for servers that have just joined
 // and have no meaningful load yet.
-func (m *ledger) spreadCount(maxMoves int) []Move {
+func (m *loadModel) fillIdleServers(maxMoves int) []Move {
 	var moves []Move
-	share := len(m.items) / len(m.servers)
+	share := len(m.shards) / len(m.servers)
 	for _, server := range m.servers {
-		if m.perSlot(server.Name) > m.meanPerSlot()*idleShare {
+		if m.utilization(server.Name) > m.meanUtilization()*idleFraction {
 			continue
 		}
 		for m.count[server.Name] < share && len(moves) < maxMoves {
-			move, ok := m.takeForJoiner(server.Name)
+			move, ok := m.moveToIdleServer(server.Name)
 			if !ok {
 				break
 			}
@@ -166,24 +166,24 @@
 
 // moveToIdleServer moves one shard from the most utilized server that has at least
 // two shards more than the idle one.
-func (m *ledger) takeForJoiner(to string) (Move, bool) {
+func (m *loadModel) moveToIdleServer(to string) (Move, bool) {
 	best := -1
-	for i, entry := range m.items {
+	for i, entry := range m.shards {
 		if entry.owner == to || m.count[entry.owner] <= m.count[to]+1 {
 			continue
 		}
-		if best < 0 || m.compare(entry.owner, m.items[best].owner) > 0 {
+		if best < 0 || m.compare(entry.owner, m.shards[best].owner) > 0 {
 			best = i
 		}
 	}
 	if best < 0 {
 		return Move{}, false
 	}
-	return m.move(best, to), true
+	return m.applyMove(best, to), true
 }
 
-func (m *ledger) move(index int, to string) Move {
-	entry := &m.items[index]
+func (m *loadModel) applyMove(index int, to string) Move {
+	entry := &m.shards[index]
 	m.load[entry.owner] -= entry.rate
 	m.count[entry.owner]--
 	m.load[to] += entry.rate
@@ -194,17 +194,17 @@
 
 // rebalance moves shards from the most to the least utilized server until the
 // imbalance is within the tolerance, no move reduces it, or maxMoves is reached.
-func (m *ledger) level(tolerance float64, maxMoves int) []Move {
+func (m *loadModel) rebalance(tolerance float64, maxMoves int) []Move {
 	var moves []Move
 	moved := map[uint64]bool{}
 	for len(moves) < maxMoves && m.imbalance() > tolerance {
-		from := m.heaviest()
+		from := m.mostUtilized()
 		index, to := m.bestMove(from, moved)
 		if index < 0 {
 			return moves
 		}
-		moved[m.items[index].low] = true
-		moves = append(moves, m.move(index, to))
+		moved[m.shards[index].low] = true
+		moves = append(moves, m.applyMove(index, to))
 	}
 	return moves
 }
@@ -213,11 +213,11 @@
 // reduces the higher utilization of the two. A shard so loaded that its move would
 // only swap the two servers' roles is not moved: a hot shard stays and other shards
 // of its server move away.
-func (m *ledger) bestMove(from string, moved map[uint64]bool) (index int, to string) {
-	to = m.lightest()
+func (m *loadModel) bestMove(from string, moved map[uint64]bool) (index int, to string) {
+	to = m.leastUtilized()
 	index = -1
-	best := m.perSlot(from)
-	for i, entry := range m.items {
+	best := m.utilization(from)
+	for i, entry := range m.shards {
 		if entry.owner != from || moved[entry.low] || entry.rate == 0 {
 			continue
 		}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -35,7 +35,7 @@
 }
 
 // Input is what a plan is computed from.
-type World struct {
+type Input struct {
 	Now     time.Duration
 	Page    record.Page
 	Weigh   record.Weigh
@@ -59,7 +59,7 @@
 	// Smoothing is the time constant of the load averages.
 	Smoothing time.Duration
 	// MinPlanInterval is the minimum time between two plans that balance load.
-	Settle time.Duration
+	MinPlanInterval time.Duration
 	// Tolerance is the imbalance (utilization of the most utilized server over the
 	// mean) that is left alone, by what the service weighs.
 	Tolerance map[record.Weigh]float64
@@ -68,47 +68,47 @@
 	// MinUtilization is the fraction of its slots that the most utilized server
 	// must have busy before shards are moved to balance load. Below it no request
 	// waits for a slot, and an apparent imbalance is mostly random.
-	LeastLoad float64
+	MinUtilization float64
 	// MinSplitFraction is the fraction of a server's load that one shard must carry
 	// to be split.
-	SplitShare float64
+	MinSplitFraction float64
 	// MaxShards limits the shards of a page: a page with as many is not split
 	// further.
-	MostShards int
+	MaxShards int
 }
 
 // DefaultPolicy returns the policy that docs/design/placement.md evaluates.
 func DefaultPolicy() Policy {
 	return Policy{
-		Smoothing:    time.Second,
-		Settle:       1500 * time.Millisecond,
-		Tolerance:    map[record.Weigh]float64{record.WeighUnavailability: 1.15, record.WeighChurn: 1.35},
-		MovesPerPlan: map[record.Weigh]int{record.WeighUnavailability: 6, record.WeighChurn: 2},
-		LeastLoad:    0.1,
-		SplitShare:   0.35,
-		MostShards:   4000,
+		Smoothing:        time.Second,
+		MinPlanInterval:  1500 * time.Millisecond,
+		Tolerance:        map[record.Weigh]float64{record.WeighUnavailability: 1.15, record.WeighChurn: 1.35},
+		MovesPerPlan:     map[record.Weigh]int{record.WeighUnavailability: 6, record.WeighChurn: 2},
+		MinUtilization:   0.1,
+		MinSplitFraction: 0.35,
+		MaxShards:        4000,
 	}
 }
 
 // Planner computes plans for one page from the loads that are reported to it. It is
 // not safe for concurrent use.
 type Planner struct {
-	policy   Policy
-	loads    map[uint64]*average
-	observed time.Duration
-	planned  time.Duration
-	owners   map[string]float64 // load by owner at the last plan
+	policy         Policy
+	loads          map[uint64]*loadAverage
+	lastObservedAt time.Duration
+	lastPlanAt     time.Duration
+	loadByOwner    map[string]float64 // load by owner at the last plan
 }
 
 // NewPlanner returns a planner without load measurements.
 func NewPlanner(policy Policy) *Planner {
-	return &Planner{policy: policy, loads: map[uint64]*average{}, owners: map[string]float64{}}
+	return &Planner{policy: policy, loads: map[uint64]*loadAverage{}, loadByOwner: map[string]float64{}}
 }
 
 // Observe records the loads of shards that a dispatch router reports. Shards that
 // are not reported were idle.
 func (p *Planner) Observe(now time.Duration, loads []ShardLoad) {
-	p.observed = now
+	p.lastObservedAt = now
 	reported := make(map[uint64]bool, len(loads))
 	for _, load := range loads {
 		reported[load.Low] = true
@@ -121,7 +121,7 @@
 	for _, load := range loads {
 		known, ok := p.loads[load.Low]
 		if !ok {
-			known = &average{}
+			known = &loadAverage{}
 			p.loads[load.Low] = known
 		}
 		known.add(now, p.policy.Smoothing, load)
@@ -131,38 +131,38 @@
 // LeastLoadedFirst orders servers by the load that they had at the last plan.
 func (p *Planner) LeastLoadedFirst(names []string) []string {
 	ordered := slices.Clone(names)
-	slices.SortStableFunc(ordered, func(a, b string) int { return cmp.Compare(p.owners[a], p.owners[b]) })
+	slices.SortStableFunc(ordered, func(a, b string) int { return cmp.Compare(p.loadByOwner[a], p.loadByOwner[b]) })
 	return ordered
 }
 
 // Plan returns the changes to make now. Shards whose owner is no longer eligible
 // are always moved; splits and moves that balance load are made at most once per
 // MinPlanInterval, and not while shards are releasing.
-func (p *Planner) Plan(input World) Plan {
+func (p *Planner) Plan(input Input) Plan {
 	if len(input.Servers) == 0 {
 		return Plan{}
 	}
-	model := p.newLedger(input)
+	model := p.newLoadModel(input)
 	plan := Plan{Moves: model.evacuate()}
-	p.owners = maps.Clone(model.load)
+	p.loadByOwner = maps.Clone(model.load)
 	if len(plan.Moves) > 0 || model.releasing > 0 {
 		return plan
 	}
-	if p.planned != 0 && input.Now-p.planned < p.policy.Settle {
+	if p.lastPlanAt != 0 && input.Now-p.lastPlanAt < p.policy.MinPlanInterval {
 		return plan
 	}
 	plan = p.balance(input, model)
 	if len(plan.Moves)+len(plan.Splits) > 0 {
-		p.planned = input.Now
+		p.lastPlanAt = input.Now
 	}
 	return plan
 }
 
-func (p *Planner) balance(input World, model *ledger) Plan {
-	if moves := model.spreadCount(p.policy.MovesPerPlan[input.Weigh]); len(moves) > 0 {
+func (p *Planner) balance(input Input, model *loadModel) Plan {
+	if moves := model.fillIdleServers(p.policy.MovesPerPlan[input.Weigh]); len(moves) > 0 {
 		return Plan{Moves: moves}
 	}
-	if model.perSlot(model.heaviest()) < p.policy.LeastLoad {
+	if model.utilization(model.mostUtilized()) < p.policy.MinUtilization {
 		return Plan{}
 	}
 	tolerance := p.policy.Tolerance[input.Weigh]
@@ -172,5 +172,5 @@
 	if splits := p.splits(input, model); len(splits) > 0 {
 		return Plan{Splits: splits}
 	}
-	return Plan{Moves: model.level(tolerance, p.policy.MovesPerPlan[input.Weigh])}
+	return Plan{Moves: model.rebalance(tolerance, p.policy.MovesPerPlan[input.Weigh])}
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -16,7 +16,7 @@
 
 // testPage is a page with the loads of its key hashes, and a planner that gets
 // these loads.
-type scene struct {
+type testPage struct {
 	planner *placement.Planner
 	page    record.Page
 	servers []placement.Server
@@ -26,8 +26,8 @@
 	moved   int
 }
 
-func newScene(servers, shards int) *scene {
-	s := &scene{
+func newTestPage(servers, shards int) *testPage {
+	s := &testPage{
 		planner: placement.NewPlanner(placement.DefaultPolicy()),
 		weigh:   record.WeighUnavailability,
 		now:     time.Hour,
@@ -45,10 +45,10 @@
 }
 
 // tick reports the loads, gets a plan and applies it at once.
-func (s *scene) tick() placement.Plan {
+func (s *testPage) tick() placement.Plan {
 	s.now += 150 * time.Millisecond
 	s.planner.Observe(s.now, s.shardLoads())
-	plan := s.planner.Plan(placement.World{Now: s.now, Page: s.page, Weigh: s.weigh, Servers: s.servers})
+	plan := s.planner.Plan(placement.Input{Now: s.now, Page: s.page, Weigh: s.weigh, Servers: s.servers})
 	for _, at := range plan.Splits {
 		index := s.page.ShardAt(at)
 		fresh := s.page.Shards[index]
@@ -62,7 +62,7 @@
 	return plan
 }
 
-func (s *scene) shardLoads() []placement.ShardLoad {
+func (s *testPage) shardLoads() []placement.ShardLoad {
 	loads := make([]placement.ShardLoad, len(s.page.Shards))
 	for i, shard := range s.page.Shards {
 		loads[i].Low = shard.Low
@@ -79,7 +79,7 @@
 }
 
 // imbalance returns the load of the most loaded server over the mean.
-func (s *scene) imbalance() float64 {
+func (s *testPage) imbalance() float64 {
 	byServer := map[string]float64{}
 	total := 0.0
 	for hash, rate := range s.loads {
@@ -93,7 +93,7 @@
 	return most * float64(len(s.servers)) / total
 }
 
-func (s *scene) run(d time.Duration) {
+func (s *testPage) run(d time.Duration) {
 	for range int(d / (150 * time.Millisecond)) {
 		s.tick()
 	}
@@ -101,8 +101,8 @@
 
 // TestLoadIsBalancedWithin10Seconds checks that an uneven load without a hot key is
 // balanced within 10 s.
-func TestLoadEvensOut(t *testing.T) {
-	s := newScene(5, 40)
+func TestLoadIsBalancedWithin10Seconds(t *testing.T) {
+	s := newTestPage(5, 40)
 	for i := range 40 {
 		s.loads[uint64(i)*100+50] = 0.02 + 0.1*float64(i%7)*float64(i%5)
 	}
@@ -114,8 +114,8 @@
 
 // TestHotKeyIsNotMoved checks that the other keys are moved away from the server of
 // a hot key, and that the hot key is not moved.
-func TestHotKeyStays(t *testing.T) {
-	s := newScene(5, 40)
+func TestHotKeyIsNotMoved(t *testing.T) {
+	s := newTestPage(5, 40)
 	for i := range 400 {
 		s.loads[uint64(i)*10+5] = 0.01
 	}
@@ -131,8 +131,8 @@
 
 // TestSingleSampleCausesNoMove checks that a single misleading report causes no
 // moves or splits.
-func TestOneSampleMovesNothing(t *testing.T) {
-	s := newScene(5, 40)
+func TestSingleSampleCausesNoMove(t *testing.T) {
+	s := newTestPage(5, 40)
 	for i := range 40 {
 		s.loads[uint64(i)*100+50] = 0.2
 	}
@@ -149,8 +149,8 @@
 // Shards of a lightly loaded service must not be moved: with less than a tenth of
 // the slots busy no request waits for a slot, and imbalance is mostly random.
 // Without the minimum utilization, shards moved every second or two.
-func TestQuietServiceKeepsItsShards(t *testing.T) {
-	s := newScene(5, 40)
+func TestLowUtilizationCausesNoMoves(t *testing.T) {
+	s := newTestPage(5, 40)
 	for i := range 40 {
 		s.loads[uint64(i)*100+50] = 0.01
 		if i%5 == 0 {
@@ -163,10 +163,10 @@
 
 // TestChurnPreferenceReducesMoves checks that a service that weighs churn has fewer
 // moves for the same load.
-func TestChurnIsWeighed(t *testing.T) {
+func TestChurnPreferenceReducesMoves(t *testing.T) {
 	moves := map[record.Weigh]int{}
 	for _, weigh := range []record.Weigh{record.WeighUnavailability, record.WeighChurn} {
-		s := newScene(5, 40)
+		s := newTestPage(5, 40)
 		s.weigh = weigh
 		for i := range 40 {
 			s.loads[uint64(i)*100+50] = 0.02 + 0.1*float64(i%7)*float64(i%5)
@@ -180,8 +180,8 @@
 // TestServerRemovedAndAdded checks that a server that is no longer eligible loses
 // all its shards at once to the others, and that a new server gets an equal number
 // of shards.
-func TestServerLeavesAndJoins(t *testing.T) {
-	s := newScene(5, 40)
+func TestServerRemovedAndAdded(t *testing.T) {
+	s := newTestPage(5, 40)
 	all := s.servers
 	s.servers = all[1:]
 	plan := s.tick()
--- a/placement/split.go
+++ b/placement/split.go
@@ -3,40 +3,40 @@
 // splits returns where to divide shards of the most utilized server. A shard with a
 // hot hash is split around that hash, so that the neighbouring hashes can be moved
 // away from it; any other is split in the middle.
-func (p *Planner) splits(input World, model *ledger) []uint64 {
-	if len(input.Page.Shards) >= p.policy.MostShards {
+func (p *Planner) splits(input Input, model *loadModel) []uint64 {
+	if len(input.Page.Shards) >= p.policy.MaxShards {
 		return nil
 	}
-	mostUtilized := model.heaviest()
-	limit := model.load[mostUtilized] * p.policy.SplitShare
-	excess := model.load[mostUtilized] - model.meanPerSlot()*model.slots[mostUtilized]
+	mostUtilized := model.mostUtilized()
+	limit := model.load[mostUtilized] * p.policy.MinSplitFraction
+	excess := model.load[mostUtilized] - model.meanUtilization()*model.slots[mostUtilized]
 	var points []uint64
-	for _, entry := range model.items {
+	for _, entry := range model.shards {
 		if entry.owner != mostUtilized || entry.rate < limit || entry.rate < excess {
 			continue
 		}
-		points = append(points, p.cut(input, entry)...)
+		points = append(points, p.splitPoints(input, entry)...)
 	}
 	return points
 }
 
 // splitPoints returns the new shard boundaries for one shard, or none if it is a
 // single hash already.
-func (p *Planner) cut(input World, entry item) []uint64 {
+func (p *Planner) splitPoints(input Input, entry loadedShard) []uint64 {
 	index := input.Page.ShardAt(entry.low)
 	high := input.Page.ShardHigh(index)
 	if entry.low == high {
 		return nil
 	}
 	if len(entry.hot) > 0 && entry.hot[0].Rate >= entry.rate/2 {
-		return p.cutAround(entry, high)
+		return p.splitAroundHotHash(entry, high)
 	}
 	middle := entry.low + (high-entry.low)/2 + 1
-	p.share(entry.low, middle)
+	p.splitLoadEvenly(entry.low, middle)
 	return []uint64{middle}
 }
 
-func (p *Planner) cutAround(entry item, high uint64) []uint64 {
+func (p *Planner) splitAroundHotHash(entry loadedShard, high uint64) []uint64 {
 	hot := entry.hot[0].Hash
 	var points []uint64
 	if hot > entry.low && hot <= high {
@@ -46,18 +46,18 @@
 		points = append(points, hot+1)
 	}
 	for _, at := range points {
-		p.loads[at] = &average{at: p.observed, set: true, rate: 0}
+		p.loads[at] = &loadAverage{updatedAt: p.lastObservedAt, initialized: true, rate: 0}
 	}
 	if len(points) == 0 {
 		return nil
 	}
-	p.spread(entry, points)
+	p.assignPartLoads(entry, points)
 	return points
 }
 
 // assignPartLoads sets the load averages of the parts of a shard that is split
 // around its hot hash.
-func (p *Planner) spread(entry item, points []uint64) {
+func (p *Planner) assignPartLoads(entry loadedShard, points []uint64) {
 	rest := (entry.rate - entry.hot[0].Rate) / float64(len(points))
 	p.loads[entry.low].rate = rest
 	for _, at := range points {
@@ -71,8 +71,8 @@
 }
 
 // splitLoadEvenly divides a shard's load average evenly between its halves.
-func (p *Planner) share(low, middle uint64) {
+func (p *Planner) splitLoadEvenly(low, middle uint64) {
 	half := p.loads[low].rate / 2
 	p.loads[low].rate = half
-	p.loads[middle] = &average{at: p.observed, set: true, rate: half}
+	p.loads[middle] = &loadAverage{updatedAt: p.lastObservedAt, initialized: true, rate: half}
 }
--- a/router/deliver.go
+++ b/router/deliver.go
@@ -32,17 +32,17 @@
 	for turn := 0; ; turn++ {
 		reply := r.deliverOnce(ctx, req, turn)
 		if reply.Outcome == caller.Done || reply.Reason == caller.ReasonDeadline || !r.worthAnother(req, reply) {
-			return history.Conclude(reply)
+			return history.FinalReply(reply)
 		}
-		history.Note(reply)
+		history.Record(reply)
 		if ctx.Err() != nil {
-			return history.Conclude(timedOut(reply))
+			return history.FinalReply(timedOut(reply))
 		}
 		// A loss is mended within OwnerWait. Who has waited so long, or cannot
 		// wait for the next try, is refused now and told when to come back.
 		if r.clock.Now()-began+wait > r.limits.OwnerWait || remaining(ctx) <= wait {
 			reply.RetryAfter = max(reply.RetryAfter, time.Second)
-			return history.Conclude(reply)
+			return history.FinalReply(reply)
 		}
 		clock.Sleep(ctx, wait)
 		wait = min(2*wait, searchPauseMost)
--- a/router/front.go
+++ b/router/front.go
@@ -37,7 +37,7 @@
 	// Whatever refused this attempt, an earlier one that the caller made may
 	// have run.
 	history := dispatch.NewHistory(req.meta.Attempt)
-	reply := history.Conclude(f.serve(in.Context(), req))
+	reply := history.FinalReply(f.serve(in.Context(), req))
 	objective := time.Duration(req.service.Objectives.LatencyMillis) * time.Millisecond
 	took := f.r.clock.Now() - began
 	f.r.meters.request(req.service.Name, reply, took, objective)
--- a/router/page.go
+++ b/router/page.go
@@ -24,7 +24,7 @@
 	lease  atomic.Pointer[lease]
 
 	mu      sync.Mutex
-	dedup   *dispatch.Dedup
+	dedup   *dispatch.Deduplicator
 	meter   *dispatch.LoadMeter
 	servers map[string]*server
 	running map[*attempt]struct{}
@@ -39,7 +39,7 @@
 type server struct {
 	record record.Server
 	pool   *backendlink.Pool
-	gate   *dispatch.Gate
+	gate   *dispatch.ConcurrencyLimiter
 	// avoidUntil keeps requests that have a choice away from a server that
 	// refused, drains or does not answer.
 	avoidUntil time.Duration
@@ -61,7 +61,7 @@
 	return &page{
 		name:      name,
 		router:    router,
-		dedup:     dispatch.NewDedup(dispatch.DefaultDedupPolicy(), router.wall()),
+		dedup:     dispatch.NewDeduplicator(dispatch.DefaultDedupPolicy(), router.wall()),
 		meter:     dispatch.NewLoadMeter(router.clock.Now()),
 		servers:   map[string]*server{},
 		running:   map[*attempt]struct{}{},
@@ -85,7 +85,7 @@
 	defer p.mu.Unlock()
 	if old != nil && now >= old.expiry {
 		// Another router may have dispatched the page while this one had no lease.
-		p.dedup.Uncover(p.router.wall())
+		p.dedup.ResetCoverage(p.router.wall())
 	}
 	if fresh == nil {
 		p.lease.Store(&lease{page: old.page, expiry: expiry})
@@ -126,7 +126,7 @@
 	}
 	for name, known := range p.servers {
 		if !owns(fresh, name) {
-			known.gate.Expel(p.router.clock.Now())
+			known.gate.ShedAll(p.router.clock.Now())
 		}
 	}
 }
@@ -135,7 +135,7 @@
 // Servers join and leave all day. The caller holds p.mu.
 func (p *page) forgetServers() {
 	for name, known := range p.servers {
-		if _, listed := p.router.directory.Server(name); listed || known.gate.Pressure() > 0 {
+		if _, listed := p.router.directory.Server(name); listed || known.gate.LoadPerSlot() > 0 {
 			continue
 		}
 		known.pool.Close()
@@ -202,7 +202,7 @@
 	known = &server{
 		record: current,
 		pool:   backendlink.NewPool(current.Address, idle, p.router.limits.AnswerBody),
-		gate:   dispatch.NewGate(dispatch.DefaultGatePolicy(), current.Slots, dispatch.NewRoundRobin()),
+		gate:   dispatch.NewConcurrencyLimiter(dispatch.DefaultLimiterPolicy(), current.Slots, dispatch.NewRoundRobin()),
 		chosen: p.leastChosen(),
 	}
 	p.servers[name] = known
--- a/router/router.go
+++ b/router/router.go
@@ -63,7 +63,7 @@
 	pages  map[string]*page
 
 	budgetMu sync.Mutex
-	budget   *dispatch.Budget
+	budget   *dispatch.RetryBudget
 
 	tracked sync.WaitGroup
 }
@@ -87,7 +87,7 @@
 		counts:    counts{services: map[string]*serviceCount{}},
 		holder:    ownership.NewHolder(incarnation),
 		pages:     map[string]*page{},
-		budget:    dispatch.NewBudget(limits.RetryShare, retryReserve),
+		budget:    dispatch.NewRetryBudget(limits.RetryShare, retryReserve),
 	}
 }
 
@@ -132,11 +132,11 @@
 func (r *Router) firstAttempt() {
 	r.budgetMu.Lock()
 	defer r.budgetMu.Unlock()
-	r.budget.First()
+	r.budget.RecordFirstAttempt()
 }
 
 func (r *Router) mayRetry() bool {
 	r.budgetMu.Lock()
 	defer r.budgetMu.Unlock()
-	return r.budget.Retry()
+	return r.budget.TakeRetry()
 }
--- a/router/run.go
+++ b/router/run.go
@@ -73,18 +73,18 @@
 		chosen, changed, reply, ok := p.choose(req, avoid)
 		if !ok {
 			if reply.Reason != caller.ReasonNoOwner || !p.park(ctx, changed) {
-				return history.Conclude(reply)
+				return history.FinalReply(reply)
 			}
 			continue
 		}
 		reply, next := p.try(ctx, req, chosen)
 		if next == final {
-			return history.Conclude(reply)
+			return history.FinalReply(reply)
 		}
-		history.Note(reply)
+		history.Record(reply)
 		avoid[chosen.server] = true
 		if ctx.Err() != nil {
-			return history.Conclude(timedOut(reply))
+			return history.FinalReply(timedOut(reply))
 		}
 	}
 }
@@ -176,7 +176,7 @@
 // lessLoaded compares by requests for each slot. Among equals, as on a quiet
 // service, the server that was chosen less often comes first.
 func lessLoaded(a, b *server) bool {
-	first, second := a.gate.Pressure(), b.gate.Pressure()
+	first, second := a.gate.LoadPerSlot(), b.gate.LoadPerSlot()
 	if first != second {
 		return first < second
 	}
--- a/router/try.go
+++ b/router/try.go
@@ -53,7 +53,7 @@
 	if !ok {
 		return nil, nil, notRun(caller.ReasonUnreachable, time.Second), false
 	}
-	queued, comeBack := known.gate.Enter(now, waiter)
+	queued, comeBack := known.gate.Enqueue(now, waiter)
 	if !queued {
 		return nil, nil, notRun(caller.ReasonOverload, comeBack), false
 	}
@@ -64,7 +64,7 @@
 func (p *page) admitted(known *server, waiter *dispatch.Waiter) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return known.gate.Leave(waiter)
+	return known.gate.Cancel(waiter)
 }
 
 // afterShed decides for a request that lost its place in a queue: because the
@@ -142,13 +142,13 @@
 	defer p.mu.Unlock()
 	now := p.router.clock.Now()
 	if err == nil {
-		known.gate.Exit(now, held)
+		known.gate.Release(now, held)
 		known.answered = true
 		known.failures = 0
 		p.meter.Add(chosen.low, req.hash, held)
 		return
 	}
-	known.gate.Exit(now, known.gate.Service())
+	known.gate.Release(now, known.gate.MeanServiceTime())
 	if errors.Is(err, backendlink.ErrNotSent) || errors.Is(err, context.Canceled) {
 		return
 	}
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -61,7 +61,7 @@
 	Warmup time.Duration
 	// ColdStartLimit is the number of requests per second that a cold server can
 	// handle from all hosts together; 0 means no limit.
-	ColdPerSecond float64
+	ColdStartLimit float64
 }
 
 // Limits restrict what callers may send and how long they may take for it.
@@ -77,7 +77,7 @@
 	Version uint64
 	// Warnings are errors in entries that could not be read and were replaced by
 	// the strictest setting. They do not keep the configuration from taking effect.
-	Doubts   []error
+	Warnings []error
 	Hosts    map[string][]Route
 	Services map[string]Service
 	Limits   Limits
@@ -96,13 +96,13 @@
 // Check returns an *InvalidError for the first invalid field found.
 func (c *Configuration) Check() error {
 	for name, service := range c.Services {
-		if service.ColdPerSecond < 0 {
-			return &InvalidError{Field: "service " + name + " requests a second of a cold server", Value: fmt.Sprint(service.ColdPerSecond), Fix: "must not be negative"}
+		if service.ColdStartLimit < 0 {
+			return &InvalidError{Field: "service " + name + " requests a second of a cold server", Value: fmt.Sprint(service.ColdStartLimit), Fix: "must not be negative"}
 		}
 	}
 	for host, routes := range c.Hosts {
 		for i := range routes {
-			if err := c.checkRoute(host, &routes[i]); err != nil {
+			if err := c.validateRoute(host, &routes[i]); err != nil {
 				return err
 			}
 		}
@@ -110,7 +110,7 @@
 	return nil
 }
 
-func (c *Configuration) checkRoute(host string, route *Route) error {
+func (c *Configuration) validateRoute(host string, route *Route) error {
 	where := "route " + host + " " + route.Name
 	if !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/") {
 		return &InvalidError{Field: where + " prefix", Value: route.Prefix, Fix: "must begin and end with a slash"}
@@ -148,7 +148,7 @@
 }
 
 // PickService returns a random service of the route, in proportion to the weights.
-func (r *Route) Pick() string {
+func (r *Route) PickService() string {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Service
 	}
@@ -170,14 +170,14 @@
 // an older version, whichever source that comes from: a late response from a slow
 // or partitioned store must not undo a version that requests have already been
 // handled under.
-type InForce struct{ current atomic.Pointer[Configuration] }
+type ActiveConfiguration struct{ current atomic.Pointer[Configuration] }
 
 // Current returns the active configuration, or nil before the first.
-func (a *InForce) Current() *Configuration { return a.current.Load() }
+func (a *ActiveConfiguration) Current() *Configuration { return a.current.Load() }
 
 // Update makes a configuration the active one if it is newer, and reports whether
 // it did.
-func (a *InForce) Offer(offered *Configuration) bool {
+func (a *ActiveConfiguration) Update(offered *Configuration) bool {
 	for {
 		current := a.current.Load()
 		if current != nil && current.Version >= offered.Version {
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -24,12 +24,12 @@
 	assert.Assert(t, c.Match("other", "/a/") == nil)
 }
 
-func TestWeights(t *testing.T) {
+func TestPickFollowsWeights(t *testing.T) {
 	route := &configuration(1).Hosts["h"][1]
 	const picks = 20000
 	others := 0
 	for range picks {
-		if route.Pick() == "other" {
+		if route.PickService() == "other" {
 			others++
 		}
 	}
@@ -37,16 +37,16 @@
 	assert.Assert(t, others > 1500 && others < 2500, "%d of %d picks went to a service with a tenth of the weight", others, picks)
 }
 
-func TestNeverBack(t *testing.T) {
-	var inForce InForce
+func TestOlderVersionIsIgnored(t *testing.T) {
+	var inForce ActiveConfiguration
 	assert.Assert(t, inForce.Current() == nil)
-	assert.Assert(t, inForce.Offer(configuration(4)))
-	assert.Assert(t, !inForce.Offer(configuration(4)))
-	assert.Assert(t, !inForce.Offer(configuration(3)))
+	assert.Assert(t, inForce.Update(configuration(4)))
+	assert.Assert(t, !inForce.Update(configuration(4)))
+	assert.Assert(t, !inForce.Update(configuration(3)))
 	assert.Equal(t, inForce.Current().Version, uint64(4))
 }
 
-func TestFaultsAreNamed(t *testing.T) {
+func TestValidateNamesInvalidField(t *testing.T) {
 	for name, invalidate := range map[string]func(*Route){
 		"prefix": func(r *Route) { r.Prefix = "/a" }, "targets": func(r *Route) { r.Targets = nil },
 		"service": func(r *Route) { r.Targets = []Target{{Service: "none", Weight: 1}} },
--- a/standin/server.go
+++ b/standin/server.go
@@ -118,7 +118,7 @@
 func (s *Server) Holds(page string, hash uint64) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held, ok := s.holder.HeldAt(s.clock.Now(), page, hash)
+	held, ok := s.holder.ShardAt(s.clock.Now(), page, hash)
 	return held.Token, ok
 }
 
