--- a/dispatch/dedup_test.go
+++ b/dispatch/dedup_test.go
@@ -12,7 +12,7 @@
 	"cicadarouter/dispatch"
 )
 
-// idAt mints a request id that a caller's clock would give at a time.
+// idAt returns the request id that a caller would create at a time on its clock.
 func idAt(at time.Time, serial int) uuid.UUID {
 	var id uuid.UUID
 	millis := at.UnixMilli()
@@ -27,96 +27,97 @@
 
 func testPolicy() dispatch.DedupPolicy {
 	return dispatch.DedupPolicy{
-		Window:        2 * time.Second,
-		Skew:          500 * time.Millisecond,
-		MostEntries:   4,
-		MostBodyBytes: 1000,
-		KeepBody:      100,
+		Window:             2 * time.Second,
+		MaxClockSkew:       500 * time.Millisecond,
+		MaxEntries:         4,
+		MaxBodyBytes:       1000,
+		MaxReplayBodyBytes: 100,
 	}
 }
 
-// sent is a request as its caller knows it.
-type sent struct {
+// sentRequest is a request with the record of its runs.
+type sentRequest struct {
 	id       uuid.UUID
 	attempts int
 	ran      int
 	running  []int // routers that run a copy
-	notRun   bool  // a reply proved that it has not run
+	notRun   bool  // a reply said that it has not run
 }
 
-// dedupWorld is two routers that dispatch one page in turn, and callers whose
-// clocks are ahead of or behind the routers', within the margin.
-type dedupWorld struct {
-	now      time.Time
-	routers  [2]*dispatch.Dedup
-	holder   int
-	requests []*sent
+// dedupSimulation simulates two routers that dispatch one page alternately, and
+// callers whose clocks differ from the routers' within MaxClockSkew.
+type dedupSimulation struct {
+	now        time.Time
+	routers    [2]*dispatch.Deduplicator
+	dispatcher int
+	requests   []*sentRequest
 }
 
-// TestAtMostOnce: whatever is re-sent, to whichever router dispatches the page
-// at the time, with memories that expire and overflow, no request runs twice.
+// TestAtMostOnce checks that no request runs twice, however often it is sent again,
+// whichever router dispatches the page at the time, and although entries expire and
+// exceed the limits.
 func TestAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.UnixMilli(1_800_000_000_000)
-		w := &dedupWorld{now: start}
-		w.routers[0] = dispatch.NewDedup(testPolicy(), start)
-		w.routers[1] = dispatch.NewDedup(testPolicy(), start)
+		s := &dedupSimulation{now: start}
+		s.routers[0] = dispatch.NewDeduplicator(testPolicy(), start)
+		s.routers[1] = dispatch.NewDeduplicator(testPolicy(), start)
 		t.Repeat(map[string]func(*rapid.T){
-			"":          func(t *rapid.T) { w.check(t) },
-			"send":      w.send,
-			"send more": w.send,
-			"re-send":   w.resend,
-			"re-send 2": w.resend,
-			"re-send 3": w.resend,
-			"finish":    w.finish,
-			"finish 2":  w.finish,
-			"wait":      w.wait,
-			"hand over": w.handOver,
-			"restart":   w.restart,
+			"":          func(t *rapid.T) { s.check(t) },
+			"send":      s.send,
+			"send more": s.send,
+			"re-send":   s.resend,
+			"re-send 2": s.resend,
+			"re-send 3": s.resend,
+			"finish":    s.finish,
+			"finish 2":  s.finish,
+			"wait":      s.wait,
+			"hand over": s.handOver,
+			"restart":   s.restart,
 		})
 	})
 }
 
-func (w *dedupWorld) check(t *rapid.T) {
-	for _, request := range w.requests {
+func (s *dedupSimulation) check(t *rapid.T) {
+	for _, request := range s.requests {
 		if request.ran > 1 {
 			t.Fatalf("request %s ran %d times", request.id, request.ran)
 		}
 		if request.notRun && request.ran > 0 {
-			t.Fatalf("request %s ran although it was told not run", request.id)
+			t.Fatalf("request %s ran although its reply said that it did not", request.id)
 		}
 	}
 }
 
-func (w *dedupWorld) send(t *rapid.T) {
+func (s *dedupSimulation) send(t *rapid.T) {
 	ahead := time.Duration(rapid.IntRange(-499, 499).Draw(t, "caller's clock is ahead by ms")) * time.Millisecond
-	request := &sent{id: idAt(w.now.Add(ahead), len(w.requests))}
-	w.requests = append(w.requests, request)
-	w.attempt(request)
+	request := &sentRequest{id: idAt(s.now.Add(ahead), len(s.requests))}
+	s.requests = append(s.requests, request)
+	s.attempt(request)
 }
 
-func (w *dedupWorld) resend(t *rapid.T) {
-	if len(w.requests) > 0 {
-		w.attempt(rapid.SampledFrom(w.requests).Draw(t, "request"))
+func (s *dedupSimulation) resend(t *rapid.T) {
+	if len(s.requests) > 0 {
+		s.attempt(rapid.SampledFrom(s.requests).Draw(t, "request"))
 	}
 }
 
-// attempt brings a copy to the router that dispatches the page. Its effect
-// comes at once; its reply comes with finish, or never.
-func (w *dedupWorld) attempt(request *sent) {
+// attempt delivers a copy to the router that dispatches the page. An admitted copy
+// takes effect at once; its reply comes with finish, or never.
+func (s *dedupSimulation) attempt(request *sentRequest) {
 	request.attempts++
-	admission, _, _ := w.routers[w.holder].Begin(w.now, request.id, request.attempts)
+	admission, _, _ := s.routers[s.dispatcher].Begin(s.now, request.id, request.attempts)
 	if admission == dispatch.AdmitRun {
 		request.ran++
-		request.running = append(request.running, w.holder)
+		request.running = append(request.running, s.dispatcher)
 	}
 }
 
-func (w *dedupWorld) finish(t *rapid.T) {
-	if len(w.requests) == 0 {
+func (s *dedupSimulation) finish(t *rapid.T) {
+	if len(s.requests) == 0 {
 		return
 	}
-	request := rapid.SampledFrom(w.requests).Draw(t, "request")
+	request := rapid.SampledFrom(s.requests).Draw(t, "request")
 	if len(request.running) == 0 {
 		return
 	}
@@ -127,36 +128,36 @@
 	case "unknown":
 		reply = dispatch.Reply{Outcome: caller.Unknown}
 	case "not run":
-		request.ran-- // it was refused before it had any effect
+		request.ran-- // it was rejected before it took effect
 		reply = dispatch.Reply{Outcome: caller.NotRun}
 	}
-	w.routers[router].Finish(request.id, reply)
+	s.routers[router].Finish(request.id, reply)
 }
 
-func (w *dedupWorld) wait(t *rapid.T) {
-	w.now = w.now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
+func (s *dedupSimulation) wait(t *rapid.T) {
+	s.now = s.now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
 }
 
-// handOver gives the page to the other router, whose memory covers nothing yet.
-func (w *dedupWorld) handOver(*rapid.T) {
-	w.holder = 1 - w.holder
-	w.routers[w.holder].Uncover(w.now)
+// handOver makes the other router the dispatcher, which covers only requests from
+// now on.
+func (s *dedupSimulation) handOver(*rapid.T) {
+	s.dispatcher = 1 - s.dispatcher
+	s.routers[s.dispatcher].ResetCoverage(s.now)
 }
 
-// restart replaces the dispatching router by one without memory.
-func (w *dedupWorld) restart(*rapid.T) {
-	w.routers[w.holder] = dispatch.NewDedup(testPolicy(), w.now)
-	for _, request := range w.requests {
+// restart replaces the dispatcher by one without entries.
+func (s *dedupSimulation) restart(*rapid.T) {
+	s.routers[s.dispatcher] = dispatch.NewDeduplicator(testPolicy(), s.now)
+	for _, request := range s.requests {
 		request.running = nil
 	}
 }
 
-// Symptom: a request runs twice, long after its first run.
-// Sequence: it runs and ends; its memory expires; its caller sends it again.
-// Cause: a memory that has dropped what it knew still claims to cover the time.
-func TestExpiredMemoryCoversNothing(t *testing.T) {
+// A request that is sent again after its entry expired must not run a second time:
+// the time of an expired entry is no longer covered.
+func TestExpiredEntryIsNotCovered(t *testing.T) {
 	start := time.UnixMilli(1_800_000_000_000)
-	d := dispatch.NewDedup(testPolicy(), start)
+	d := dispatch.NewDeduplicator(testPolicy(), start)
 	now := start.Add(time.Second)
 	id := idAt(now, 1)
 	admission, _, _ := d.Begin(now, id, 1)
@@ -167,10 +168,11 @@
 	assert.Equal(t, admission, dispatch.AdmitUnknown)
 }
 
-// TestReplay: a copy that comes after the end gets the same answer.
+// TestReplay checks that a copy waits for a running one, and that a later copy gets
+// the same reply.
 func TestReplay(t *testing.T) {
 	now := time.UnixMilli(1_800_000_000_000)
-	d := dispatch.NewDedup(testPolicy(), now)
+	d := dispatch.NewDeduplicator(testPolicy(), now)
 	id := idAt(now, 1)
 	admission, _, _ := d.Begin(now, id, 1)
 	assert.Equal(t, admission, dispatch.AdmitRun)
@@ -183,11 +185,11 @@
 	assert.Equal(t, reply.Status, 201)
 }
 
-// TestLargeAnswerIsNotReplayed: what is too large to keep is told as run, never
-// run again.
+// TestLargeAnswerIsNotReplayed checks that a request whose reply is too large to
+// keep is reported as possibly run and does not run again.
 func TestLargeAnswerIsNotReplayed(t *testing.T) {
 	now := time.UnixMilli(1_800_000_000_000)
-	d := dispatch.NewDedup(testPolicy(), now)
+	d := dispatch.NewDeduplicator(testPolicy(), now)
 	id := idAt(now, 1)
 	d.Begin(now, id, 1)
 	d.Finish(id, dispatch.Reply{Outcome: caller.Done, Body: make([]byte, 101)})
@@ -197,9 +199,10 @@
 	assert.Equal(t, reply.Reason, caller.ReasonMaybeRunBefore)
 }
 
-// TestRefusalOfLastAttempt: a refusal proves only that its own attempt has not run.
+// TestRefusalOfLastAttempt checks that a rejection proves only that its own attempt
+// has not run.
 func TestRefusalOfLastAttempt(t *testing.T) {
-	refusal := dispatch.Reply{Outcome: caller.NotRun}
+	rejection := dispatch.Reply{Outcome: caller.NotRun}
 	rows := []struct {
 		name    string
 		attempt int
@@ -208,16 +211,16 @@
 	}{
 		{"first attempt", 1, nil, caller.NotRun},
 		{"the caller's second attempt", 2, nil, caller.Unknown},
-		{"after a refusal", 1, []caller.Outcome{caller.NotRun}, caller.NotRun},
-		{"after an unknown end", 1, []caller.Outcome{caller.Unknown, caller.NotRun}, caller.Unknown},
+		{"after a rejection", 1, []caller.Outcome{caller.NotRun}, caller.NotRun},
+		{"after an unknown outcome", 1, []caller.Outcome{caller.Unknown, caller.NotRun}, caller.Unknown},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			history := dispatch.NewHistory(row.attempt)
 			for _, outcome := range row.earlier {
-				history.Note(dispatch.Reply{Outcome: outcome})
+				history.Record(dispatch.Reply{Outcome: outcome})
 			}
-			assert.Equal(t, history.Conclude(refusal).Outcome, row.want)
+			assert.Equal(t, history.FinalReply(rejection).Outcome, row.want)
 		})
 	}
 }
--- a/ownership/collection.go
+++ b/ownership/collection.go
@@ -5,41 +5,44 @@
 	"time"
 )
 
-// collection gathers promises to stop one generation and all older ones.
-type collection struct {
-	// lapsedAt holds, for each voter that promised, this machine's time at
-	// which nothing that the voter agreed to can still run.
-	lapsedAt map[string]time.Duration
-	// majorityAt is when a majority had promised.
-	majority   bool
-	majorityAt time.Duration
+// promiseSet collects voters' promises to stop one generation and all older ones.
+type promiseSet struct {
+	// leasesExpireAt holds, for each voter that promised, the local time at which
+	// every lease that the voter agreed to has expired.
+	leasesExpireAt map[string]time.Duration
+	// majorityAt is when a majority had promised; it is valid if reachedMajority is
+	// set.
+	reachedMajority bool
+	majorityAt      time.Duration
 }
 
-// stopTarget returns the collection for "no lease on the generation or an older one".
-func (m *Machine) stopTarget(generation uint64) *collection {
-	if known, ok := m.collections[generation]; ok {
+// promisesFor returns the promises to stop the generation and all older ones.
+func (m *StateMachine) promisesFor(generation uint64) *promiseSet {
+	if known, ok := m.stopPromises[generation]; ok {
 		return known
 	}
-	fresh := &collection{lapsedAt: map[string]time.Duration{}}
-	m.collections[generation] = fresh
+	fresh := &promiseSet{leasesExpireAt: map[string]time.Duration{}}
+	m.stopPromises[generation] = fresh
 	return fresh
 }
 
-// forgetCollections drops those that nothing in the newest generation waits for,
-// and re-counts the others against its groups.
-func (m *Machine) forgetCollections() {
-	needed := m.stopTargets()
-	for generation, gathered := range m.collections {
+// pruneStopPromises drops the promises that no pending change of the newest
+// generation needs, and checks the others against the majority of the page's
+// current groups.
+func (m *StateMachine) pruneStopPromises() {
+	needed := m.generationsToStop()
+	for generation, promises := range m.stopPromises {
 		if !slices.Contains(needed, generation) {
-			delete(m.collections, generation)
+			delete(m.stopPromises, generation)
 			continue
 		}
-		gathered.majority = gathered.majority && m.majority(gathered.promised())
+		promises.reachedMajority = promises.reachedMajority && m.hasMajority(promises.hosts())
 	}
 }
 
-// stopTargets lists the generations that pending changes need stopped.
-func (m *Machine) stopTargets() []uint64 {
+// generationsToStop lists the generations that must be stopped for the pending
+// changes.
+func (m *StateMachine) generationsToStop() []uint64 {
 	var targets []uint64
 	for _, shard := range m.page.Shards {
 		if shard.Releasing() && shard.Released > 0 {
@@ -53,86 +56,86 @@
 	return slices.Compact(targets)
 }
 
-// requestStops asks those voters that have not promised yet.
-func (m *Machine) requestStops() {
-	for _, generation := range m.stopTargets() {
-		gathered := m.stopTarget(generation)
+// requestStops asks the voters that have not promised yet.
+func (m *StateMachine) requestStops() {
+	for _, generation := range m.generationsToStop() {
+		promises := m.promisesFor(generation)
 		var missing []string
 		for _, host := range m.page.Voters() {
-			if _, promised := gathered.lapsedAt[host]; !promised {
+			if _, promised := promises.leasesExpireAt[host]; !promised {
 				missing = append(missing, host)
 			}
 		}
 		if len(missing) > 0 {
-			stop := StopOut{Hosts: missing, Page: m.page.Name, Generation: generation}
+			stop := StopMessage{Hosts: missing, Page: m.page.Name, Generation: generation}
 			m.ready.Stops = append(m.ready.Stops, stop)
 		}
 	}
 }
 
-// Promised takes a voter's promise to stop a generation.
-func (m *Machine) Promised(now time.Duration, generation uint64, host string, promise Promise) {
-	gathered, wanted := m.collections[generation]
+// HandlePromise processes a voter's promise to stop a generation.
+func (m *StateMachine) HandlePromise(now time.Duration, generation uint64, host string, promise Promise) {
+	promises, wanted := m.stopPromises[generation]
 	if !wanted {
 		return
 	}
-	if _, twice := gathered.lapsedAt[host]; twice {
+	if _, duplicate := promises.leasesExpireAt[host]; duplicate {
 		return
 	}
-	gathered.lapsedAt[host] = now + m.terms.Guard(promise.Remaining)
-	m.countPromises(now, gathered)
-	m.advance(now)
+	promises.leasesExpireAt[host] = now + m.terms.SafeWait(promise.Remaining)
+	m.checkMajority(now, promises)
+	m.writeNextGeneration(now)
 }
 
-func (m *Machine) countPromises(now time.Duration, gathered *collection) {
-	if gathered.majority || !m.majority(gathered.promised()) {
+func (m *StateMachine) checkMajority(now time.Duration, promises *promiseSet) {
+	if promises.reachedMajority || !m.hasMajority(promises.hosts()) {
 		return
 	}
-	gathered.majority = true
-	gathered.majorityAt = now
+	promises.reachedMajority = true
+	promises.majorityAt = now
 	m.probeOwners(now)
 }
 
-// probeOwners asks the old owners of releasing shards at once whether they have
-// let go, rather than at the next tick.
-func (m *Machine) probeOwners(now time.Duration) {
+// probeOwners immediately asks the old owners of releasing shards whether they have
+// released them, rather than at the next tick.
+func (m *StateMachine) probeOwners(now time.Duration) {
 	asked := map[string]bool{}
 	for _, shard := range m.page.Shards {
 		if !shard.Releasing() || shard.Owner == "" || asked[shard.Owner] {
 			continue
 		}
 		asked[shard.Owner] = true
-		m.send(now, HolderID{Kind: BackendServer, Name: shard.Owner}, nil)
+		m.queueMessage(now, HolderID{Kind: BackendServer, Name: shard.Owner}, nil)
 	}
 }
 
-// countLost lets a host that an operator declared lost count as stopped once
-// everything that it may have agreed to before has lapsed.
-func (m *Machine) countLost(now time.Duration, gathered *collection) {
+// addLostHosts counts a host that an operator declared lost as stopped; the leases
+// that it may have agreed to expire after one lease duration.
+func (m *StateMachine) addLostHosts(now time.Duration, promises *promiseSet) {
 	for _, host := range m.view.LostHosts {
-		if _, promised := gathered.lapsedAt[host]; !promised {
-			gathered.lapsedAt[host] = now + m.terms.Guard(m.terms.Lease)
+		if _, promised := promises.leasesExpireAt[host]; !promised {
+			promises.leasesExpireAt[host] = now + m.terms.SafeWait(m.terms.LeaseDuration)
 		}
 	}
-	m.countPromises(now, gathered)
+	m.checkMajority(now, promises)
 }
 
-func (c *collection) promised() map[string]bool {
+func (s *promiseSet) hosts() map[string]bool {
 	hosts := map[string]bool{}
-	for host := range c.lapsedAt {
+	for host := range s.leasesExpireAt {
 		hosts[host] = true
 	}
 	return hosts
 }
 
-// lapsed reports whether a majority stopped and all that it agreed to has
-// lapsed, so that no lease on the generation or an older one can run.
-func (m *Machine) lapsed(now time.Duration, gathered *collection) bool {
-	over := map[string]bool{}
-	for host, at := range gathered.lapsedAt {
+// leasesExpired reports whether a majority stopped and the leases that it agreed to
+// have expired, so that no lease on the generation or an older one can be valid.
+func (m *StateMachine) leasesExpired(now time.Duration, promises *promiseSet) bool {
+	expired := map[string]bool{}
+	for host, at := range promises.leasesExpireAt {
 		if now >= at {
-			over[host] = true
+			expired[host] = true
 		}
 	}
-	return gathered.majority && m.majority(over)
+	return promises.reachedMajority && m.hasMajority(expired)
 }
--- a/ownership/voter.go
+++ b/ownership/voter.go
@@ -2,174 +2,183 @@
 
 import "time"
 
-// Verdict is a voter's answer to an Ask.
+// Verdict is a voter's decision on a RenewalRequest.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Agreed: the voter accounts for leases with stamps taken before the ask.
+	// Agreed: the voter accounts for leases that are based on clock readings from
+	// before the request.
 	Agreed Verdict = iota + 1
-	// Newer: the voter knows a newer generation.
-	Newer
-	// Stopped: the voter promised to stop this generation.
+	// NewerGenerationKnown: the voter knows a newer generation.
+	NewerGenerationKnown
+	// Stopped: the voter promised to stop this or a newer generation.
 	Stopped
-	// Abstains: the voter has not read the store since it started, or has been
-	// away from it for longer than the page allows.
+	// Abstains: the voter has not read the store since it started, or has had no
+	// contact to it for longer than the page allows.
 	Abstains
-	// DispatcherBusy: another router's lease on the page may still run.
+	// DispatcherBusy: another router's lease on the page may still be valid.
 	DispatcherBusy
 )
 
-// Ask requests agreement to one more term of a page's generation.
-type Ask struct {
+// RenewalRequest asks a voter to agree to one more lease period for a page's
+// generation.
+type RenewalRequest struct {
 	Page       string
 	Generation uint64
-	// Dispatcher names the router that would dispatch the page, or is empty
-	// when only backend servers' leases are renewed.
+	// Dispatcher is the router that is to dispatch the page's requests. It is empty
+	// if only the leases of backend servers are renewed.
 	Dispatcher string
-	// Run is the incarnation of Dispatcher that the lease is for.
-	Run uint64
-	// Released names a router that has given up its lease on the page and will
-	// not take another in the run ReleasedRun, so that a successor need not
-	// wait. The run matters: the router may have started again and hold a new
-	// lease by the time this ask arrives.
-	Released    string
-	ReleasedRun uint64
-	// Bounded is set for pages whose service moves when cut off.
+	// DispatcherIncarnation is the incarnation of Dispatcher that the lease is for.
+	DispatcherIncarnation uint64
+	// ReleasedDispatcher is a router that has released its lease on the page and
+	// will not accept another in ReleasedIncarnation, so that another router need
+	// not wait for the lease to expire. The incarnation is needed because the
+	// router may have restarted and hold a new lease by the time this request
+	// arrives.
+	ReleasedDispatcher  string
+	ReleasedIncarnation uint64
+	// Bounded is set for pages that another failure domain takes over when theirs
+	// is cut off. Renewal without contact to the store is then limited to
+	// MaxStoreOutage.
 	Bounded bool
 }
 
-// Answer is a voter's reply to an Ask.
-type Answer struct {
+// RenewalResponse is a voter's response to a RenewalRequest.
+type RenewalResponse struct {
 	Verdict Verdict
-	// Known is the newest generation that the voter knows.
-	Known uint64
-	// Dispatcher is the router whose lease may still run.
+	// KnownGeneration is the newest generation that the voter knows.
+	KnownGeneration uint64
+	// Dispatcher is the router whose lease may still be valid.
 	Dispatcher string
-	// BusyFor is how long that lease may still run.
+	// BusyFor is how long that lease may still be valid.
 	BusyFor time.Duration
 }
 
-// Promise is a voter's reply to a request to stop a generation.
+// Promise is a voter's response to a StopMessage.
 type Promise struct {
-	// Remaining is how long leases that this voter agreed to, on the stopped or
-	// an older generation, may still run.
+	// Remaining is how long leases that this voter agreed to, on the stopped or an
+	// older generation, may still be valid.
 	Remaining time.Duration
 }
 
-// agreement records until when leases on one generation may run.
+// agreement records until when leases on one generation may be valid.
 type agreement struct {
 	generation uint64
 	until      time.Duration
 }
 
-// vote is a voter's memory of one page.
-type vote struct {
-	known         uint64
-	stopped       uint64
-	agreements    []agreement
-	dispatcher    string
-	dispatcherRun uint64
-	dispatchUntil time.Duration
+// pageVote is a voter's state for one page.
+type pageVote struct {
+	known                 uint64
+	stopped               uint64
+	agreements            []agreement
+	dispatcher            string
+	dispatcherIncarnation uint64
+	dispatchUntil         time.Duration
 }
 
-// Voter is a controller's voice in renewals. Its memory starts empty: what it
-// forgot by restarting is covered by freshUntil and established.
+// Voter decides for a controller on lease renewals. It keeps its state in memory
+// only. predecessorLeasesUntil and hasReadStore make up for the state that a
+// restart loses.
 type Voter struct {
 	terms Terms
-	// freshUntil is when every lease that a predecessor at this address agreed
-	// to has lapsed.
-	freshUntil time.Duration
-	// established is set by the first complete read of the store. A predecessor
-	// promised to stop a generation only after a newer one was in the store, so
-	// that read shows every generation it may have stopped as outdated.
-	established  bool
-	storeContact time.Duration
-	pages        map[string]*vote
+	// predecessorLeasesUntil is when every lease that an earlier process at this
+	// address agreed to has expired.
+	predecessorLeasesUntil time.Duration
+	// hasReadStore is set by the first complete read of the store. An earlier
+	// process promised to stop a generation only after a newer one was in the
+	// store, so every generation that it may have stopped is known to be outdated
+	// after that read.
+	hasReadStore     bool
+	lastStoreContact time.Duration
+	pages            map[string]*pageVote
 }
 
-// NewVoter returns a voter that starts at now with an empty memory.
+// NewVoter returns a voter that starts at now without any state.
 func NewVoter(terms Terms, now time.Duration) *Voter {
 	return &Voter{
-		terms:      terms,
-		freshUntil: now + terms.Guard(terms.Lease),
-		pages:      map[string]*vote{},
+		terms:                  terms,
+		predecessorLeasesUntil: now + terms.SafeWait(terms.LeaseDuration),
+		pages:                  map[string]*pageVote{},
 	}
 }
 
-// StoreRead tells the voter that it has learned all that the store held at
+// StoreRead records that the voter has learned everything that the store held at
 // began, a time before the read was sent.
 func (v *Voter) StoreRead(began time.Duration) {
-	v.established = true
-	v.storeContact = max(v.storeContact, began)
+	v.hasReadStore = true
+	v.lastStoreContact = max(v.lastStoreContact, began)
 }
 
-// Established reports whether the voter has read the store since it started.
-func (v *Voter) Established() bool { return v.established }
+// HasReadStore reports whether the voter has read the store since it started.
+func (v *Voter) HasReadStore() bool { return v.hasReadStore }
 
-// Learn tells the voter of a page's generation, from whatever source.
+// Learn records a page's generation, which may come from any source.
 func (v *Voter) Learn(page string, generation uint64) {
-	vote := v.vote(page)
+	vote := v.pageState(page)
 	vote.known = max(vote.known, generation)
 }
 
-// Agree answers an ask. Agreed means: until Guard(Lease) from now, this voter
-// will count a lease on the generation as running.
-func (v *Voter) Agree(now time.Duration, ask Ask) Answer {
-	vote := v.vote(ask.Page)
-	if verdict := v.refusal(now, vote, ask); verdict != 0 {
-		return Answer{Verdict: verdict, Known: vote.known}
+// Agree decides on a renewal request. After Agreed, the voter counts a lease on the
+// generation as valid until SafeWait(LeaseDuration) from now.
+func (v *Voter) Agree(now time.Duration, request RenewalRequest) RenewalResponse {
+	vote := v.pageState(request.Page)
+	if verdict := v.checkRenewal(now, vote, request); verdict != 0 {
+		return RenewalResponse{Verdict: verdict, KnownGeneration: vote.known}
 	}
-	if busy, ok := v.dispatcherBusy(now, vote, ask); !ok {
-		return Answer{Verdict: DispatcherBusy, Known: vote.known, Dispatcher: vote.dispatcher, BusyFor: busy}
+	if busy, ok := v.dispatcherBusy(now, vote, request); !ok {
+		return RenewalResponse{Verdict: DispatcherBusy, KnownGeneration: vote.known, Dispatcher: vote.dispatcher, BusyFor: busy}
 	}
-	until := now + v.terms.Guard(v.terms.Lease)
-	vote.agree(now, ask.Generation, until)
-	if ask.Dispatcher != "" {
-		vote.dispatcher = ask.Dispatcher
-		vote.dispatcherRun = ask.Run
+	until := now + v.terms.SafeWait(v.terms.LeaseDuration)
+	vote.recordAgreement(now, request.Generation, until)
+	if request.Dispatcher != "" {
+		vote.dispatcher = request.Dispatcher
+		vote.dispatcherIncarnation = request.DispatcherIncarnation
 		vote.dispatchUntil = until
 	}
-	return Answer{Verdict: Agreed, Known: vote.known, Dispatcher: vote.dispatcher}
+	return RenewalResponse{Verdict: Agreed, KnownGeneration: vote.known, Dispatcher: vote.dispatcher}
 }
 
-func (v *Voter) refusal(now time.Duration, vote *vote, ask Ask) Verdict {
+func (v *Voter) checkRenewal(now time.Duration, vote *pageVote, request RenewalRequest) Verdict {
 	switch {
-	case !v.established:
+	case !v.hasReadStore:
 		return Abstains
-	case ask.Bounded && now > v.storeContact+v.terms.StoreAway:
+	case request.Bounded && now > v.lastStoreContact+v.terms.MaxStoreOutage:
 		return Abstains
-	case ask.Generation <= vote.stopped:
+	case request.Generation <= vote.stopped:
 		return Stopped
-	case ask.Generation < vote.known:
-		return Newer
+	case request.Generation < vote.known:
+		return NewerGenerationKnown
 	}
 	return 0
 }
 
-// dispatcherBusy returns for how long another router may still dispatch the
-// page, and whether the asked one may start. Two routers that dispatch one page
-// would each run a copy of the same request; the majority's memory prevents it.
-func (v *Voter) dispatcherBusy(now time.Duration, vote *vote, ask Ask) (time.Duration, bool) {
-	if ask.Dispatcher == "" {
+// dispatcherBusy returns for how long another router may still dispatch the page,
+// and whether the requested one may start. If two routers dispatched one page, each
+// could run a copy of the same request. Any two majorities share a voter that
+// remembers the current dispatcher, which prevents this.
+func (v *Voter) dispatcherBusy(now time.Duration, vote *pageVote, request RenewalRequest) (time.Duration, bool) {
+	if request.Dispatcher == "" {
 		return 0, true
 	}
-	if vote.dispatcher == ask.Dispatcher {
+	if vote.dispatcher == request.Dispatcher {
 		return 0, true
 	}
-	if vote.dispatcher != "" && vote.dispatcher == ask.Released && vote.dispatcherRun == ask.ReleasedRun {
+	if vote.dispatcher != "" && vote.dispatcher == request.ReleasedDispatcher && vote.dispatcherIncarnation == request.ReleasedIncarnation {
 		return 0, true
 	}
-	busyUntil := max(vote.dispatchUntil, v.freshUntil)
+	busyUntil := max(vote.dispatchUntil, v.predecessorLeasesUntil)
 	return busyUntil - now, now >= busyUntil
 }
 
-// Stop promises never again to agree to the generation or an older one.
+// Stop promises never again to agree to the generation or an older one, and returns
+// how long leases that it agreed to may still be valid.
 func (v *Voter) Stop(now time.Duration, page string, generation uint64) Promise {
-	vote := v.vote(page)
+	vote := v.pageState(page)
 	vote.stopped = max(vote.stopped, generation)
 	vote.known = max(vote.known, generation)
-	until := v.freshUntil
+	until := v.predecessorLeasesUntil
 	for _, agreed := range vote.agreements {
 		if agreed.generation <= generation {
 			until = max(until, agreed.until)
@@ -178,22 +187,22 @@
 	return Promise{Remaining: max(0, until-now)}
 }
 
-func (v *Voter) vote(page string) *vote {
+func (v *Voter) pageState(page string) *pageVote {
 	if known, ok := v.pages[page]; ok {
 		return known
 	}
-	fresh := &vote{}
+	fresh := &pageVote{}
 	v.pages[page] = fresh
 	return fresh
 }
 
-// agree notes the agreement and forgets those that have lapsed.
-func (t *vote) agree(now time.Duration, generation uint64, until time.Duration) {
-	kept := t.agreements[:0]
-	for _, old := range t.agreements {
+// recordAgreement records an agreement and drops those that have expired.
+func (p *pageVote) recordAgreement(now time.Duration, generation uint64, until time.Duration) {
+	kept := p.agreements[:0]
+	for _, old := range p.agreements {
 		if old.until > now && old.generation != generation {
 			kept = append(kept, old)
 		}
 	}
-	t.agreements = append(kept, agreement{generation: generation, until: until})
+	p.agreements = append(kept, agreement{generation: generation, until: until})
 }
--- a/ownership/world_test.go
+++ b/ownership/world_test.go
@@ -12,9 +12,9 @@
 	"cicadarouter/record"
 )
 
-// The world of the stateful tests: processes with clocks of their own, one page
-// in a store, and a bag of messages that arrive in any order, late, twice or
-// never. The oracle looks at true time, which no process knows.
+// The simulation of the stateful tests: processes with their own clocks, one page
+// in a store, and messages that arrive in any order, late, twice or never.
+// Invariants are checked at true time, which no process knows.
 
 const (
 	testPage  = "split.0"
@@ -23,11 +23,11 @@
 )
 
 func testTerms() ownership.Terms {
-	return ownership.Terms{Lease: 100 * time.Millisecond, Drift: testDrift, StoreAway: 150 * time.Millisecond}
+	return ownership.Terms{LeaseDuration: 100 * time.Millisecond, MaxClockDrift: testDrift, MaxStoreOutage: 150 * time.Millisecond}
 }
 
-// process is what every process has: a clock of its own and a run that messages
-// belong to.
+// process is the common state of all processes: a clock, and a run number that
+// pending replies belong to.
 type process struct {
 	name   string
 	rate   float64
@@ -36,14 +36,14 @@
 	run    int
 }
 
-func (p *process) now(world *world) time.Duration {
-	return p.offset + time.Duration(float64(world.time)*p.rate)
+func (p *process) now(s *simulation) time.Duration {
+	return p.offset + time.Duration(float64(s.trueTime)*p.rate)
 }
 
 type controller struct {
 	process
 	voter   *ownership.Voter
-	machine *ownership.Machine
+	machine *ownership.StateMachine
 	view    ownership.View
 	reading bool
 }
@@ -53,12 +53,12 @@
 	kind    ownership.HolderKind
 	holder  *ownership.Holder
 	leaving bool
-	// busy holds the hashes of accepted requests that have not had their effect.
+	// busy holds the hashes of accepted requests that have not taken effect.
 	busy []uint64
 }
 
-// message is anything on its way. replyTo is set on replies, which reach only
-// the run of the process that asked.
+// message is a message in transit. runOf and run are set on replies, which reach
+// only the run of the process that sent the request.
 type message struct {
 	from, to string
 	runOf    *process
@@ -67,19 +67,19 @@
 	deliver  func()
 }
 
-// effect is a request that a server ran.
+// effect is the latest request that ran for a hash.
 type effect struct {
 	server string
 	token  uint64
 }
 
-type world struct {
-	time        time.Duration
+type simulation struct {
+	trueTime    time.Duration
 	controllers map[string]*controller
 	holders     map[string]*holder
 	messages    []message
-	// held are messages that the network delays for long.
-	held        []message
+	// delayed are messages that the network delays for a long time.
+	delayed     []message
 	cut         map[[2]string]bool
 	storeDown   bool
 	page        record.Page
@@ -88,373 +88,378 @@
 	attempts    int
 	incarnation uint64
 	effects     map[uint64]effect
-	known       map[string]uint64 // newest generation of each controller
+	newestKnown map[string]uint64 // newest generation of each controller
 	group       []string
 	unchecked   bool
 	lostHosts   []string
-	problem     string
+	violation   string
 }
 
 const storeName = "store"
 
-// heirNames are controllers of another failure domain, which may take the page.
-var heirNames = []string{"d1", "d2", "d3"}
+// otherDomainNames are controllers of another failure domain, which may take the
+// page over.
+var otherDomainNames = []string{"d1", "d2", "d3"}
 
 var serverNames = []string{"s1", "s2", "s3"}
 
 var routerNames = []string{"r1", "r2"}
 
-// clockOf gives a process its clock's rate and offset.
-type clockOf func(name string) (rate float64, offset time.Duration)
+// clockFunc returns the rate and offset of a process's clock.
+type clockFunc func(name string) (rate float64, offset time.Duration)
 
-// drawnWorld returns a world of rapid's choice.
-func drawnWorld(t *rapid.T, unchecked bool) *world {
+// randomSimulation returns a simulation with random parameters.
+func randomSimulation(t *rapid.T, unchecked bool) *simulation {
 	size := rapid.SampledFrom([]int{2, 3, 3, 4, 5}).Draw(t, "group")
 	bounded := rapid.Bool().Draw(t, "bounded")
 	rates := []float64{1 - testDrift, 1 + testDrift, 1}
-	return newWorld(size, bounded, unchecked, func(name string) (float64, time.Duration) {
+	return newSimulation(size, bounded, unchecked, func(name string) (float64, time.Duration) {
 		rate := rapid.SampledFrom(rates).Draw(t, "rate of "+name)
 		offset := rapid.IntRange(0, 5000).Draw(t, "offset of "+name)
 		return rate, time.Duration(offset) * time.Millisecond
 	})
 }
 
-// plainWorld returns a world for a told sequence of events: three members and
-// clocks that agree.
-func plainWorld(bounded, unchecked bool) *world {
-	return newWorld(3, bounded, unchecked, func(string) (float64, time.Duration) { return 1, 0 })
+// fixedSimulation returns a simulation for a fixed sequence of events, with three
+// group members and identical clocks.
+func fixedSimulation(bounded, unchecked bool) *simulation {
+	return newSimulation(3, bounded, unchecked, func(string) (float64, time.Duration) { return 1, 0 })
 }
 
-func newWorld(size int, bounded, unchecked bool, clock clockOf) *world {
+func newSimulation(size int, bounded, unchecked bool, clock clockFunc) *simulation {
 	newProcess := func(name string) process {
 		rate, offset := clock(name)
 		return process{name: name, rate: rate, offset: offset}
 	}
-	w := &world{
+	s := &simulation{
 		controllers: map[string]*controller{},
 		holders:     map[string]*holder{},
 		cut:         map[[2]string]bool{},
 		effects:     map[uint64]effect{},
-		known:       map[string]uint64{},
+		newestKnown: map[string]uint64{},
 		unchecked:   unchecked,
-		time:        time.Hour,
+		trueTime:    time.Hour,
 	}
-	for _, name := range heirNames {
-		w.controllers[name] = &controller{process: newProcess(name)}
+	for _, name := range otherDomainNames {
+		s.controllers[name] = &controller{process: newProcess(name)}
 	}
 	for i := range size + 1 {
 		name := fmt.Sprintf("c%d", i+1)
 		if i < size {
-			w.group = append(w.group, name)
+			s.group = append(s.group, name)
 		}
-		w.controllers[name] = &controller{process: newProcess(name)}
+		s.controllers[name] = &controller{process: newProcess(name)}
 	}
-	w.page = record.Page{
+	s.page = record.Page{
 		Name: testPage, Service: "split", Home: "a", Low: 0, High: pageHigh, Generation: 1,
-		Group: slices.Clone(w.group), GroupSince: 1, Attempt: "first",
+		Group: slices.Clone(s.group), GroupSince: 1, Attempt: "first",
 		Bounded: bounded,
 		Shards: []record.Shard{
 			{Low: 0, State: record.ShardReleasing},
 			{Low: 50, State: record.ShardReleasing},
 		},
 	}
-	w.history = []record.Page{w.page}
-	w.version = 1
-	for _, name := range w.controllerNames() {
-		w.startController(w.controllers[name])
+	s.history = []record.Page{s.page}
+	s.version = 1
+	for _, name := range s.controllerNames() {
+		s.startController(s.controllers[name])
 	}
 	for _, name := range serverNames {
-		w.holders[name] = &holder{process: newProcess(name), kind: ownership.BackendServer}
+		s.holders[name] = &holder{process: newProcess(name), kind: ownership.BackendServer}
 	}
 	for _, name := range routerNames {
-		w.holders[name] = &holder{process: newProcess(name), kind: ownership.Router}
+		s.holders[name] = &holder{process: newProcess(name), kind: ownership.Router}
 	}
 	for _, name := range append(slices.Clone(serverNames), routerNames...) {
-		w.startHolder(w.holders[name])
+		s.startHolder(s.holders[name])
 	}
-	return w
+	return s
 }
 
-func (w *world) startController(c *controller) {
-	w.known[c.name] = 0
+func (s *simulation) startController(c *controller) {
+	s.newestKnown[c.name] = 0
 	c.run++
 	c.paused = false
 	c.reading = false
-	c.voter = ownership.NewVoter(testTerms(), c.now(w))
-	c.machine = ownership.NewMachine(testTerms(), w.newAttempt)
-	c.view = w.defaultView()
+	c.voter = ownership.NewVoter(testTerms(), c.now(s))
+	c.machine = ownership.NewStateMachine(testTerms(), s.newAttempt)
+	c.view = s.defaultView()
 }
 
-func (w *world) defaultView() ownership.View {
+func (s *simulation) defaultView() ownership.View {
 	return ownership.View{
-		Active:     true,
-		Servers:    serverNames,
-		Eligible:   serverNames,
-		Dispatcher: routerNames[0],
-		Unchecked:  w.unchecked,
-		DrainWait:  150 * time.Millisecond,
-		LostHosts:  w.lostHosts,
+		Active:             true,
+		Servers:            serverNames,
+		Eligible:           serverNames,
+		Dispatcher:         routerNames[0],
+		TokensUnchecked:    s.unchecked,
+		MaxRequestDuration: 150 * time.Millisecond,
+		LostHosts:          s.lostHosts,
 	}
 }
 
-func (w *world) newAttempt() string {
-	w.attempts++
-	return fmt.Sprint("attempt ", w.attempts)
+func (s *simulation) newAttempt() string {
+	s.attempts++
+	return fmt.Sprint("attempt ", s.attempts)
 }
 
-func (w *world) startHolder(h *holder) {
-	w.incarnation++
+func (s *simulation) startHolder(h *holder) {
+	s.incarnation++
 	h.run++
 	h.paused = false
 	h.leaving = false
 	h.busy = nil
-	h.holder = ownership.NewHolder(w.incarnation)
+	h.holder = ownership.NewHolder(s.incarnation)
 }
 
-// send puts a message on its way, unless the link is cut.
-func (w *world) send(from, to string, deliver func()) {
-	if w.cut[[2]string{from, to}] {
+// send sends a message, unless the link is cut.
+func (s *simulation) send(from, to string, deliver func()) {
+	if s.cut[[2]string{from, to}] {
 		return
 	}
-	w.messages = append(w.messages, message{from: from, to: to, sentAt: w.time, deliver: deliver})
+	s.messages = append(s.messages, message{from: from, to: to, sentAt: s.trueTime, deliver: deliver})
 }
 
-// reply puts a reply on its way to the run of the process that asked.
-func (w *world) reply(from string, to *process, run int, deliver func()) {
-	if w.cut[[2]string{from, to.name}] {
+// reply sends a reply to the run of the process that sent the request, unless the
+// link is cut.
+func (s *simulation) reply(from string, to *process, run int, deliver func()) {
+	if s.cut[[2]string{from, to.name}] {
 		return
 	}
-	w.messages = append(w.messages, message{from: from, to: to.name, runOf: to, run: run, sentAt: w.time, deliver: deliver})
+	s.messages = append(s.messages, message{from: from, to: to.name, runOf: to, run: run, sentAt: s.trueTime, deliver: deliver})
 }
 
-// deliver hands one message over, if its receiver can take it.
-func (w *world) deliver(m message) {
+// deliver delivers one message, unless it is a reply to an earlier run of its
+// receiver.
+func (s *simulation) deliver(m message) {
 	if m.runOf != nil && m.runOf.run != m.run {
 		return
 	}
 	m.deliver()
 }
 
-func (w *world) paused(name string) bool {
-	if c, ok := w.controllers[name]; ok {
+func (s *simulation) paused(name string) bool {
+	if c, ok := s.controllers[name]; ok {
 		return c.paused
 	}
-	if h, ok := w.holders[name]; ok {
+	if h, ok := s.holders[name]; ok {
 		return h.paused
 	}
 	return false
 }
 
-// carryOut does what a controller's machine wants done.
-func (w *world) carryOut(c *controller) {
+// perform performs the pending work of a controller's state machine.
+func (s *simulation) perform(c *controller) {
 	for {
 		ready := c.machine.Ready()
-		w.carryAsks(c, ready.Asks)
-		w.carryStops(c, ready.Stops)
+		s.sendRenewals(c, ready.Renewals)
+		s.sendStops(c, ready.Stops)
 		for _, grant := range ready.Grants {
-			w.carryGrant(c, grant)
+			s.sendGrant(c, grant)
 		}
 		if ready.Write != nil {
-			w.carryWrite(c, *ready.Write)
+			s.sendWrite(c, *ready.Write)
 		}
 		if ready.Reread {
-			w.read(c)
+			s.read(c)
 		}
-		if len(ready.Asks)+len(ready.Stops)+len(ready.Grants) == 0 {
+		if len(ready.Renewals)+len(ready.Stops)+len(ready.Grants) == 0 {
 			return
 		}
 	}
 }
 
-func (w *world) carryAsks(c *controller, asks []ownership.AskOut) {
+func (s *simulation) sendRenewals(c *controller, asks []ownership.RenewalMessage) {
 	run := c.run
 	for _, ask := range asks {
 		for _, host := range ask.Hosts {
-			peer := w.controllers[host]
+			peer := s.controllers[host]
 			if host == c.name {
-				c.machine.Answer(c.now(w), ask.Round, host, c.voter.Agree(c.now(w), ask.Ask))
+				c.machine.HandleRenewalResponse(c.now(s), ask.Round, host, c.voter.Agree(c.now(s), ask.Request))
 				continue
 			}
-			w.send(c.name, host, func() {
-				if w.controllers[host] == nil {
+			s.send(c.name, host, func() {
+				if s.controllers[host] == nil {
 					return // declared lost
 				}
-				answer := peer.voter.Agree(peer.now(w), ask.Ask)
-				w.reply(host, &c.process, run, func() {
-					c.machine.Answer(c.now(w), ask.Round, host, answer)
-					w.carryOut(c)
+				answer := peer.voter.Agree(peer.now(s), ask.Request)
+				s.reply(host, &c.process, run, func() {
+					c.machine.HandleRenewalResponse(c.now(s), ask.Round, host, answer)
+					s.perform(c)
 				})
 			})
 		}
 	}
 }
 
-func (w *world) carryStops(c *controller, stops []ownership.StopOut) {
+func (s *simulation) sendStops(c *controller, stops []ownership.StopMessage) {
 	run := c.run
 	for _, stop := range stops {
 		for _, host := range stop.Hosts {
-			peer := w.controllers[host]
+			peer := s.controllers[host]
 			if host == c.name {
-				c.machine.Promised(c.now(w), stop.Generation, host, c.voter.Stop(c.now(w), stop.Page, stop.Generation))
+				c.machine.HandlePromise(c.now(s), stop.Generation, host, c.voter.Stop(c.now(s), stop.Page, stop.Generation))
 				continue
 			}
-			w.send(c.name, host, func() {
-				if w.controllers[host] == nil {
+			s.send(c.name, host, func() {
+				if s.controllers[host] == nil {
 					return // declared lost
 				}
-				promise := peer.voter.Stop(peer.now(w), stop.Page, stop.Generation)
-				w.reply(host, &c.process, run, func() {
-					c.machine.Promised(c.now(w), stop.Generation, host, promise)
-					w.carryOut(c)
+				promise := peer.voter.Stop(peer.now(s), stop.Page, stop.Generation)
+				s.reply(host, &c.process, run, func() {
+					c.machine.HandlePromise(c.now(s), stop.Generation, host, promise)
+					s.perform(c)
 				})
 			})
 		}
 	}
 }
 
-func (w *world) carryGrant(c *controller, out ownership.GrantOut) {
+func (s *simulation) sendGrant(c *controller, out ownership.GrantMessage) {
 	run := c.run
-	h := w.holders[out.Holder.Name]
-	w.send(c.name, h.name, func() {
+	h := s.holders[out.Holder.Name]
+	s.send(c.name, h.name, func() {
 		if out.Grant != nil && !h.leaving {
 			_ = h.holder.Accept(*out.Grant)
 		}
 		ack := ownership.HolderAck{
 			SentAt:      out.SentAt,
-			Stamp:       h.now(w),
+			HolderTime:  h.now(s),
 			Incarnation: h.holder.Incarnation(),
 			Generation:  h.holder.Generation(out.Page),
 			Leaving:     h.leaving,
-			Busy:        w.busyOf(h),
+			Busy:        s.busyHashes(h),
 		}
-		w.reply(h.name, &c.process, run, func() {
-			c.machine.Ack(c.now(w), out.Holder, ack)
-			w.carryOut(c)
+		s.reply(h.name, &c.process, run, func() {
+			c.machine.HandleAck(c.now(s), out.Holder, ack)
+			s.perform(c)
 		})
 	})
 }
 
-// busyOf lists the hashes that a server still works on without holding them.
-func (w *world) busyOf(h *holder) []uint64 {
+// busyHashes lists the hashes of requests that a server still runs without holding
+// a lease on them.
+func (s *simulation) busyHashes(h *holder) []uint64 {
 	var busy []uint64
 	for _, hash := range h.busy {
-		if _, held := h.holder.HeldAt(h.now(w), testPage, hash); !held {
+		if _, held := h.holder.ShardAt(h.now(s), testPage, hash); !held {
 			busy = append(busy, hash)
 		}
 	}
 	return busy
 }
 
-func (w *world) carryWrite(c *controller, page record.Page) {
+func (s *simulation) sendWrite(c *controller, page record.Page) {
 	run := c.run
-	w.send(c.name, storeName, func() {
-		if w.storeDown {
+	s.send(c.name, storeName, func() {
+		if s.storeDown {
 			return
 		}
 		result := ownership.WriteConflict
-		if w.page.Generation == page.Generation-1 {
-			w.commit(page)
+		if s.page.Generation == page.Generation-1 {
+			s.commit(page)
 			result = ownership.WriteDone
 		}
-		w.reply(storeName, &c.process, run, func() {
-			c.machine.WriteResult(c.now(w), page.Attempt, result)
+		s.reply(storeName, &c.process, run, func() {
+			c.machine.HandleWriteResult(c.now(s), page.Attempt, result)
 			if result == ownership.WriteDone {
 				c.voter.Learn(page.Name, page.Generation)
 			}
-			w.carryOut(c)
+			s.perform(c)
 		})
 	})
 }
 
-// commit takes a generation into the store and checks that it follows from the
-// one before.
-func (w *world) commit(page record.Page) {
+// commit stores a generation and checks that no hash changed its owner or token
+// without being released before.
+func (s *simulation) commit(page record.Page) {
 	for hash := uint64(0); hash <= pageHigh; hash += 5 {
-		before := w.page.Shards[w.page.ShardAt(hash)]
+		before := s.page.Shards[s.page.ShardAt(hash)]
 		after := page.Shards[page.ShardAt(hash)]
 		if before.Grantable() && after.Grantable() && (before.Owner != after.Owner || before.Token != after.Token) {
-			w.problem = fmt.Sprintf("hash %d went from %s to %s without being released", hash, before.Owner, after.Owner)
+			s.violation = fmt.Sprintf("hash %d moved from %s to %s without being released", hash, before.Owner, after.Owner)
 		}
 	}
-	w.page = page
-	w.version++
-	w.history = append(w.history, page)
+	s.page = page
+	s.version++
+	s.history = append(s.history, page)
 }
 
-// read has a controller read the store.
-func (w *world) read(c *controller) {
+// read makes a controller read the store.
+func (s *simulation) read(c *controller) {
 	run := c.run
-	began := c.now(w)
-	w.send(c.name, storeName, func() {
-		if w.storeDown {
+	began := c.now(s)
+	s.send(c.name, storeName, func() {
+		if s.storeDown {
 			return
 		}
-		page := w.page
-		w.reply(storeName, &c.process, run, func() {
+		page := s.page
+		s.reply(storeName, &c.process, run, func() {
 			c.voter.Learn(page.Name, page.Generation)
 			c.voter.StoreRead(began)
-			c.machine.Learn(c.now(w), page)
-			w.carryOut(c)
+			c.machine.Learn(c.now(s), page)
+			s.perform(c)
 		})
 	})
 }
 
-// relay has a controller learn a page from a peer, as routers' feeds do.
-func (w *world) relay(from, to *controller) {
+// relay makes a controller learn a page from a peer, as happens through routers'
+// feeds.
+func (s *simulation) relay(from, to *controller) {
 	page := from.machine.Page()
 	if page.Generation == 0 {
 		return
 	}
-	w.send(from.name, to.name, func() {
+	s.send(from.name, to.name, func() {
 		to.voter.Learn(page.Name, page.Generation)
-		to.machine.Learn(to.now(w), page)
-		w.carryOut(to)
+		to.machine.Learn(to.now(s), page)
+		s.perform(to)
 	})
 }
 
-// request sends a request from a router that believes it may dispatch.
-func (w *world) request(router *holder, hash uint64) {
-	now := router.now(w)
+// request sends a request from a router that holds a valid lease by its own clock.
+func (s *simulation) request(router *holder, hash uint64) {
+	now := router.now(s)
 	if now >= router.holder.Expiry(testPage) || router.leaving {
 		return
 	}
 	generation := router.holder.Generation(testPage)
-	page := w.history[generation-1]
+	page := s.history[generation-1]
 	shard := page.Shards[page.ShardAt(hash)]
 	if !shard.Grantable() {
 		return
 	}
-	server := w.holders[shard.Owner]
-	sentAt := w.time
-	w.send(router.name, server.name, func() { w.accept(server, hash, shard.Token, sentAt) })
-}
-
-// accept has a server take a request, which has its effect at once or later.
-func (w *world) accept(server *holder, hash, token uint64, sentAt time.Duration) {
-	if w.unchecked {
-		// The contract with unchecked servers: they honour deadlines. What
-		// stays longer on its way is the residual risk that the docs state.
-		if w.time-sentAt < w.defaultView().DrainWait {
-			w.run(server, hash, token)
+	server := s.holders[shard.Owner]
+	sentAt := s.trueTime
+	s.send(router.name, server.name, func() { s.accept(server, hash, shard.Token, sentAt) })
+}
+
+// accept delivers a request to a server, which runs it at once if it may.
+func (s *simulation) accept(server *holder, hash, token uint64, sentAt time.Duration) {
+	if s.unchecked {
+		// Servers that do not check tokens must honour deadlines. A request in
+		// transit for longer is the documented residual risk.
+		if s.trueTime-sentAt < s.defaultView().MaxRequestDuration {
+			s.run(server, hash, token)
 		}
 		return
 	}
-	if server.holder.Holds(server.now(w), testPage, hash, token) {
-		w.run(server, hash, token)
+	if server.holder.Holds(server.now(s), testPage, hash, token) {
+		s.run(server, hash, token)
 	}
 }
 
-func (w *world) run(server *holder, hash, token uint64) {
-	before := w.effects[hash]
+func (s *simulation) run(server *holder, hash, token uint64) {
+	before := s.effects[hash]
 	if token < before.token || token == before.token && server.name != before.server {
-		w.problem = fmt.Sprintf("hash %d ran at %s under token %d after %s under token %d",
+		s.violation = fmt.Sprintf("hash %d ran at %s under token %d after %s under token %d",
 			hash, server.name, token, before.server, before.token)
 	}
-	w.effects[hash] = effect{server: server.name, token: token}
+	s.effects[hash] = effect{server: server.name, token: token}
 }
 
-func (w *world) processNames() []string {
-	names := slices.Sorted(maps.Keys(w.controllers))
+func (s *simulation) processNames() []string {
+	names := slices.Sorted(maps.Keys(s.controllers))
 	names = append(names, serverNames...)
 	names = append(names, routerNames...)
 	return append(names, storeName)
--- a/placement/ledger.go
+++ b/placement/ledger.go
@@ -7,45 +7,46 @@
 	"cicadarouter/record"
 )
 
-// item is a shard with its load.
-type item struct {
+// loadedShard is a shard with its load.
+type loadedShard struct {
 	low   uint64
 	owner string
 	rate  float64
 	hot   []HotHash
 }
 
-// ledger is the load of each server as moves are planned.
-type ledger struct {
+// loadModel is the expected load of each server, including the moves that are
+// already planned.
+type loadModel struct {
 	servers   []Server
 	slots     map[string]float64
 	load      map[string]float64
 	count     map[string]int
-	items     []item
-	stranded  []item
+	shards    []loadedShard
+	displaced []loadedShard
 	releasing int
 }
 
-func (p *Planner) newLedger(world World) *ledger {
-	l := &ledger{
-		servers: world.Servers,
+func (p *Planner) newLoadModel(input Input) *loadModel {
+	m := &loadModel{
+		servers: input.Servers,
 		slots:   map[string]float64{},
 		load:    map[string]float64{},
 		count:   map[string]int{},
 	}
-	for _, server := range world.Servers {
-		l.slots[server.Name] = float64(server.Slots)
-		l.load[server.Name] = 0
-		l.count[server.Name] = 0
+	for _, server := range input.Servers {
+		m.slots[server.Name] = float64(server.Slots)
+		m.load[server.Name] = 0
+		m.count[server.Name] = 0
 	}
-	for _, shard := range world.Page.Shards {
-		l.enter(p.itemOf(shard), shard)
+	for _, shard := range input.Page.Shards {
+		m.addShard(p.shardLoadOf(shard), shard)
 	}
-	return l
+	return m
 }
 
-func (p *Planner) itemOf(shard record.Shard) item {
-	entry := item{low: shard.Low, owner: shard.Owner}
+func (p *Planner) shardLoadOf(shard record.Shard) loadedShard {
+	entry := loadedShard{low: shard.Low, owner: shard.Owner}
 	if known, ok := p.loads[shard.Low]; ok {
 		entry.rate = known.rate
 		entry.hot = known.hot
@@ -53,53 +54,53 @@
 	return entry
 }
 
-func (l *ledger) enter(entry item, shard record.Shard) {
+func (m *loadModel) addShard(entry loadedShard, shard record.Shard) {
 	if shard.Releasing() {
-		l.releasing++
-		if _, eligible := l.slots[shard.Next]; eligible {
-			l.load[shard.Next] += entry.rate
-			l.count[shard.Next]++
+		m.releasing++
+		if _, eligible := m.slots[shard.Next]; eligible {
+			m.load[shard.Next] += entry.rate
+			m.count[shard.Next]++
 		}
 		return
 	}
-	if _, eligible := l.slots[entry.owner]; !eligible {
-		l.stranded = append(l.stranded, entry)
+	if _, eligible := m.slots[entry.owner]; !eligible {
+		m.displaced = append(m.displaced, entry)
 		return
 	}
-	l.load[entry.owner] += entry.rate
-	l.count[entry.owner]++
-	l.items = append(l.items, entry)
+	m.load[entry.owner] += entry.rate
+	m.count[entry.owner]++
+	m.shards = append(m.shards, entry)
 }
 
-// evacuate finds a place for every shard whose owner may own nothing any more.
-func (l *ledger) evacuate() []Move {
-	slices.SortFunc(l.stranded, func(a, b item) int { return cmp.Compare(b.rate, a.rate) })
+// evacuate moves every shard whose owner is no longer eligible.
+func (m *loadModel) evacuate() []Move {
+	slices.SortFunc(m.displaced, func(a, b loadedShard) int { return cmp.Compare(b.rate, a.rate) })
 	var moves []Move
-	for _, entry := range l.stranded {
-		to := l.lightest()
-		l.load[to] += entry.rate
-		l.count[to]++
+	for _, entry := range m.displaced {
+		to := m.leastUtilized()
+		m.load[to] += entry.rate
+		m.count[to]++
 		moves = append(moves, Move{Low: entry.low, To: to})
 	}
 	return moves
 }
 
-// lightest returns the server with the least load for its slots, and among
-// equals the one with the fewest shards.
-func (l *ledger) lightest() string {
-	best := l.servers[0]
-	for _, server := range l.servers[1:] {
-		if l.compare(server.Name, best.Name) < 0 {
+// leastUtilized returns the server with the least load per slot and, among equals,
+// the one with the fewest shards per slot.
+func (m *loadModel) leastUtilized() string {
+	best := m.servers[0]
+	for _, server := range m.servers[1:] {
+		if m.compare(server.Name, best.Name) < 0 {
 			best = server
 		}
 	}
 	return best.Name
 }
 
-func (l *ledger) heaviest() string {
-	worst := l.servers[0]
-	for _, server := range l.servers[1:] {
-		if l.compare(server.Name, worst.Name) > 0 {
+func (m *loadModel) mostUtilized() string {
+	worst := m.servers[0]
+	for _, server := range m.servers[1:] {
+		if m.compare(server.Name, worst.Name) > 0 {
 			worst = server
 		}
 	}
@@ -107,51 +108,53 @@
 }
 
 // compare orders servers by load per slot, then by shards per slot, then by name.
-func (l *ledger) compare(a, b string) int {
-	if c := cmp.Compare(l.perSlot(a), l.perSlot(b)); c != 0 {
+func (m *loadModel) compare(a, b string) int {
+	if c := cmp.Compare(m.utilization(a), m.utilization(b)); c != 0 {
 		return c
 	}
-	if c := cmp.Compare(float64(l.count[a])/l.slots[a], float64(l.count[b])/l.slots[b]); c != 0 {
+	if c := cmp.Compare(float64(m.count[a])/m.slots[a], float64(m.count[b])/m.slots[b]); c != 0 {
 		return c
 	}
 	return cmp.Compare(a, b)
 }
 
-func (l *ledger) perSlot(name string) float64 { return l.load[name] / l.slots[name] }
+func (m *loadModel) utilization(name string) float64 { return m.load[name] / m.slots[name] }
 
-// meanPerSlot returns the load that each slot would carry if it were spread evenly.
-func (l *ledger) meanPerSlot() float64 {
+// meanUtilization returns the load per slot if the load were spread evenly.
+func (m *loadModel) meanUtilization() float64 {
 	total, slots := 0.0, 0.0
-	for _, server := range l.servers {
-		total += l.load[server.Name]
-		slots += l.slots[server.Name]
+	for _, server := range m.servers {
+		total += m.load[server.Name]
+		slots += m.slots[server.Name]
 	}
 	return total / slots
 }
 
-// imbalance returns the load of the most loaded server over the mean.
-func (l *ledger) imbalance() float64 {
-	mean := l.meanPerSlot()
+// imbalance returns the utilization of the most utilized server over the mean.
+func (m *loadModel) imbalance() float64 {
+	mean := m.meanUtilization()
 	if mean == 0 {
 		return 1
 	}
-	return l.perSlot(l.heaviest()) / mean
+	return m.utilization(m.mostUtilized()) / mean
 }
 
-// idleShare is the part of the mean load below which a server counts as idle.
-const idleShare = 0.5
+// idleFraction is the fraction of the mean utilization up to which a server counts
+// as idle.
+const idleFraction = 0.5
 
-// spreadCount gives idle servers their share by number, taken from the servers
-// with the most. It serves servers that join, before their load says anything.
-func (l *ledger) spreadCount(most int) []Move {
+// fillIdleServers gives idle servers an equal number of shards, taken from the most
+// utilized servers that have more shards. It is for servers that have just joined
+// and have no meaningful load yet.
+func (m *loadModel) fillIdleServers(maxMoves int) []Move {
 	var moves []Move
-	share := len(l.items) / len(l.servers)
-	for _, server := range l.servers {
-		if l.perSlot(server.Name) > l.meanPerSlot()*idleShare {
+	share := len(m.shards) / len(m.servers)
+	for _, server := range m.servers {
+		if m.utilization(server.Name) > m.meanUtilization()*idleFraction {
 			continue
 		}
-		for l.count[server.Name] < share && len(moves) < most {
-			move, ok := l.takeForJoiner(server.Name)
+		for m.count[server.Name] < share && len(moves) < maxMoves {
+			move, ok := m.moveToIdleServer(server.Name)
 			if !ok {
 				break
 			}
@@ -161,62 +164,64 @@
 	return moves
 }
 
-// takeForJoiner moves one shard from the heaviest server with shards to spare.
-func (l *ledger) takeForJoiner(to string) (Move, bool) {
+// moveToIdleServer moves one shard from the most utilized server that has at least
+// two shards more than the idle one.
+func (m *loadModel) moveToIdleServer(to string) (Move, bool) {
 	best := -1
-	for i, entry := range l.items {
-		if entry.owner == to || l.count[entry.owner] <= l.count[to]+1 {
+	for i, entry := range m.shards {
+		if entry.owner == to || m.count[entry.owner] <= m.count[to]+1 {
 			continue
 		}
-		if best < 0 || l.compare(entry.owner, l.items[best].owner) > 0 {
+		if best < 0 || m.compare(entry.owner, m.shards[best].owner) > 0 {
 			best = i
 		}
 	}
 	if best < 0 {
 		return Move{}, false
 	}
-	return l.move(best, to), true
+	return m.applyMove(best, to), true
 }
 
-func (l *ledger) move(index int, to string) Move {
-	entry := &l.items[index]
-	l.load[entry.owner] -= entry.rate
-	l.count[entry.owner]--
-	l.load[to] += entry.rate
-	l.count[to]++
+func (m *loadModel) applyMove(index int, to string) Move {
+	entry := &m.shards[index]
+	m.load[entry.owner] -= entry.rate
+	m.count[entry.owner]--
+	m.load[to] += entry.rate
+	m.count[to]++
 	entry.owner = to
 	return Move{Low: entry.low, To: to}
 }
 
-// level moves shards from the most to the least loaded servers until the
-// imbalance is tolerable or nothing helps.
-func (l *ledger) level(tolerance float64, most int) []Move {
+// rebalance moves shards from the most to the least utilized server until the
+// imbalance is within the tolerance, no move reduces it, or maxMoves is reached.
+func (m *loadModel) rebalance(tolerance float64, maxMoves int) []Move {
 	var moves []Move
 	moved := map[uint64]bool{}
-	for len(moves) < most && l.imbalance() > tolerance {
-		from := l.heaviest()
-		index, to := l.bestMove(from, moved)
+	for len(moves) < maxMoves && m.imbalance() > tolerance {
+		from := m.mostUtilized()
+		index, to := m.bestMove(from, moved)
 		if index < 0 {
 			return moves
 		}
-		moved[l.items[index].low] = true
-		moves = append(moves, l.move(index, to))
+		moved[m.shards[index].low] = true
+		moves = append(moves, m.applyMove(index, to))
 	}
 	return moves
 }
 
-// bestMove returns the move off a server that lowers the higher of the two
-// servers' loads most. A shard that would only swap the roles is not moved: the
-// hot shard itself stays and its neighbours go.
-func (l *ledger) bestMove(from string, moved map[uint64]bool) (index int, to string) {
-	to = l.lightest()
+// bestMove returns the move from a server to the least utilized one that most
+// reduces the higher utilization of the two. A shard so loaded that its move would
+// only swap the two servers' roles is not moved: a hot shard stays and other shards
+// of its server move away.
+func (m *loadModel) bestMove(from string, moved map[uint64]bool) (index int, to string) {
+	to = m.leastUtilized()
 	index = -1
-	best := l.perSlot(from)
-	for i, entry := range l.items {
+	best := m.utilization(from)
+	for i, entry := range m.shards {
 		if entry.owner != from || moved[entry.low] || entry.rate == 0 {
 			continue
 		}
-		after := max((l.load[from]-entry.rate)/l.slots[from], (l.load[to]+entry.rate)/l.slots[to])
+		after := max((m.load[from]-entry.rate)/m.slots[from], (m.load[to]+entry.rate)/m.slots[to])
 		if after < best {
 			best = after
 			index = i
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -24,37 +24,37 @@
 	assert.Assert(t, c.Match("other", "/a/") == nil)
 }
 
-func TestWeights(t *testing.T) {
+func TestPickFollowsWeights(t *testing.T) {
 	route := &configuration(1).Hosts["h"][1]
-	const draws = 20000
+	const picks = 20000
 	others := 0
-	for range draws {
-		if route.Pick() == "other" {
+	for range picks {
+		if route.PickService() == "other" {
 			others++
 		}
 	}
-	// Ten standard deviations of a draw of 2000 in 20000 are 424.
-	assert.Assert(t, others > 1500 && others < 2500, "%d of %d went to a part of a tenth", others, draws)
+	// Ten standard deviations of the expected 2000 picks out of 20000 are 424.
+	assert.Assert(t, others > 1500 && others < 2500, "%d of %d picks went to a service with a tenth of the weight", others, picks)
 }
 
-func TestNeverBack(t *testing.T) {
-	var inForce InForce
+func TestOlderVersionIsIgnored(t *testing.T) {
+	var inForce ActiveConfiguration
 	assert.Assert(t, inForce.Current() == nil)
-	assert.Assert(t, inForce.Offer(configuration(4)))
-	assert.Assert(t, !inForce.Offer(configuration(4)))
-	assert.Assert(t, !inForce.Offer(configuration(3)))
+	assert.Assert(t, inForce.Update(configuration(4)))
+	assert.Assert(t, !inForce.Update(configuration(4)))
+	assert.Assert(t, !inForce.Update(configuration(3)))
 	assert.Equal(t, inForce.Current().Version, uint64(4))
 }
 
-func TestFaultsAreNamed(t *testing.T) {
-	for name, spoil := range map[string]func(*Route){
+func TestValidateNamesInvalidField(t *testing.T) {
+	for name, invalidate := range map[string]func(*Route){
 		"prefix": func(r *Route) { r.Prefix = "/a" }, "targets": func(r *Route) { r.Targets = nil },
 		"service": func(r *Route) { r.Targets = []Target{{Service: "none", Weight: 1}} },
 		"weight":  func(r *Route) { r.Targets = []Target{{Service: "s"}} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := configuration(1)
-			spoil(&c.Hosts["h"][0])
+			invalidate(&c.Hosts["h"][0])
 			var invalid *InvalidError
 			assert.Assert(t, errors.As(c.Check(), &invalid))
 			assert.Equal(t, invalid.Field, "route h short "+name)
