--- a/notice/ledger_test.go
+++ b/notice/ledger_test.go
@@ -18,8 +18,8 @@
 
 // limitUpdate returns the update in the response to a request, with the times in seconds at which
 // the request was sent and the response arrived.
-func limitUpdate(perSecond float64, sent, heard time.Duration) Update[float64] {
-	return Update[float64]{Value: perSecond, SentAt: sent * time.Second, ReceivedAt: heard * time.Second}
+func limitUpdate(perSecond float64, sent, received time.Duration) Update[float64] {
+	return Update[float64]{Value: perSecond, SentAt: sent * time.Second, ReceivedAt: received * time.Second}
 }
 
 // Guards against losing a limit to a response that was overtaken by a later one.
@@ -56,9 +56,9 @@
 		var updates []Update[float64]
 		for range 3 {
 			sent := rapid.IntRange(1, 9).Draw(t, "sent")
-			heard := rapid.IntRange(sent, 10).Draw(t, "heard")
+			received := rapid.IntRange(sent, 10).Draw(t, "received")
 			// No two updates arrive at exactly the same time.
-			at := time.Duration(heard)*time.Second + time.Duration(len(updates))
+			at := time.Duration(received)*time.Second + time.Duration(len(updates))
 			updates = append(updates, Update[float64]{Value: float64(rapid.IntRange(0, 2).Draw(t, "limit")), SentAt: time.Duration(sent) * time.Second, ReceivedAt: at})
 		}
 		limit := func(order ...int) float64 {
--- a/poison/fuzz_test.go
+++ b/poison/fuzz_test.go
@@ -47,7 +47,7 @@
 	servers   int
 
 	terminations []time.Duration // terminations during the deadly request
-	lateCopies   int             // copies sent by hosts in touch that had to know the request
+	lateCopies   int             // copies sent by hosts that had to know the request
 }
 
 // simMessage is a message to a host. It may be delivered again.
@@ -153,8 +153,8 @@
 	answeredAt.ledger.Clear(w.now, fingerprintOf(path))
 }
 
-// Once three servers have terminated during a request and all hosts in touch have had time to learn
-// of it, they send it at most three more times, counted over all hosts. This must hold whichever
+// Once three servers have terminated during a request, the hosts that have been free of faults for
+// syncGrace send it at most three more times, counted over all of them. This must hold whichever
 // hosts are disconnected or restart, whichever host is the collector, and in whatever order and
 // however often messages arrive.
 func TestDeadlyRequestIsQuarantinedAtAllHosts(t *testing.T) {
@@ -202,7 +202,7 @@
 				w.hosts[host("answered at")].ledger.NoteAlive(incarnationOf("cut off"), AliveSpan{To: w.now})
 			},
 			"bystander request": func(t *rapid.T) {
-				w.sendBystander(w.hosts[host("under way at")], w.hosts[host("answered at")], fmt.Sprint("/", rapid.IntRange(0, 3).Draw(t, "path")))
+				w.sendBystander(w.hosts[host("in flight at")], w.hosts[host("answered at")], fmt.Sprint("/", rapid.IntRange(0, 3).Draw(t, "path")))
 			},
 			"": func(t *rapid.T) {
 				if w.lateCopies > quarantineThreshold {
--- a/poison/ledger.go
+++ b/poison/ledger.go
@@ -440,12 +440,12 @@
 // QuarantineCases returns the cases with enough terminations for a quarantine, also those whose
 // quarantine has ended, until the last termination expires. They are ordered by fingerprint.
 func (l *Ledger) QuarantineCases(now time.Duration) []Case {
-	var proven []Case
+	var cases []Case
 	for request, rec := range l.cases {
 		if rec.terminationCount() >= quarantineThreshold && now-rec.lastTermination() <= TerminationTTL {
-			proven = append(proven, rec.toCase(now, request))
+			cases = append(cases, rec.toCase(now, request))
 		}
 	}
-	slices.SortFunc(proven, func(a, b Case) int { return slices.Compare(a.Request[:], b.Request[:]) })
-	return proven
+	slices.SortFunc(cases, func(a, b Case) int { return slices.Compare(a.Request[:], b.Request[:]) })
+	return cases
 }
