--- a/cmd/cicada-standin/hosted.go
+++ b/cmd/cicada-standin/hosted.go
@@ -50,19 +50,19 @@
 	go func() { held <- watchKeys(loading, site) }()
 	load.Run(loading)
 	report := load.Check(site.RunsByID())
-	report.Broken = append(report.Broken, <-held...)
-	report.Broken = append(report.Broken, site.Overlaps()...)
+	report.Violations = append(report.Violations, <-held...)
+	report.Violations = append(report.Violations, site.Overlaps()...)
 	if err := <-joined; err != nil {
 		return err
 	}
 	used, keyed := site.ServersUsed()
 	fmt.Printf("%d requests; answers by status: %v; %d of %d owners of keys used; %d calls to the store\n",
 		report.Sent, report.Statuses, used, keyed, site.Store.Calls())
-	for _, broken := range report.Broken {
+	for _, broken := range report.Violations {
 		fmt.Println("BROKEN:", broken)
 	}
-	if len(report.Broken) > 0 {
-		return eris.Errorf("%d promises broken", len(report.Broken))
+	if len(report.Violations) > 0 {
+		return eris.Errorf("%d promises broken", len(report.Violations))
 	}
 	fmt.Println("no promise was broken")
 	return nil
@@ -71,7 +71,7 @@
 // trouble takes the store away for a while and lets a server join.
 func (c *hostedCommand) trouble(loading, serving context.Context, site *platformtest.Site) error {
 	clock.Sleep(loading, c.AwayAt)
-	site.Store.SetFaults(platformtest.Faults{Refuse: true})
+	site.Store.SetFaults(platformtest.Faults{RejectCalls: true})
 	fmt.Println("the store turns calls away")
 	clock.Sleep(loading, c.AwayFor)
 	site.Store.SetFaults(platformtest.Faults{})
@@ -84,7 +84,7 @@
 func watchKeys(ctx context.Context, site *platformtest.Site) []string {
 	var broken []string
 	for ctx.Err() == nil {
-		if key, held := site.HeldTwice(); held {
+		if key, held := site.KeyWithTwoHolders(); held {
 			broken = append(broken, fmt.Sprintf("key %d is held by two servers", key))
 		}
 		clock.Sleep(ctx, heldTwiceEvery)
--- a/gateway/cold_test.go
+++ b/gateway/cold_test.go
@@ -30,7 +30,7 @@
 	var restarted time.Time
 	s.sendLoad(limitedLoad{path: "/free/", callers: 60, length: 4 * time.Second, during: func(ctx context.Context) {
 		time.Sleep(time.Second)
-		s.store.SetFaults(platformtest.Faults{Refuse: true})
+		s.store.SetFaults(platformtest.Faults{RejectCalls: true})
 		process.End()
 		server.SetCold(time.Now().Add(3 * time.Second))
 		restarted = time.Now()
--- a/gateway/era_test.go
+++ b/gateway/era_test.go
@@ -17,14 +17,14 @@
 // operators and servers wrote is written again when again is called.
 func (s *site) drill(lose func()) (again func()) {
 	s.t.Helper()
-	s.store.Copy()
+	s.store.Backup()
 	lose()
-	s.store.SetFaults(platformtest.Faults{Refuse: true})
+	s.store.SetFaults(platformtest.Faults{RejectCalls: true})
 	time.Sleep(400 * time.Millisecond) // for so long it is away
-	s.store.ReturnFromCopy()
+	s.store.RestoreBackup()
 	s.store.SetFaults(platformtest.Faults{})
 	return func() {
-		assert.NilError(s.t, s.store.RewriteLost(context.Background(), "config", "servers", "evacuations"))
+		assert.NilError(s.t, s.store.RewriteLostObjects(context.Background(), "config", "servers", "evacuations"))
 	}
 }
 
@@ -131,7 +131,7 @@
 			})
 			sent, served := s.sendLoad(limitedLoad{path: "/keyed/", callers: 4, length: 3 * time.Second})
 			assert.Equal(t, served, sent)
-			assert.Equal(t, len(s.owners.Broken()), 0, "%v", s.owners.Broken())
+			assert.Equal(t, len(s.owners.Violations()), 0, "%v", s.owners.Violations())
 			s.eventually("the store holds the assignment again", func() bool { return s.owns("k4") })
 		})
 	}
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -29,7 +29,7 @@
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusOK)
 	assert.Assert(t, strings.HasSuffix(got.body, " POST /once/a%2Fb?x=1&y=%20 some body"), got.body)
-	assert.Assert(t, strings.HasPrefix(got.header.Get(platformtest.Signature), "signed by f"))
+	assert.Assert(t, strings.HasPrefix(got.header.Get(platformtest.SignatureHeader), "signed by f"))
 	assert.Assert(t, strings.HasPrefix(got.header.Get("X-Request-Id"), strings.TrimPrefix(h.callers.URL, "http://")+"/"))
 }
 
@@ -51,7 +51,7 @@
 // A host without a configuration responds 503, not that a route does not exist.
 func TestWithoutConfiguration(t *testing.T) {
 	s := newSite(t)
-	s.store.SetFaults(platformtest.Faults{Refuse: true})
+	s.store.SetFaults(platformtest.Faults{RejectCalls: true})
 	h := s.startUnready("one")
 	got := s.call(h, http.MethodGet, "/free/x", "", "")
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
@@ -63,7 +63,7 @@
 func TestRequestThatMayHaveRunIsNotRepeated(t *testing.T) {
 	s, h := newSmallSite(t)
 	for _, server := range s.servers {
-		server.SetFaults(platformtest.ServerFaults{LoseAnswers: 1})
+		server.SetFaults(platformtest.ServerFaults{DropResponses: 1})
 	}
 	got := s.call(h, http.MethodPost, "/once/x", "", "")
 	assert.Equal(t, got.status, http.StatusBadGateway)
@@ -73,7 +73,7 @@
 // An idempotent request is retried when its response is lost or truncated.
 func TestIdempotentRequestIsRetried(t *testing.T) {
 	for name, faults := range map[string]platformtest.ServerFaults{
-		"answer lost": {LoseAnswers: 1}, "answer broken off": {BreakOff: 1},
+		"answer lost": {DropResponses: 1}, "answer broken off": {TruncateResponses: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, h := newSmallSite(t)
@@ -93,11 +93,11 @@
 // request's ID was forwarded unchecked.
 func TestResponseToAnotherRequestIsNotForwarded(t *testing.T) {
 	s, h := newSmallSite(t)
-	s.servers["f1"].SetFaults(platformtest.ServerFaults{OtherID: true})
-	s.servers["f2"].SetFaults(platformtest.ServerFaults{OtherID: true})
+	s.servers["f1"].SetFaults(platformtest.ServerFaults{WrongRequestID: true})
+	s.servers["f2"].SetFaults(platformtest.ServerFaults{WrongRequestID: true})
 	got := s.call(h, http.MethodPost, "/once/x", "", "")
 	assert.Equal(t, got.status, http.StatusBadGateway)
-	assert.Equal(t, got.header.Get(platformtest.Signature), "")
+	assert.Equal(t, got.header.Get(platformtest.SignatureHeader), "")
 }
 
 // Guards against leaking a server's slots: when an idempotent request was retried after a long
@@ -105,8 +105,8 @@
 func TestRetriedRequestReleasesTheFirstServer(t *testing.T) {
 	s, h := newSmallSite(t)
 	for range 4 {
-		s.servers["f1"].SetFaults(platformtest.ServerFaults{FailLong: 1})
-		s.servers["f2"].SetFaults(platformtest.ServerFaults{FailLong: 1})
+		s.servers["f1"].SetFaults(platformtest.ServerFaults{LargeErrors: 1})
+		s.servers["f2"].SetFaults(platformtest.ServerFaults{LargeErrors: 1})
 		s.call(h, http.MethodGet, "/free/x", "", "")
 	}
 	assert.Assert(t, s.runs("f1")+s.runs("f2") > 4, "no request was repeated")
@@ -121,16 +121,16 @@
 // the server's signature.
 func TestSuccessNeedsTheServersSignature(t *testing.T) {
 	s, h := newSmallSite(t)
-	s.servers["f1"].SetFaults(platformtest.ServerFaults{Unsigned: true})
-	s.servers["f2"].SetFaults(platformtest.ServerFaults{Unsigned: true})
+	s.servers["f1"].SetFaults(platformtest.ServerFaults{OmitSignature: true})
+	s.servers["f2"].SetFaults(platformtest.ServerFaults{OmitSignature: true})
 	assert.Equal(t, s.call(h, http.MethodPost, "/once/x", "", "").status, http.StatusBadGateway)
 }
 
 // A request that every server rejected has not run, and its caller is told so.
 func TestRequestRejectedByAllServers(t *testing.T) {
 	s, h := newSmallSite(t)
-	s.servers["f1"].SetFaults(platformtest.ServerFaults{Shed: true})
-	s.servers["f2"].SetFaults(platformtest.ServerFaults{Shed: true})
+	s.servers["f1"].SetFaults(platformtest.ServerFaults{RejectRequests: true})
+	s.servers["f2"].SetFaults(platformtest.ServerFaults{RejectRequests: true})
 	got := s.call(h, http.MethodPost, "/once/x", "", "")
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Assert(t, got.header.Get("Retry-After") != "")
--- a/gateway/keys_test.go
+++ b/gateway/keys_test.go
@@ -87,7 +87,7 @@
 	s, h := newSmallSite(t)
 	s.eventually("all keys are served", func() bool { return s.allServed(h) })
 	before := s.store.Calls()
-	s.store.SetFaults(platformtest.Faults{Refuse: true})
+	s.store.SetFaults(platformtest.Faults{RejectCalls: true})
 	s.eventually("the host has noticed the outage", func() bool { return s.store.Calls() > before+10 })
 	assert.Assert(t, s.allServed(h))
 	s.store.SetFaults(platformtest.Faults{})
@@ -101,7 +101,7 @@
 	s, h := newSmallSite(t)
 	s.eventually("all keys are served", func() bool { return s.allServed(h) })
 	second := s.startHost("two")
-	s.store.Deafen()
+	s.store.DropWatchEvents()
 	s.configure(9, `,{"name":"more","path-prefix":"/more/","kind":"safe","timeout":"5000ms","service":"free","max-attempts":1}`)
 	s.eventually("both hosts serve the new route", func() bool {
 		return s.call(h, http.MethodGet, "/more/", "", "").status == http.StatusOK &&
@@ -122,7 +122,7 @@
 		calls := s.store.Calls()
 		return s.allServed(second) && s.store.Calls() == calls
 	})
-	s.store.Deafen()
+	s.store.DropWatchEvents()
 	s.startServer("k3", "owned", true)
 	s.eventually("both hosts send to the server that joined", func() bool {
 		before := s.runs("k3")
@@ -206,7 +206,7 @@
 	s, h := newSmallSite(t)
 	s.eventually("all keys are served", func() bool { return s.allServed(h) })
 	before := s.store.Calls()
-	s.store.SetFaults(platformtest.Faults{Refuse: true})
+	s.store.SetFaults(platformtest.Faults{RejectCalls: true})
 	s.eventually("the host has noticed the outage", func() bool { return s.store.Calls() > before+3 })
 	h.gateway.Stop(waitTimeout)
 	granted := len(s.servers["k1"].Tokens())
@@ -220,7 +220,7 @@
 // assignment returns the stored assignment of keys.
 func (s *site) assignment() *keyspace.Record {
 	s.t.Helper()
-	object, err := s.store.Kept().Get(context.Background(), gateway.Assignments, "owned")
+	object, err := s.store.Objects().Get(context.Background(), gateway.Assignments, "owned")
 	assert.NilError(s.t, err)
 	record := &keyspace.Record{}
 	assert.NilError(s.t, json.Unmarshal(object.Spec, record))
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -34,15 +34,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newLimitSite(t, 3)
-			s.store.SetFaults(platformtest.Faults{Refuse: play.away})
+			s.store.SetFaults(platformtest.Faults{RejectCalls: play.away})
 			for _, id := range play.leaving {
 				s.servers[id].SetLeaving()
 			}
 			sent, served := s.sendLoad(limitedLoad{path: play.path, callers: 6, length: maxDelayAfterLeaving + 2*time.Second})
 			t.Logf("%d of %d served", served, sent)
 			for _, id := range play.leaving {
-				late := s.servers[id].LateToLeaving(maxDelayAfterLeaving)
-				t.Logf("%s announced to %d hosts that it is leaving", id, s.servers[id].ToldLeaving())
+				late := s.servers[id].LateArrivals(maxDelayAfterLeaving)
+				t.Logf("%s announced to %d hosts that it is leaving", id, s.servers[id].HostsNotifiedOfLeaving())
 				assert.Equal(t, len(late), 0, "%s got %d, the last %+v", id, len(late), last(late))
 			}
 		})
@@ -66,14 +66,14 @@
 	s.sendLoad(limitedLoad{path: "/keyed/", callers: 4, length: 2 * time.Second})
 	sent, served := s.sendLoad(limitedLoad{path: "/keyed/", callers: 4, length: time.Second})
 	assert.Equal(t, served, sent)
-	assert.Equal(t, len(s.servers["k1"].LateToLeaving(maxDelayAfterLeaving)), 0)
+	assert.Equal(t, len(s.servers["k1"].LateArrivals(maxDelayAfterLeaving)), 0)
 }
 
 // announceLeaving makes an owner of keys announce that it is leaving, and lets one host receive that.
 func (s *site) announceLeaving(h *hostUnderTest, id string) {
 	s.t.Helper()
 	s.servers[id].SetLeaving()
-	for key := 0; s.servers[id].ToldLeaving() == 0; key += 1021 {
+	for key := 0; s.servers[id].HostsNotifiedOfLeaving() == 0; key += 1021 {
 		assert.Assert(s.t, key <= 65535, "%s owns no key of the sample", id)
 		s.call(h, http.MethodGet, "/keyed/x", strconv.Itoa(key), "")
 	}
@@ -93,7 +93,7 @@
 	s := newLimitSite(t, 3)
 	s.announceLeaving(s.hosts[1], "k1")
 	s.awaitLeavingKnown(s.hosts...)
-	assert.Equal(t, s.servers["k1"].ToldLeaving(), 1)
+	assert.Equal(t, s.servers["k1"].HostsNotifiedOfLeaving(), 1)
 }
 
 // Guards against a newly started host that sends to servers which all others know to be leaving.
@@ -110,7 +110,7 @@
 	s := newLimitSite(t, 2)
 	s.announceLeaving(s.hosts[0], "k1")
 	s.awaitLeavingKnown(s.hosts...)
-	s.servers["k1"].TakeBackLeaving()
+	s.servers["k1"].ClearLeaving()
 	before := len(s.servers["k1"].Runs())
 	s.eventually("the server is used again", func() bool {
 		for key := 0; key <= 65535; key += 4096 {
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -139,7 +139,7 @@
 // reservations: each host would keep to its share for the largest possible number of hosts.
 func TestHostsWithoutKeyedServicesHaveAController(t *testing.T) {
 	s := newSite(t)
-	deadly := &platformtest.Deadly{Path: "/free/deadly"}
+	deadly := &platformtest.DeadlyRequest{PathPrefix: "/free/deadly"}
 	s.startCrashing(&crashingServers{deadly: deadly, service: "free", count: 6, maxRestarts: 3})
 	for i := range 3 {
 		s.startServer(fmt.Sprintf("f%d", i), "free", false)
@@ -150,7 +150,7 @@
 	}
 	s.eventually("three servers have ended", func() bool {
 		s.call(s.hosts[0], http.MethodGet, "/free/deadly", "", "")
-		return deadly.Ended() >= 3
+		return deadly.Terminations() >= 3
 	})
 	for _, h := range s.hosts {
 		s.waitQuarantined(h)
@@ -158,7 +158,7 @@
 	for i := range 3 {
 		s.servers[fmt.Sprintf("f%d", i)].SetLimit(3)
 	}
-	deadly.Mend()
+	deadly.Disable()
 	sent, served := s.sendLoad(limitedLoad{path: "/free/", callers: 6, length: 8 * time.Second})
 	t.Logf("%d of %d served", served, sent)
 	for i := range 3 {
--- a/gateway/poison_test.go
+++ b/gateway/poison_test.go
@@ -31,7 +31,7 @@
 // crashingServers are servers that terminate on a deadly request. Each is replaced a little
 // later by another server at the same address.
 type crashingServers struct {
-	deadly  *platformtest.Deadly
+	deadly  *platformtest.DeadlyRequest
 	service string
 	keyed   bool
 	count   int
@@ -68,7 +68,7 @@
 
 func (m *crashingServers) server(place, life int) *platformtest.Server {
 	id := fmt.Sprintf("%s-%d-%d", m.service, place, life)
-	return &platformtest.Server{ID: id, Keyed: m.keyed, Slots: m.slots, Work: time.Millisecond, Deadly: []*platformtest.Deadly{m.deadly}}
+	return &platformtest.Server{ID: id, Keyed: m.keyed, Slots: m.slots, Work: time.Millisecond, DeadlyRequests: []*platformtest.DeadlyRequest{m.deadly}}
 }
 
 // setCrash sets what a server does on a deadly request: its process ends and the next server
@@ -76,7 +76,7 @@
 func (m *crashingServers) setCrash(server *platformtest.Server, process *platformtest.Process, place, life int) {
 	server.End = func() {
 		process.End()
-		if m.maxRestarts > 0 && m.deadly.Ended() > m.maxRestarts {
+		if m.maxRestarts > 0 && m.deadly.Terminations() > m.maxRestarts {
 			return
 		}
 		m.restarts.Go(func() {
@@ -98,15 +98,15 @@
 func (m *crashingServers) register(server *platformtest.Server, process *platformtest.Process) {
 	spec := fmt.Sprintf(`{"service":%q,"address":%q,"zone":"a","version":"v1","slots":%d,"state":"ready","cold-remaining":"0ms","seq":1,"born":%d}`,
 		m.service, process.Address(), m.slots, firstStart)
-	if _, err := m.s.store.Kept().Put(m.ctx, objects.Object{Kind: "servers", Name: server.ID, Spec: []byte(spec)}); err != nil && m.ctx.Err() == nil {
+	if _, err := m.s.store.Objects().Put(m.ctx, objects.Object{Kind: "servers", Name: server.ID, Spec: []byte(spec)}); err != nil && m.ctx.Err() == nil {
 		m.s.t.Errorf("registering %s: %v", server.ID, err)
 	}
 }
 
 func (m *crashingServers) deregister(server *platformtest.Server) {
-	current, err := m.s.store.Kept().Get(m.ctx, "servers", server.ID)
+	current, err := m.s.store.Objects().Get(m.ctx, "servers", server.ID)
 	if err == nil {
-		err = m.s.store.Kept().Delete(m.ctx, "servers", server.ID, current.Revision)
+		err = m.s.store.Objects().Delete(m.ctx, "servers", server.ID, current.Revision)
 	}
 	if err != nil && m.ctx.Err() == nil {
 		m.s.t.Errorf("removing the entry of %s: %v", server.ID, err)
@@ -140,7 +140,7 @@
 
 // sendDeadly sends a deadly request repeatedly among ordinary ones, and continues for some time
 // after all hosts must know it.
-func (s *site) sendDeadly(deadly *platformtest.Deadly, method, path, ordinary string) *tally {
+func (s *site) sendDeadly(deadly *platformtest.DeadlyRequest, method, path, ordinary string) *tally {
 	const callers, goOn, most = 4, 2 * time.Second, 9 * time.Second
 	ctx, end := context.WithTimeout(context.Background(), most)
 	defer end()
@@ -151,7 +151,7 @@
 		callersDone.Go(func() { s.sendOrdinary(ctx, ordinary, others) })
 	}
 	for ctx.Err() == nil {
-		if third := deadly.ThirdEnd(); !third.IsZero() && time.Since(third) > propagationLimit+goOn {
+		if third := deadly.ThirdTermination(); !third.IsZero() && time.Since(third) > propagationLimit+goOn {
 			end()
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -176,7 +176,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t)
-			deadly := &platformtest.Deadly{Path: play.path, After: 10 * time.Millisecond}
+			deadly := &platformtest.DeadlyRequest{PathPrefix: play.path, Delay: 10 * time.Millisecond}
 			s.startCrashing(&crashingServers{deadly: deadly, service: play.service, keyed: play.keyed, count: 6})
 			for _, other := range []string{"x1", "x2"} {
 				s.startServer(other, map[bool]string{true: "free", false: "owned"}[play.keyed], !play.keyed)
@@ -187,10 +187,10 @@
 			}
 			s.eventually("keys are served", func() bool { return s.call(s.hosts[0], http.MethodGet, "/keyed/x", "700", "").status == http.StatusOK })
 			others := s.sendDeadly(deadly, play.method, play.path, play.ordinary)
-			late, tooMany := deadly.SentLate(propagationLimit)
+			late, tooMany := deadly.LateCopies(propagationLimit)
 			t.Logf("%d servers terminated; %d copies reached servers later than %v after the third termination; %d of %d other requests served",
-				deadly.Ended(), late, propagationLimit, others.served.Load(), others.sent.Load())
-			assert.Assert(t, !tooMany, "%d copies reached servers later than %v after the third termination, %d servers terminated", late, propagationLimit, deadly.Ended())
+				deadly.Terminations(), late, propagationLimit, others.served.Load(), others.sent.Load())
+			assert.Assert(t, !tooMany, "%d copies reached servers later than %v after the third termination, %d servers terminated", late, propagationLimit, deadly.Terminations())
 		})
 	}
 }
@@ -201,15 +201,15 @@
 // to the last attempt only.
 func TestRequestThatMayHaveRunIsNotSaidNotToHaveRun(t *testing.T) {
 	s := newSite(t)
-	deadly := &platformtest.Deadly{Path: "/free/deadly"}
-	server := &platformtest.Server{ID: "f1", Slots: 8, Work: time.Millisecond, Deadly: []*platformtest.Deadly{deadly}}
+	deadly := &platformtest.DeadlyRequest{PathPrefix: "/free/deadly"}
+	server := &platformtest.Server{ID: "f1", Slots: 8, Work: time.Millisecond, DeadlyRequests: []*platformtest.DeadlyRequest{deadly}}
 	process, err := platformtest.StartProcess(t.Context(), "127.0.0.1:0", server)
 	assert.NilError(t, err)
 	server.End = process.End
 	s.register("f1", "free", process.Address(), "ready")
 	s.configure(3, "")
 	got := s.call(s.startHost("one"), http.MethodGet, "/free/deadly", "", "")
-	assert.Equal(t, deadly.Ended(), 1)
+	assert.Equal(t, deadly.Terminations(), 1)
 	assert.Equal(t, got.status, http.StatusBadGateway)
 }
 
@@ -220,17 +220,17 @@
 
 // quarantineSite returns a site with two hosts that both know a request that has terminated
 // three servers.
-func quarantineSite(t *testing.T) (s *site, deadly *platformtest.Deadly, first, second *hostUnderTest) {
+func quarantineSite(t *testing.T) (s *site, deadly *platformtest.DeadlyRequest, first, second *hostUnderTest) {
 	t.Helper()
 	s = newSite(t)
-	deadly = &platformtest.Deadly{Path: "/free/deadly"}
+	deadly = &platformtest.DeadlyRequest{PathPrefix: "/free/deadly"}
 	s.startCrashing(&crashingServers{deadly: deadly, service: "free", count: 6})
 	s.startServer("k1", "owned", true)
 	s.configure(3, "")
 	first, second = s.startHost("one"), s.startHost("two")
 	s.eventually("three servers have terminated", func() bool {
 		s.call(first, http.MethodGet, "/free/deadly", "", "")
-		return deadly.Ended() >= 3
+		return deadly.Terminations() >= 3
 	})
 	s.waitQuarantined(first)
 	s.waitQuarantined(second)
@@ -242,7 +242,7 @@
 func (s *site) waitStoredQuarantine() (written objects.Object) {
 	s.t.Helper()
 	s.eventually("the controller has stored the quarantine", func() bool {
-		listing, err := s.store.Kept().List(context.Background(), gateway.Quarantines)
+		listing, err := s.store.Objects().List(context.Background(), gateway.Quarantines)
 		if err != nil || len(listing.Objects) == 0 {
 			return false
 		}
@@ -261,13 +261,13 @@
 		s.call(late, http.MethodGet, "/free/harmless", "", "")
 		return judgedAt(late, "quarantined", 1)
 	})
-	ended := deadly.Ended()
+	ended := deadly.Terminations()
 	got := s.call(late, http.MethodGet, "/free/deadly", "", "")
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 	assert.NilError(t, err)
 	assert.Assert(t, after > 500 && after <= 3600, "%v s", after)
-	assert.Equal(t, deadly.Ended(), ended)
+	assert.Equal(t, deadly.Terminations(), ended)
 	assert.Equal(t, quarantineCount(late), "1")
 	other := s.call(late, http.MethodGet, "/free/deadly?other", "", "")
 	assert.Assert(t, other.status != http.StatusServiceUnavailable, "a different query makes a different request")
@@ -278,7 +278,7 @@
 func TestPopularRequestIsNotBlamed(t *testing.T) {
 	s := newSite(t)
 	// The servers terminate because of other requests, each of which is sent only once.
-	deadly := &platformtest.Deadly{Path: "/free/once/", After: 20 * time.Millisecond}
+	deadly := &platformtest.DeadlyRequest{PathPrefix: "/free/once/", Delay: 20 * time.Millisecond}
 	s.startCrashing(&crashingServers{deadly: deadly, service: "free", count: 6})
 	s.startServer("k1", "owned", true)
 	s.configure(3, "")
@@ -302,13 +302,13 @@
 			}
 		})
 	}
-	for n := 0; deadly.Ended() < ends; n++ {
+	for n := 0; deadly.Terminations() < ends; n++ {
 		s.call(s.hosts[n%2], http.MethodGet, fmt.Sprintf("/free/once/%d", n), "", "")
 		time.Sleep(defaultDowntime / 2) // lets servers come back: the terminations spread over seconds
 	}
 	end()
 	callers.Wait()
-	t.Logf("%d served, %d failed while %d servers terminated", served.Load(), failed.Load(), deadly.Ended())
+	t.Logf("%d served, %d failed while %d servers terminated", served.Load(), failed.Load(), deadly.Terminations())
 	for _, h := range s.hosts {
 		assert.Equal(t, quarantineCount(h), "0")
 	}
@@ -328,13 +328,13 @@
 	s.waitStoredQuarantine()
 	first.kill()
 	second.kill()
-	ended := deadly.Ended()
+	ended := deadly.Terminations()
 	for _, name := range []string{"one", "two"} {
 		h := s.startHost(name)
 		s.waitQuarantined(h)
 		assert.Equal(t, s.call(h, http.MethodGet, "/free/deadly", "", "").status, http.StatusServiceUnavailable)
 	}
-	assert.Equal(t, deadly.Ended(), ended)
+	assert.Equal(t, deadly.Terminations(), ended)
 }
 
 // An operator has fixed the server and releases the request: all hosts serve the next copy,
@@ -342,13 +342,13 @@
 func TestOperatorReleasesARequest(t *testing.T) {
 	s, deadly, first, second := quarantineSite(t)
 	written := s.waitStoredQuarantine()
-	deadly.Mend()
+	deadly.Disable()
 	kept, err := gateway.ReadQuarantine(written.Spec)
 	assert.NilError(t, err)
 	assert.Assert(t, kept.Release(kept.Cases[0].Request, time.Now()))
 	released, err := json.Marshal(kept)
 	assert.NilError(t, err)
-	_, err = s.store.Kept().Put(t.Context(), objects.Object{Kind: written.Kind, Name: written.Name, Revision: written.Revision, Spec: released})
+	_, err = s.store.Objects().Put(t.Context(), objects.Object{Kind: written.Kind, Name: written.Name, Revision: written.Revision, Spec: released})
 	assert.NilError(t, err)
 	for _, h := range []*hostUnderTest{first, second} {
 		s.eventually("the request is served", func() bool {
@@ -362,7 +362,7 @@
 // request is sent.
 func TestCopiesThatWaitAreTurnedAway(t *testing.T) {
 	s := newSite(t)
-	deadly := &platformtest.Deadly{Path: "/keyed/deadly", After: 10 * time.Millisecond}
+	deadly := &platformtest.DeadlyRequest{PathPrefix: "/keyed/deadly", Delay: 10 * time.Millisecond}
 	s.startCrashing(&crashingServers{deadly: deadly, service: "owned", keyed: true, count: 1, slots: 1, downtime: time.Millisecond})
 	s.startServer("f1", "free", false)
 	s.configure(3, "")
@@ -374,25 +374,25 @@
 	for range 6 {
 		callers.Go(func() { s.sendCopies(ctx, http.MethodGet, "/keyed/deadly") })
 	}
-	s.eventually("three owners have terminated", func() bool { return deadly.Ended() >= 3 })
+	s.eventually("three owners have terminated", func() bool { return deadly.Terminations() >= 3 })
 	s.eventually("keys are served again", func() bool { return s.call(h, http.MethodGet, "/keyed/x", "700", "").status == http.StatusOK })
 	end()
 	callers.Wait()
-	assert.Equal(t, deadly.Ended(), 3)
+	assert.Equal(t, deadly.Terminations(), 3)
 }
 
 // A request that has terminated two servers is not retried at a third within the same call: its
 // caller gets an error and may be the only one who sends it.
 func TestSuspectedRequestIsNotRepeated(t *testing.T) {
 	s := newSite(t)
-	deadly := &platformtest.Deadly{Path: "/free/deadly"}
+	deadly := &platformtest.DeadlyRequest{PathPrefix: "/free/deadly"}
 	s.startCrashing(&crashingServers{deadly: deadly, service: "free", count: 1})
 	s.configure(3, "")
 	h := s.startHost("one")
 	assert.Equal(t, s.call(h, http.MethodGet, "/free/deadly", "", "").status, http.StatusBadGateway)
-	assert.Equal(t, deadly.Ended(), 1, "there was no second server")
+	assert.Equal(t, deadly.Terminations(), 1, "there was no second server")
 	for _, id := range []string{"f2", "f3"} {
-		server := &platformtest.Server{ID: id, Slots: 8, Deadly: []*platformtest.Deadly{deadly}}
+		server := &platformtest.Server{ID: id, Slots: 8, DeadlyRequests: []*platformtest.DeadlyRequest{deadly}}
 		process, err := platformtest.StartProcess(t.Context(), "127.0.0.1:0", server)
 		assert.NilError(t, err)
 		server.End = process.End
@@ -402,21 +402,21 @@
 		return s.call(h, http.MethodGet, "/free/x", "", "").status == http.StatusOK && s.call(h, http.MethodGet, "/free/y", "", "").status == http.StatusOK
 	})
 	assert.Equal(t, s.call(h, http.MethodGet, "/free/deadly", "", "").status, http.StatusBadGateway)
-	assert.Equal(t, deadly.Ended(), 2)
+	assert.Equal(t, deadly.Terminations(), 2)
 }
 
 // A quarantined request is rejected at once and for that reason, even if there is no server
 // that it could wait for: its caller learns for how long it will not be served.
 func TestQuarantinedRequestDoesNotWait(t *testing.T) {
 	s := newSite(t)
-	deadly := &platformtest.Deadly{Path: "/free/deadly"}
+	deadly := &platformtest.DeadlyRequest{PathPrefix: "/free/deadly"}
 	servers := &crashingServers{deadly: deadly, service: "free", count: 1, maxRestarts: 2}
 	s.startCrashing(servers)
 	s.configure(3, "")
 	h := s.startHost("one")
 	s.eventually("three servers have terminated, and the last one stays down", func() bool {
 		s.call(h, http.MethodGet, "/free/deadly", "", "")
-		return deadly.Ended() == 3
+		return deadly.Terminations() == 3
 	})
 	s.remove("servers", "free-0-2")
 	var page strings.Builder
@@ -440,17 +440,17 @@
 // One complete answer at one host clears a request at all hosts.
 func TestAnswerAcquitsAtAllHosts(t *testing.T) {
 	s := newSite(t)
-	deadly := &platformtest.Deadly{Path: "/free/deadly"}
+	deadly := &platformtest.DeadlyRequest{PathPrefix: "/free/deadly"}
 	s.startCrashing(&crashingServers{deadly: deadly, service: "free", count: 3})
 	s.startServer("k1", "owned", true)
 	s.configure(3, "")
 	hosts := []*hostUnderTest{s.startHost("one"), s.startHost("two")}
 	s.call(hosts[0], http.MethodGet, "/free/deadly", "", "")
-	assert.Equal(t, deadly.Ended(), 2, "the host retries once")
+	assert.Equal(t, deadly.Terminations(), 2, "the host retries once")
 	for _, h := range hosts {
 		s.eventually("the request is suspected", func() bool { return judgedAt(h, "suspected", 1) })
 	}
-	deadly.Mend()
+	deadly.Disable()
 	s.eventually("the request is answered", func() bool { return s.call(hosts[1], http.MethodGet, "/free/deadly", "", "").status == http.StatusOK })
 	for _, h := range hosts {
 		s.eventually("the request is cleared", func() bool { return judgedAt(h, "suspected", 0) })
@@ -461,17 +461,17 @@
 // progress at three servers in a row that terminated.
 func TestRequestThatWasLatelyAnsweredIsNotBlamed(t *testing.T) {
 	s := newSite(t)
-	unlucky := &platformtest.Deadly{Path: "/free/unlucky"}
+	unlucky := &platformtest.DeadlyRequest{PathPrefix: "/free/unlucky"}
 	s.startCrashing(&crashingServers{deadly: unlucky, service: "free", count: 6})
 	s.startServer("k1", "owned", true)
 	s.configure(3, "")
 	h := s.startHost("one")
-	unlucky.Mend()
+	unlucky.Disable()
 	assert.Equal(t, s.call(h, http.MethodGet, "/free/unlucky", "", "").status, http.StatusOK)
-	unlucky.Break()
+	unlucky.Enable()
 	s.eventually("three servers have terminated", func() bool {
 		s.call(h, http.MethodGet, "/free/unlucky", "", "")
-		return unlucky.Ended() >= 3
+		return unlucky.Terminations() >= 3
 	})
 	assert.Assert(t, judgedAt(h, "quarantined", 0) && judgedAt(h, "suspected", 0))
 	assert.Equal(t, quarantineCount(h), "0")
@@ -486,8 +486,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t)
-			slow := &platformtest.Deadly{Path: "/once/slow"}
-			server := &platformtest.Server{ID: "f1", Slots: 8, Deadly: []*platformtest.Deadly{slow}}
+			slow := &platformtest.DeadlyRequest{PathPrefix: "/once/slow"}
+			server := &platformtest.Server{ID: "f1", Slots: 8, DeadlyRequests: []*platformtest.DeadlyRequest{slow}}
 			process, err := platformtest.StartProcess(t.Context(), "127.0.0.1:0", server)
 			assert.NilError(t, err)
 			left := make(chan struct{})
--- a/gateway/relays_test.go
+++ b/gateway/relays_test.go
@@ -96,7 +96,7 @@
 func TestHostThatStartsWhileTheStoreIsAwayAsksASeed(t *testing.T) {
 	s, h := newSmallSite(t)
 	s.eventually("all keys are served", func() bool { return s.allServed(h) })
-	s.store.SetFaults(platformtest.Faults{Refuse: true})
+	s.store.SetFaults(platformtest.Faults{RejectCalls: true})
 	late := s.start(hostOptions{name: "late", store: s.address, seeds: []string{h.peers.address}})
 	s.eventually("the host that started serves", func() bool { return late.gateway.Ready() && s.allServed(late) })
 	s.store.SetFaults(platformtest.Faults{})
--- a/gateway/rest_test.go
+++ b/gateway/rest_test.go
@@ -28,7 +28,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := newLimitSite(t, 2)
 			for _, id := range play.resting {
-				s.servers[id].SetFaults(platformtest.ServerFaults{Shed: true, Rest: rest})
+				s.servers[id].SetFaults(platformtest.ServerFaults{RejectRequests: true, Backoff: rest})
 			}
 			sent, served := s.sendLoad(limitedLoad{path: play.path, callers: 8, skewed: play.uneven, length: 3 * time.Second})
 			t.Logf("%d of %d served during the backoff of %v", served, sent, play.resting)
@@ -39,7 +39,7 @@
 			sent, served = s.sendLoad(limitedLoad{path: play.path, callers: 8, skewed: play.uneven, length: time.Second})
 			assert.Equal(t, served, sent, "after the backoff")
 			for _, id := range play.resting {
-				for _, use := range s.servers[id].RestUses() {
+				for _, use := range s.servers[id].BackoffUses() {
 					assert.Assert(t, !use.Exceeded(), "%s got %+v", id, use)
 				}
 			}
@@ -53,7 +53,7 @@
 	const rest = 3 * time.Second
 	s := newLimitSite(t, 1)
 	for _, id := range []string{"k0", "k1", "k2", "k3"} {
-		s.servers[id].SetFaults(platformtest.ServerFaults{Shed: true, Rest: rest})
+		s.servers[id].SetFaults(platformtest.ServerFaults{RejectRequests: true, Backoff: rest})
 	}
 	const key = "700"
 	s.eventually("the owner has asked for a backoff", func() bool {
@@ -75,14 +75,14 @@
 // would be rejected although other servers could own the keys.
 func TestKeysOfAServerInBackoffMove(t *testing.T) {
 	s := newLimitSite(t, 3)
-	s.servers["k1"].SetFaults(platformtest.ServerFaults{Shed: true, Rest: 4 * time.Second})
+	s.servers["k1"].SetFaults(platformtest.ServerFaults{RejectRequests: true, Backoff: 4 * time.Second})
 	s.sendLoad(limitedLoad{path: "/keyed/", callers: 6, length: 5 * time.Second})
 	sent, served := s.sendLoad(limitedLoad{path: "/keyed/", callers: 6, length: 3 * time.Second})
 	t.Logf("%d of %d served", served, sent)
 	// The server owned a quarter of the keys. Keys with hardly any demand stay there.
 	assert.Assert(t, served*100 >= sent*85, "%d of %d served", served, sent)
 	s.servers["k1"].SetFaults(platformtest.ServerFaults{})
-	for _, use := range s.servers["k1"].RestUses() {
+	for _, use := range s.servers["k1"].BackoffUses() {
 		assert.Assert(t, !use.Exceeded(), "%+v", use)
 	}
 	s.eventually("the server is used again", func() bool {
@@ -90,5 +90,5 @@
 		s.sendLoad(limitedLoad{path: "/keyed/", callers: 6, length: 500 * time.Millisecond})
 		return len(s.servers["k1"].Runs()) > before
 	})
-	assert.Equal(t, len(s.owners.Broken()), 0, "%v", s.owners.Broken())
+	assert.Equal(t, len(s.owners.Violations()), 0, "%v", s.owners.Violations())
 }
--- a/gateway/site_test.go
+++ b/gateway/site_test.go
@@ -100,10 +100,10 @@
 	s.t.Helper()
 	ctx := context.Background()
 	var revision uint64
-	if current, err := s.store.Kept().Get(ctx, kind, name); err == nil {
+	if current, err := s.store.Objects().Get(ctx, kind, name); err == nil {
 		revision = current.Revision
 	}
-	_, err := s.store.Kept().Put(ctx, objects.Object{Kind: kind, Name: name, Revision: revision, Spec: []byte(spec)})
+	_, err := s.store.Objects().Put(ctx, objects.Object{Kind: kind, Name: name, Revision: revision, Spec: []byte(spec)})
 	assert.NilError(s.t, err)
 }
 
@@ -111,9 +111,9 @@
 func (s *site) remove(kind, name string) {
 	s.t.Helper()
 	ctx := context.Background()
-	current, err := s.store.Kept().Get(ctx, kind, name)
+	current, err := s.store.Objects().Get(ctx, kind, name)
 	assert.NilError(s.t, err)
-	assert.NilError(s.t, s.store.Kept().Delete(ctx, kind, name, current.Revision))
+	assert.NilError(s.t, s.store.Objects().Delete(ctx, kind, name, current.Revision))
 }
 
 // startServer starts a server and registers it.
@@ -121,7 +121,7 @@
 	server := &platformtest.Server{ID: id, Keyed: keyed, Slots: 8, Work: time.Millisecond}
 	s.servers[id] = server
 	if keyed {
-		s.owners.Watch(server)
+		s.owners.Add(server)
 	}
 	s.register(id, service, s.listen(server), "ready")
 	return server
@@ -281,7 +281,7 @@
 // record returns the assignment of the service with keys that the store holds, if any.
 func (s *site) record() (keyspace.Record, bool) {
 	var record keyspace.Record
-	object, err := s.store.Kept().Get(context.Background(), gateway.Assignments, "owned")
+	object, err := s.store.Objects().Get(context.Background(), gateway.Assignments, "owned")
 	return record, err == nil && json.Unmarshal(object.Spec, &record) == nil
 }
 
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -64,17 +64,17 @@
 		{"the store hears a host but its answers are lost", 2, false, FirstSeries, onStoreLink(Link{CutFrom: true})},
 		{"a host's calls to the store are slow", 1, false, FirstSeries, onStoreLink(Link{Delay: 150 * time.Millisecond})},
 		{"connections to the store are reset", 1, false, FirstSeries, resetStoreLinks},
-		{"the store turns calls away", 2, false, FirstSeries, onStore(platformtest.Faults{Refuse: true})},
-		{"the store loses answers to writes", 2, false, FirstSeries, onStore(platformtest.Faults{LoseAnswers: 5})},
+		{"the store turns calls away", 2, false, FirstSeries, onStore(platformtest.Faults{RejectCalls: true})},
+		{"the store loses answers to writes", 2, false, FirstSeries, onStore(platformtest.Faults{DropWriteResponses: 5})},
 		{"the store's watches are deaf", 1, false, FirstSeries, deafen},
 		{"a server is cut off", 3, false, FirstSeries, onServerLink(Link{CutTo: true, CutFrom: true})},
 		{"a server's answers are held up", 2, false, FirstSeries, onServerLink(Link{CutFrom: true})},
 		{"what goes to a server is held up", 2, false, FirstSeries, onServerLink(Link{CutTo: true})},
 		{"connections to a server are reset", 2, false, FirstSeries, resetServerLink},
-		{"a server turns requests away", 1, false, FirstSeries, onServer(platformtest.ServerFaults{Shed: true})},
-		{"a server loses answers", 3, false, FirstSeries, onServer(platformtest.ServerFaults{LoseAnswers: 30})},
-		{"a server breaks answers off", 1, false, FirstSeries, onServer(platformtest.ServerFaults{BreakOff: 10})},
-		{"a server gives other requests' answers", 1, false, FirstSeries, onServer(platformtest.ServerFaults{OtherID: true})},
+		{"a server turns requests away", 1, false, FirstSeries, onServer(platformtest.ServerFaults{RejectRequests: true})},
+		{"a server loses answers", 3, false, FirstSeries, onServer(platformtest.ServerFaults{DropResponses: 30})},
+		{"a server breaks answers off", 1, false, FirstSeries, onServer(platformtest.ServerFaults{TruncateResponses: 10})},
+		{"a server gives other requests' answers", 1, false, FirstSeries, onServer(platformtest.ServerFaults{WrongRequestID: true})},
 		{"a server leaves grants unanswered", 2, false, FirstSeries, onServer(platformtest.ServerFaults{IgnoreGrants: true})},
 		{"a server joins", 2, true, FirstSeries, joins},
 		{"a server leaves", 2, true, FirstSeries, leaves},
@@ -183,7 +183,7 @@
 }
 
 func deafen(r *run, _ *rand.Rand, _ time.Duration) func(ctx context.Context) {
-	return func(context.Context) { r.site.Store.Deafen() }
+	return func(context.Context) { r.site.Store.DropWatchEvents() }
 }
 
 // Faults of servers strike those that are there from the start, so that what a
@@ -236,8 +236,8 @@
 	n := random.IntN(len(r.first)-2) + 2
 	return func(ctx context.Context) {
 		server := r.site.Servers()[n]
-		if r.site.LeftAt(server).IsZero() {
-			r.fail(r.site.Leave(ctx, server))
+		if r.site.LeavingSince(server).IsZero() {
+			r.fail(r.site.StartLeaving(ctx, server))
 		}
 	}
 }
@@ -251,14 +251,14 @@
 	n := random.IntN(len(r.first)-2) + 2 // one of each service stays
 	return func(ctx context.Context) {
 		server := r.site.Servers()[n]
-		if !r.site.LeftAt(server).IsZero() {
+		if !r.site.LeavingSince(server).IsZero() {
 			return
 		}
-		r.site.Store.SetFaults(platformtest.Faults{Refuse: true})
+		r.site.Store.SetFaults(platformtest.Faults{RejectCalls: true})
 		server.SetLeaving()
 		pause(ctx, leaveWithin+length)
 		r.site.Store.SetFaults(platformtest.Faults{})
-		r.fail(r.site.Leave(ctx, server))
+		r.fail(r.site.StartLeaving(ctx, server))
 	}
 }
 
@@ -273,7 +273,7 @@
 	return func(ctx context.Context) {
 		servers := r.site.Servers()
 		for i := range count {
-			servers[(first+i)%len(r.first)].SetFaults(platformtest.ServerFaults{Shed: true, Rest: rest})
+			servers[(first+i)%len(r.first)].SetFaults(platformtest.ServerFaults{RejectRequests: true, Backoff: rest})
 		}
 		pause(ctx, rest+length)
 		for i := range count {
@@ -292,12 +292,12 @@
 	age := least + time.Duration(random.Int64N(int64(span)))
 	return func(ctx context.Context) {
 		r.trouble(1)
-		r.site.Store.Copy()
+		r.site.Store.Backup()
 		r.fail(r.site.AddKeyed(r.serving)) // what is written for it is lost
 		pause(ctx, age)
-		r.site.Store.SetFaults(platformtest.Faults{Refuse: true})
+		r.site.Store.SetFaults(platformtest.Faults{RejectCalls: true})
 		pause(ctx, length/down)
-		r.fail(r.site.ReturnFromCopy(ctx))
+		r.fail(r.site.RestoreBackup(ctx))
 		r.site.Store.SetFaults(platformtest.Faults{})
 		r.trouble(-1)
 		pause(ctx, calm+margin)
@@ -320,7 +320,7 @@
 	return func(ctx context.Context) {
 		r.fail(r.site.Evacuate(ctx, domain))
 		pause(ctx, length+evacuateWithin)
-		r.fail(r.site.TakeBack(ctx, domain))
+		r.fail(r.site.EndEvacuation(ctx, domain))
 	}
 }
 
@@ -353,7 +353,7 @@
 func sendsDeadly(r *run, random *rand.Rand, _ time.Duration) func(ctx context.Context) {
 	keyed, callers := random.IntN(2) == 0, 1+random.IntN(3)
 	return func(context.Context) {
-		deadly := r.site.AddDeadly(keyed)
+		deadly := r.site.AddDeadlyRequest(keyed)
 		for range callers {
 			r.deadlyCallers.Go(func() { r.sendCopies(deadly) })
 		}
@@ -361,11 +361,11 @@
 }
 
 // sendCopies sends copies of a deadly request until the load ends.
-func (r *run) sendCopies(deadly *platformtest.Deadly) {
+func (r *run) sendCopies(deadly *platformtest.DeadlyRequest) {
 	const every, key = 50 * time.Millisecond, 700
 	client := &http.Client{Timeout: 2 * time.Second}
 	for n := rand.IntN(len(r.hosts)); r.loading.Err() == nil; n++ {
-		ask(client, r.hosts[n%len(r.hosts)], deadly.Path, key)
+		ask(client, r.hosts[n%len(r.hosts)], deadly.PathPrefix, key)
 		pause(r.loading, every)
 	}
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -124,7 +124,7 @@
 	r.recovered()
 	// What was planned last is judged too: its time has to be over under load.
 	pause(ctx, leaveWithin+2*margin)
-	if len(r.site.Deadly()) > 0 {
+	if len(r.site.DeadlyRequests()) > 0 {
 		pause(ctx, calm+margin) // copies are judged while nothing is wrong
 	}
 	endLoad()
@@ -140,7 +140,7 @@
 	network := fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(250))
 	storeAddress := fmt.Sprintf("%s.1:%d", network, firstPort)
 	r.site = platformtest.NewSite("127.0.0.1", 0)
-	r.site.Front = func(address string) (string, error) {
+	r.site.ProxyAddress = func(address string) (string, error) {
 		proxy, err := NewProxy(address)
 		if err != nil {
 			return "", err
@@ -250,7 +250,7 @@
 func (r *run) watchKeys(ctx context.Context) {
 	const every, most = 20 * time.Millisecond, 5
 	for found := 0; ctx.Err() == nil && found < most; pause(ctx, every) {
-		if key, held := r.site.HeldTwice(); held {
+		if key, held := r.site.KeyWithTwoHolders(); held {
 			r.breaks(fmt.Sprintf("key %d is held by two servers", key))
 			found++
 		}
@@ -340,7 +340,7 @@
 func (r *run) judge() Result {
 	runs := r.site.RunsByID()
 	report := r.load.Check(runs)
-	broken := append(r.broken, report.Broken...)
+	broken := append(r.broken, report.Violations...)
 	for _, h := range r.hosts {
 		broken = append(append(broken, h.ownEnds...), h.stuck()...)
 	}
@@ -348,7 +348,7 @@
 	broken = append(broken, r.cutByPlannedStops(runs)...)
 	broken = append(broken, r.lateToLeaving()...)
 	broken = append(broken, r.lateToEvacuated()...)
-	broken = append(broken, r.site.Overrun()...)
+	broken = append(broken, r.site.ColdOverruns()...)
 	broken = append(broken, r.limitsExceeded()...)
 	broken = append(broken, r.lateToToldLeaving()...)
 	broken = append(broken, r.restsDisturbed()...)
@@ -375,12 +375,12 @@
 func (r *run) lateToToldLeaving() []string {
 	var broken []string
 	for _, server := range r.site.Servers() {
-		for _, late := range server.LateToLeaving(leaveWithin) {
-			if h := r.hostAt(late.Host); h == nil || h.disturbedBetween(late.Told, late.At) {
+		for _, late := range server.LateArrivals(leaveWithin) {
+			if h := r.hostAt(late.Host); h == nil || h.disturbedBetween(late.NotifiedAt, late.At) {
 				continue
 			}
 			broken = append(broken, fmt.Sprintf("request %s, sent %v after an answer of %s had said that it leaves, reached it by way of the same host",
-				late.ID, late.Sent.Sub(late.Told), server.ID))
+				late.ID, late.Sent.Sub(late.NotifiedAt), server.ID))
 			break
 		}
 	}
@@ -391,11 +391,11 @@
 func (r *run) restsDisturbed() []string {
 	var broken []string
 	for _, server := range r.site.Servers() {
-		for _, use := range server.RestUses() {
-			if h := r.hostAt(use.Host); !use.Exceeded() || h == nil || h.disturbedBetween(use.At, use.At.Add(use.Rest)) {
+		for _, use := range server.BackoffUses() {
+			if h := r.hostAt(use.Host); !use.Exceeded() || h == nil || h.disturbedBetween(use.At, use.At.Add(use.Duration)) {
 				continue
 			}
-			broken = append(broken, fmt.Sprintf("%s asked %s for %v of rest and got %d requests from it, the last of them %s", server.ID, use.Host, use.Rest, use.Got, use.Last))
+			broken = append(broken, fmt.Sprintf("%s asked %s for %v of rest and got %d requests from it, the last of them %s", server.ID, use.Host, use.Duration, use.Received, use.LastID))
 			break
 		}
 	}
@@ -425,11 +425,11 @@
 // lateCopies returns the deadly requests of which too many copies reached servers when
 // all hosts had to know them, and how many servers ended in all.
 func (r *run) lateCopies() (broken []string, ended int) {
-	for _, deadly := range r.site.Deadly() {
-		ended += deadly.Ended()
-		late, tooMany := deadly.SentLateAt(deadlyWithin+margin, func(at time.Time) bool { return r.calmBetween(at, at) })
+	for _, deadly := range r.site.DeadlyRequests() {
+		ended += deadly.Terminations()
+		late, tooMany := deadly.LateCopiesWhere(deadlyWithin+margin, func(at time.Time) bool { return r.calmBetween(at, at) })
 		if tooMany {
-			broken = append(broken, fmt.Sprintf("%d copies of %s reached servers later than %v after it had ended three; %d ended in all", late, deadly.Path, deadlyWithin, deadly.Ended()))
+			broken = append(broken, fmt.Sprintf("%d copies of %s reached servers later than %v after it had ended three; %d ended in all", late, deadly.PathPrefix, deadlyWithin, deadly.Terminations()))
 		}
 	}
 	return broken, ended
@@ -457,7 +457,7 @@
 func (r *run) lateToLeaving() []string {
 	var broken []string
 	for _, server := range r.site.Servers() {
-		left := r.site.LeftAt(server)
+		left := r.site.LeavingSince(server)
 		if left.IsZero() {
 			continue
 		}
--- a/tools/mutants/notices.go
+++ b/tools/mutants/notices.go
@@ -8,9 +8,9 @@
 	rest := breaking("balance", "Backoff")
 	backoff := breaking("gateway", "BackoffGets|BackoffIsOver|ServerThatAsksForBackoff")
 	return []mutant{
-		wire("headers.go", "accept any value as leaving", "if strings.TrimSpace(text) != leaving {", `if strings.TrimSpace(text) == "" {`),
+		wire("headers.go", "accept any value as leaving", "if strings.TrimSpace(text) != leavingValue {", `if strings.TrimSpace(text) == "" {`),
 		wire("headers.go", "accept a backoff with any status", "if status == http.StatusServiceUnavailable {", "if true {"),
-		wire("headers.go", "accept a backoff of any length", " || seconds > mostRest", ""),
+		wire("headers.go", "accept a backoff of any length", " || seconds > maxBackoffSeconds", ""),
 		wire("keys.go", "ignore notices in responses to grants", "	notice := readNotice(response.StatusCode, response.Header)\n	switch", "	notice := adapter.Notice{}\n	switch"),
 		wire("keys.go", "report every health response as healthy", "Healthy: status == http.StatusOK", "Healthy: true"),
 		host("gateway.go", "ignore that a server is leaving", "server.Draining = server.Draining || g.leaving.value(server.Incarnation())", "_ = server.Draining"),
