--- a/tools/mutants/entries.go
+++ b/tools/mutants/entries.go
@@ -1,6 +1,6 @@
 package main
 
-// entryMutants returns mutants that break how servers' registry entries are parsed and accepted.
+// entryMutants break the rules by which entries of servers are read and believed.
 func entryMutants() []mutant {
 	in := func(pkg, file, name, old, fresh string) mutant {
 		return mutant{name: "entries: " + name, file: pkg + "/" + file, old: old, new: fresh, pkg: pkg, run: "."}
@@ -16,12 +16,12 @@
 		in("fleet", "evacuation.go", "end an evacuation because of an outdated removal", "!known.inForce || asOf < known.revision", "!known.inForce"),
 		in("fleet", "evacuation.go", "consider servers warm after an evacuation", "return known.endedAt + assumedColdFor", "return 0"),
 		in("fleet", "fleet.go", "send requests to evacuated servers", "return s.Draining || s.Evacuated", "return s.Draining"),
-		in("platform", "headers.go", "reject a load report with additional values", "if len(parts) < loadFigures {", "if len(parts) != loadFigures {"),
-		in("platform", "proven.go", "grant before the server answers on the connection", "		if err := prove(conn, address, path); err != nil {", "		if err := error(nil); path == \"\" && err != nil {"),
-		in("platform", "fields.go", "accept missing fields", "		f.fail(field, []byte(missing), \"must be given\")\n", ""),
+		in("platform", "headers.go", "reject a load with additional values", "if len(parts) < minLoadValues {", "if len(parts) != minLoadValues {"),
+		in("platform", "proven.go", "grant before the server has answered on the connection", "		if err := checkConnection(conn, address, path); err != nil {", "		if err := error(nil); path == \"\" && err != nil {"),
+		in("platform", "fields.go", "accept entries with missing fields", "		f.fail(field, []byte(missingValue), \"is required\")\n", ""),
 		in("platform", "fields.go", "accept any state", "	if slices.Contains(allowed, text) {", "	if true || slices.Contains(allowed, text) {"),
-		in("platform", "fields.go", "accept numbers out of range", "err != nil || number < least || number > most", "err != nil"),
+		in("platform", "fields.go", "accept integers out of bounds", "err != nil || number < minimum || number > maximum", "err != nil"),
 		in("platform", "fields.go", "accept negative durations", "err != nil || parsed < 0", "err != nil"),
-		in("platform", "store.go", "reject a list because of one invalid object", "		return nil // no object: it names nothing\n", "		return errConflict\n"),
+		in("platform", "store.go", "reject a list because of one malformed object", "		return nil // not a JSON object: the name stays empty\n", "		return errConflict\n"),
 	}
 }
