--- a/tools/mutants/entries.go
+++ b/tools/mutants/entries.go
@@ -1,6 +1,6 @@
 package main
 
-// entryMutants break the rules by which entries of servers are read and believed.
+// entryMutants returns mutants that break how servers' registry entries are parsed and accepted.
 func entryMutants() []mutant {
 	in := func(pkg, file, name, old, fresh string) mutant {
 		return mutant{name: "entries: " + name, file: pkg + "/" + file, old: old, new: fresh, pkg: pkg, run: "."}
