--- a/link/backendlink/alive_linux.go
+++ b/link/backendlink/alive_linux.go
@@ -5,10 +5,10 @@
 	"syscall"
 )
 
-// alive reports whether an idle connection can carry a request. A server that
-// closed it has sent an end of stream, which would otherwise be noticed only
-// after the request has left, when nobody can say any more whether it ran.
-// Bytes that wait on an idle connection belong to no request; they end it too.
+// alive reports whether an idle connection can be used for a request. If the server
+// has closed it, an end of stream is waiting, which would otherwise be detected only
+// after the request was sent, when it is unknown whether the request ran. Waiting
+// bytes belong to no request, so the connection can't be used either.
 func alive(link net.Conn) bool {
 	raw, ok := link.(syscall.Conn)
 	if !ok {
--- a/link/backendlink/exchange.go
+++ b/link/backendlink/exchange.go
@@ -11,38 +11,38 @@
 	"time"
 )
 
-// Reuse bounds how long an idle connection is trusted.
+// Limits for the reuse of idle connections and for interim answers.
 const (
-	// defaultIdle is used when the server does not state how long it keeps
-	// idle connections. Below the common 5 s of small servers.
+	// defaultIdle is how long an idle connection may be reused if the server does
+	// not state its timeout. Many servers close idle connections after 5 s.
 	defaultIdle = 4 * time.Second
-	// idleMargin is kept to the stated time: a request that crosses the
-	// server's close is lost without anyone knowing whether it ran.
+	// idleMargin is subtracted from the stated timeout: if a request is sent while
+	// the server closes the connection, it is unknown whether it ran.
 	idleMargin = 1500 * time.Millisecond
-	// mostInterim bounds the 1xx answers before a final one.
+	// mostInterim is the maximum number of 1xx answers before a final one.
 	mostInterim = 8
 )
 
 // ErrInterim reports too many interim answers.
 var ErrInterim = errors.New("too many interim answers")
 
-// Exchange is one request on one connection, with its answer read as it comes.
-// Either Keep or Abort must be called. It is used by one goroutine, but Abort
-// may come from any.
+// Exchange is one request on one connection, whose answer is streamed. Either Keep
+// or Abort must be called at the end. It is used by one goroutine, but any may call
+// Abort.
 type Exchange struct {
 	pool *Pool
 	link *conn
 	// Response is set by Send.
 	Response *http.Response
-	// Reused tells that the connection had carried earlier requests.
+	// Reused is set if the connection was used for earlier requests.
 	Reused bool
-	// AfterLoss tells that the connection was opened because the server had ended an idle
-	// one before its time: another process may answer on it.
+	// AfterLoss is set if the connection was opened because the server had closed an idle
+	// one before its timeout: the server process may be another one now.
 	AfterLoss bool
 	wrote     chan error
 }
 
-// Begin takes a connection. Its error proves that nothing was sent.
+// Begin takes an idle connection or opens one. If it fails, nothing was sent.
 func (p *Pool) Begin(ctx context.Context) (*Exchange, error) {
 	link, lost, err := p.take(ctx)
 	if err != nil {
@@ -51,13 +51,14 @@
 	return &Exchange{pool: p, link: link, Reused: link.used, AfterLoss: lost}, nil
 }
 
-// Opened returns how long ago the connection was opened: the process that answers on it
-// has run since then.
+// Opened returns how long ago the connection was opened. The process that answers on it
+// has been running at least since then.
 func (e *Exchange) Opened() time.Duration { return time.Since(e.link.opened) }
 
-// Send writes the request and reads the head of the final answer. The error is
-// a *SendError. An answer may come before the request has been read whole; it
-// is returned at once, and the connection is not used again.
+// Send writes the request and reads the header of the final answer. The error is
+// a *SendError. A server may answer before it has read the whole request; that
+// answer is returned at once, and Keep closes the connection if the request is
+// still being written.
 func (e *Exchange) Send(request *http.Request) error {
 	e.wrote = make(chan error, 1)
 	e.link.used = true
@@ -74,8 +75,8 @@
 	return e.receive(request)
 }
 
-// Next skips the answer in Response and reads the one that follows it. The
-// error is a *SendError.
+// Next discards the answer in Response and reads the header of the one that follows
+// it. The error is a *SendError.
 func (e *Exchange) Next(request *http.Request) error {
 	if _, whole, err := ReadWhole(e.Response.Body, mostSkipped); err != nil || !whole || e.Response.Close {
 		return &SendError{Written: true, Cause: ErrSkipped}
@@ -83,13 +84,13 @@
 	return e.receive(request)
 }
 
-// mostSkipped bounds the body of an answer that is skipped, in bytes.
+// mostSkipped is the maximum body size in bytes of an answer that Next discards.
 const mostSkipped = 64 << 10
 
-// ErrSkipped reports an answer that could not be skipped.
-var ErrSkipped = errors.New("the answer before could not be skipped")
+// ErrSkipped reports an answer that Next could not discard.
+var ErrSkipped = errors.New("failed to discard the preceding answer")
 
-// receive reads the head of the next final answer.
+// receive reads the header of the next final answer.
 func (e *Exchange) receive(request *http.Request) error {
 	for range mostInterim {
 		response, err := http.ReadResponse(e.link.reader, request)
@@ -104,9 +105,10 @@
 	return &SendError{Written: true, Cause: ErrInterim}
 }
 
-// Keep returns the connection to the pool if it can carry another request: the
-// answer was read whole, the request was written whole, and no stray bytes
-// follow. Otherwise it closes it.
+// Keep returns the connection to the pool if it can be reused: the request was
+// written completely, the server doesn't close the connection, and no unexpected
+// bytes follow the answer. Otherwise it closes the connection. The caller must have
+// read the whole answer.
 func (e *Exchange) Keep() {
 	select {
 	case err := <-e.wrote:
@@ -126,10 +128,11 @@
 	e.pool.put(e.link)
 }
 
-// Abort closes the connection, which stops the server's work on the request.
+// Abort closes the connection, which tells the server to stop processing the request.
 func (e *Exchange) Abort() { _ = e.link.Close() }
 
-// keptFor reads how long the server keeps an idle connection.
+// keptFor returns how long an idle connection may be reused, from the Keep-Alive
+// header of an answer.
 func keptFor(header http.Header) time.Duration {
 	for part := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, found := strings.Cut(strings.TrimSpace(part), "=")
@@ -145,7 +148,7 @@
 	return defaultIdle
 }
 
-// countingWriter tells whether any byte may have left.
+// countingWriter counts the bytes written.
 type countingWriter struct {
 	to io.Writer
 	n  int
@@ -158,8 +161,8 @@
 	return n, err
 }
 
-// ReadWhole reads a body of at most limit bytes. whole is false if there is
-// more; what was read is returned in any case.
+// ReadWhole reads a body of at most limit bytes. If the body is longer, whole is
+// false and data holds the first limit+1 bytes. data is also valid after an error.
 func ReadWhole(body io.Reader, limit int) (data []byte, whole bool, err error) {
 	var buffer bytes.Buffer
 	n, err := io.Copy(&buffer, io.LimitReader(body, int64(limit)+1))
--- a/link/backendlink/pool.go
+++ b/link/backendlink/pool.go
@@ -1,9 +1,8 @@
 // Package backendlink sends requests to one backend server over HTTP/1.1 and
-// tells exactly how far each got.
+// reports for each failed one whether any byte of it may have been sent.
 //
-// net/http's own transport is not used here, because it re-sends some requests
-// by itself and does not say whether a failed one had begun to leave. Encoding
-// and parsing are net/http's.
+// http.Transport is not used, because it resends some requests by itself and does
+// not report whether a failed one was partly sent. Encoding and parsing use net/http.
 package backendlink
 
 import (
@@ -18,43 +17,43 @@
 	"time"
 )
 
-// ErrNotSent reports that the last check before the bytes would have left failed.
-var ErrNotSent = errors.New("request withheld by its last check")
+// ErrNotSent reports that the check before the first byte rejected the request.
+var ErrNotSent = errors.New("request not sent: the check before the first byte rejected it")
 
-// ErrAnswerTooLarge reports an answer beyond the limit. The request has run.
+// ErrAnswerTooLarge reports an answer whose body exceeds the limit. The request has run.
 var ErrAnswerTooLarge = errors.New("answer is larger than the limit")
 
-// SendError reports a request that got no whole answer.
+// SendError reports a request that got no complete answer.
 type SendError struct {
-	// Written is set once any byte may have left: the request may run.
+	// Written is set if any byte may have been sent: the request may have run.
 	Written bool
 	Cause   error
 }
 
 // Error implements error.
 func (e *SendError) Error() string {
-	return fmt.Sprintf("no whole answer (bytes may have left: %t): %v", e.Written, e.Cause)
+	return fmt.Sprintf("no complete answer (request may have been sent: %t): %v", e.Written, e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e *SendError) Unwrap() error { return e.Cause }
 
-// Answer is a whole answer.
+// Answer is a complete answer.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// connectTimeout bounds the opening of a connection, which takes about 1 ms.
+// connectTimeout limits the time to open a connection, which normally takes about 1 ms.
 const connectTimeout = 300 * time.Millisecond
 
-// readBuffer is the size of a connection's read buffer in bytes: heads and
-// short answers fit, and a host with hundreds of connections stays small.
+// readBuffer is the size of a connection's read buffer in bytes: headers and short
+// answers fit, and hundreds of connections use little memory.
 const readBuffer = 2048
 
 // Pool holds the idle connections to one server. It is safe for concurrent use.
-// The number of connections in use is bounded by its callers.
+// Its callers limit the number of connections in use.
 type Pool struct {
 	address   string
 	maxIdle   int
@@ -68,26 +67,26 @@
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// opened is when the connection was.
 	opened time.Time
-	// used is set once the connection has carried a request.
+	// used is set once the connection was used for a request.
 	used bool
-	// until is when the server may close the idle connection; zero if unknown.
+	// until is when the idle connection must not be reused any more, because the
+	// server may close it; zero if unknown.
 	until time.Time
 }
 
-// NewPool returns a pool for the server at an IP number and port. Answers with
-// more than maxAnswer bytes of body are refused.
+// NewPool returns a pool for the server at an IP address and port. Do fails for
+// answers with more than maxAnswer bytes of body.
 func NewPool(address string, maxIdle int, maxAnswer int64) *Pool {
 	return &Pool{address: address, maxIdle: maxIdle, maxAnswer: maxAnswer}
 }
 
-// Address returns the server's IP number and port.
+// Address returns the server's IP address and port.
 func (p *Pool) Address() string { return p.address }
 
-// Do sends a request and returns its whole answer, or a *SendError. lastCheck
-// is called when the request is encoded and the connection stands, immediately
-// before the first byte leaves; if it returns false, nothing is sent.
+// Do sends a request and returns its complete answer, or a *SendError. lastCheck is
+// called after the request was encoded and the connection opened, immediately before
+// the first byte is sent; if it returns false, nothing is sent.
 func (p *Pool) Do(ctx context.Context, request *http.Request, lastCheck func() bool) (Answer, error) {
 	encoded, err := encode(request)
 	if err != nil {
@@ -97,8 +96,8 @@
 	if err != nil {
 		return Answer{}, &SendError{Cause: err}
 	}
-	// A call that ends early closes its connection: the answer to it must not
-	// be read as the answer to a later request.
+	// A call that is cancelled closes its connection, so that its answer isn't read
+	// as the answer to a later request.
 	stop := context.AfterFunc(ctx, func() { _ = link.Close() })
 	if !lastCheck() {
 		if stop() {
@@ -146,8 +145,8 @@
 	return Answer{Status: response.StatusCode, Header: response.Header, Body: body}, reusable, nil
 }
 
-// take returns an idle connection that still stands, or opens one. lost is set if the server
-// had ended all idle ones that it was to keep.
+// take returns an idle connection that is still open, or opens one. lost is set if no idle
+// connection was usable and the server had closed at least one before its timeout.
 func (p *Pool) take(ctx context.Context) (taken *conn, lost bool, err error) {
 	for {
 		link := p.popIdle()
@@ -185,8 +184,8 @@
 	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBuffer), opened: time.Now()}, nil
 }
 
-// Reach opens a connection and keeps it for a later request. The error tells why
-// there is none: a server whose process has ended refuses it.
+// Reach opens a connection and keeps it idle for a later request. The error says why
+// it could not: if the server's process has terminated, the connection is refused.
 func (p *Pool) Reach(ctx context.Context) error {
 	link, err := p.open(ctx)
 	if err != nil {
@@ -207,7 +206,7 @@
 	p.idle = append(p.idle, link)
 }
 
-// Close closes the idle connections and keeps no others.
+// Close closes the idle connections. Connections in use are closed when they are put back.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/link/backendlink/pool_test.go
+++ b/link/backendlink/pool_test.go
@@ -8,7 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a connection to another process that is taken for one to the same.
+// Guards against taking a new connection to be to the same server process after the
+// process has closed an idle connection before its timeout.
 func TestLostIdleConnectionIsTold(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -28,7 +29,7 @@
 	assert.NilError(t, pool.Reach(t.Context()))
 	kept, err := pool.Begin(t.Context())
 	assert.NilError(t, err)
-	assert.Assert(t, !kept.AfterLoss, "the idle connection stands")
+	assert.Assert(t, !kept.AfterLoss, "the idle connection is still open")
 	kept.Abort()
 	assert.NilError(t, (<-serverSide).Close())
 
@@ -48,6 +49,6 @@
 	pool.idle[0].until = time.Now().Add(-time.Second)
 	expired, err := pool.Begin(t.Context())
 	assert.NilError(t, err)
-	assert.Assert(t, !expired.AfterLoss, "the server may close it by now")
+	assert.Assert(t, !expired.AfterLoss, "the server may close the connection after its timeout")
 	expired.Abort()
 }
--- a/link/link.go
+++ b/link/link.go
@@ -1,6 +1,6 @@
-// Package link carries the messages between the system's own processes over
-// gRPC. Its clustering, discovery and proxying stay unused: every connection
-// goes to one IP number and port.
+// Package link connects the system's own processes over gRPC. gRPC's name
+// resolution, load balancing and proxies are not used: every connection goes to one
+// IP address and port.
 package link
 
 import (
@@ -18,14 +18,14 @@
 	"cicadarouter/link/linkpb"
 )
 
-// Limits of connections between processes.
+// Timeouts and sizes of connections between processes.
 const (
 	connectTimeout  = 500 * time.Millisecond
 	reconnectFirst  = 50 * time.Millisecond
 	reconnectMost   = 500 * time.Millisecond
 	maxMessageBytes = 16 << 20
-	// windowBytes is the flow-control window of streams and connections. A fixed
-	// one keeps gRPC from probing the path with a ping for each burst of data.
+	// windowBytes is the flow-control window of streams and connections. With a
+	// fixed size gRPC sends no bandwidth-estimation ping for each burst of data.
 	windowBytes = 1 << 20
 )
 
@@ -35,7 +35,8 @@
 
 	mu    sync.Mutex
 	conns map[string]*grpc.ClientConn
-	// absent counts for how many calls of Keep an address has not been in use.
+	// absent maps an address to the number of consecutive calls of Keep in which
+	// it was not in use.
 	absent map[string]int
 }
 
@@ -80,14 +81,15 @@
 	return conn
 }
 
-// absentCalls is how many calls of Keep in a row must miss an address before its
-// connection is closed. A host that has left the list may still finish requests
-// for longer than any deadline allows a request to take; closing its connection
-// would cut them.
+// absentCalls is the number of consecutive calls of Keep without an address after
+// which its connection is closed. A host that was removed from the list may still be
+// processing requests, which closing its connection would abort; the calls must span
+// more time than any request's deadline allows.
 const absentCalls = 12
 
 // Keep closes connections to addresses that have not been in use for absentCalls
-// calls in a row. A nil set means that nothing is known, and counts for nothing.
+// consecutive calls. A nil set means that the addresses in use are unknown; such a
+// call is not counted.
 func (p *Pool) Keep(inUse map[string]bool) {
 	if inUse == nil {
 		return
@@ -125,7 +127,7 @@
 	return len(p.conns)
 }
 
-// brokenConn answers every call with the error that kept a connection from being made.
+// brokenConn fails every call with the error that occurred when the connection was created.
 type brokenConn struct{ err error }
 
 func (b brokenConn) Invoke(context.Context, string, any, any, ...grpc.CallOption) error {
@@ -136,16 +138,16 @@
 	return nil, b.err
 }
 
-// Sent tells whether anything of a call may have left this process. A call that
-// failed before may be said not to have run.
+// Sent records whether any part of a call may have been sent. A call that failed
+// without it is known not to have run.
 type Sent struct{ flag atomic.Bool }
 
-// Any reports whether anything may have left.
+// Any reports whether any part of a call may have been sent.
 func (s *Sent) Any() bool { return s.flag.Load() }
 
 type sentKey struct{}
 
-// WithSent returns a context whose calls note in sent when they begin to leave.
+// WithSent returns a context whose calls set sent when they start sending.
 func WithSent(ctx context.Context, sent *Sent) context.Context {
 	return context.WithValue(ctx, sentKey{}, sent)
 }
@@ -168,7 +170,7 @@
 
 func (sentHandler) HandleConn(context.Context, stats.ConnStats) {}
 
-// NewServer returns a gRPC server for a process's link.
+// NewServer returns a gRPC server for calls from the system's other processes.
 func NewServer(creds credentials.TransportCredentials) *grpc.Server {
 	return grpc.NewServer(
 		grpc.Creds(creds),
--- a/link/peers.go
+++ b/link/peers.go
@@ -2,14 +2,13 @@
 
 import "cicadarouter/link/linkpb"
 
-// Identity says which entry host a process runs on.
+// Identity is the host that a process runs on and its failure domain.
 type Identity struct {
 	Host   string
 	Domain string
 }
 
-// Peers gives the connections to the other processes of the system. Pool
-// implements it.
+// Peers returns clients for the other processes of the system. Pool implements it.
 type Peers interface {
 	// Control returns the client of a controller's link address.
 	Control(address string) linkpb.ControlClient
--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -41,14 +41,15 @@
 	}
 }
 
-// BenchmarkDispatch is a request at the router that dispatches its page, to a
+// BenchmarkDispatch measures a request to the router that dispatches its page, with a
 // backend server over loopback.
 func BenchmarkDispatch(b *testing.B) {
 	s := startSite(b, startFake(b, works).address)
 	serveBench(b, router.NewFront(s.router))
 }
 
-// BenchmarkForward is the same with a hop from another router over gRPC.
+// BenchmarkForward measures the same request to another router, which forwards it over
+// gRPC.
 func BenchmarkForward(b *testing.B) {
 	s := startSite(b, startFake(b, works).address)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/router/counts.go
+++ b/router/counts.go
@@ -17,13 +17,13 @@
 	causes           map[string]uint64
 }
 
-// counts are what the burn report is made from.
+// counts holds the request counts from which the error budget's burn rate is reported.
 type counts struct {
 	mu       sync.Mutex
 	services map[string]*serviceCount
 }
 
-// note counts a reply. What callers got wrong does not spend a service's budget.
+// note counts a reply. Invalid requests don't count against a service's error budget.
 func (c *counts) note(service string, reply dispatch.Reply, took, objective time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/router/deliver.go
+++ b/router/deliver.go
@@ -14,16 +14,17 @@
 	"cicadarouter/record"
 )
 
-// Pauses of the search for a dispatch router.
+// Delays and timeouts of the search for a page's dispatch router.
 const (
 	searchPauseFirst = 10 * time.Millisecond
 	searchPauseMost  = 100 * time.Millisecond
-	// forwardTry bounds one forward of an idempotent request, so that a frozen
-	// router is noticed while there is time for another.
+	// forwardTry limits one forward of an idempotent request, so that time for
+	// another router remains if the first one hangs.
 	forwardTry = 1500 * time.Millisecond
 )
 
-// deliver brings a request to its page's dispatch router and returns the reply.
+// deliver dispatches a request or forwards it to its page's dispatch router, retries
+// while that router is unknown or unreachable, and returns the reply.
 func (r *Router) deliver(ctx context.Context, req *request) dispatch.Reply {
 	r.firstAttempt()
 	began := r.clock.Now()
@@ -38,8 +39,9 @@
 		if ctx.Err() != nil {
 			return history.Conclude(timedOut(reply))
 		}
-		// A loss is mended within OwnerWait. Who has waited so long, or cannot
-		// wait for the next try, is refused now and told when to come back.
+		// A lost router is replaced within OwnerWait. A request that has waited
+		// that long, or whose deadline is before the next try, is rejected now
+		// with the time after which to retry.
 		if r.clock.Now()-began+wait > r.limits.OwnerWait || remaining(ctx) <= wait {
 			reply.RetryAfter = max(reply.RetryAfter, time.Second)
 			return history.Conclude(reply)
@@ -49,7 +51,7 @@
 	}
 }
 
-// worthAnother reports whether another router should be tried.
+// worthAnother reports whether to try again, at the same or another router.
 func (r *Router) worthAnother(req *request, reply dispatch.Reply) bool {
 	switch {
 	case reply.Outcome == caller.NotRun:
@@ -78,10 +80,10 @@
 	return r.forward(ctx, req, host)
 }
 
-// candidate returns the host to try in this turn. Every other turn it is the one
-// that was last known to dispatch the page, which costs a look-up only and may
-// have changed since the last turn; between those, the others of the page's
-// failure domain are tried in the order of preference.
+// candidate returns the host to try in this turn. Every other turn it is the last
+// known dispatch router of the page, which takes one map lookup and may have changed
+// since the previous turn. In the other turns it is each remaining host of the page's
+// failure domain in order of preference.
 func (r *Router) candidate(req *request, turn int) string {
 	hint := r.directory.Dispatcher(req.page)
 	if hint == r.identity.Host {
@@ -98,8 +100,8 @@
 	return order[(turn/2)%len(order)]
 }
 
-// homeOf returns the failure domain whose hosts dispatch the page. A page that
-// was taken over has another home than it was made for.
+// homeOf returns the failure domain whose hosts dispatch the page. It differs from
+// the initial one after another domain has taken the page over.
 func (r *Router) homeOf(req *request) string {
 	if page, _, known := r.directory.Page(req.page); known {
 		return page.Home
@@ -116,17 +118,19 @@
 	return domain.Heir(page, service, lost)
 }
 
-// answerTime is kept for the way back, so that the other router's own word at
-// its deadline, which may be that the request has not run, arrives before ours.
+// answerTime is the maximum subtracted from the deadline given to the other router,
+// so that its reply at its deadline arrives before this router's own. The reply may
+// say that the request has not run, which this router could not know.
 const answerTime = 5 * time.Millisecond
 
-// budget returns the time that another router may spend on a request.
+// budget returns the timeout to pass to another router with a request.
 func budget(ctx context.Context) time.Duration {
 	left := remaining(ctx)
 	return left - min(answerTime, left/10)
 }
 
-// forward hands the request to another router.
+// forward sends the request to another router and records the dispatch router that
+// its reply names.
 func (r *Router) forward(ctx context.Context, req *request, host string) dispatch.Reply {
 	peer, ok := r.directory.Host(host)
 	if !ok {
--- a/router/fault_test.go
+++ b/router/fault_test.go
@@ -28,14 +28,13 @@
 	"cicadarouter/router"
 )
 
-// script is what a fake backend server does with a connection after it has read
-// a request.
+// script is what a fake backend server does with a connection after reading a request.
 type script struct {
 	act func(conn net.Conn, in *http.Request)
 }
 
-// fakeServer is a backend server that follows scripts, one for each request;
-// the last script is repeated.
+// fakeServer is a backend server that runs one script for each request; the last
+// script is repeated.
 type fakeServer struct {
 	address  string
 	requests atomic.Int64
@@ -97,8 +96,8 @@
 	silent   = script{act: func(conn net.Conn, _ *http.Request) { _, _ = io.Copy(io.Discard, conn) }}
 )
 
-// site is one router that holds the lease of a page whose only shard belongs to
-// one backend server.
+// site is a router that holds the lease of a page whose only shard is owned by one
+// backend server.
 type site struct {
 	router    *router.Router
 	directory *directory.Directory
@@ -126,7 +125,8 @@
 	return s
 }
 
-// fill replaces the callers' side by a router that may have nothing in flight.
+// fill replaces the HTTP server for callers by one whose router is at its limit of
+// concurrent requests, which is 0.
 func (s *site) fill(t testing.TB) {
 	limits := router.DefaultLimits()
 	limits.InFlight = 0
@@ -135,7 +135,7 @@
 	t.Cleanup(s.callers.Close)
 }
 
-// lease gives the router a generation of the page.
+// lease grants the router a lease of the page with the given generation and owner.
 func (s *site) lease(t testing.TB, generation uint64, owner string) {
 	page := record.Page{Service: "split", Home: "a", High: 1<<64 - 1, Generation: generation,
 		Shards: []record.Shard{{Owner: owner, Token: generation, State: record.ShardOwned}}}
@@ -147,7 +147,7 @@
 	assert.NilError(t, err)
 }
 
-// told is what a caller was told.
+// told is the response to a caller.
 type told struct {
 	outcome caller.Outcome
 	reason  caller.Reason
@@ -179,9 +179,9 @@
 }
 
 // TestServerFaults has one row for each way in which an exchange with a backend
-// server can fail. A request that may have run is never told "not run", a
-// non-idempotent one is never sent twice, and no part of an answer is passed
-// off as the whole.
+// server can fail. A request that may have run is never reported as not run, a
+// non-idempotent one that may have run is never sent again, and a truncated answer is
+// never returned as complete.
 func TestServerFaults(t *testing.T) {
 	const read, write = http.MethodGet, http.MethodPost
 	rows := []struct {
@@ -224,7 +224,8 @@
 	}
 }
 
-// deadlineOf keeps rows short in which nothing but the deadline ends the wait.
+// deadlineOf returns a short deadline for the rows in which only the deadline ends the
+// request.
 func deadlineOf(first script) string {
 	if fmt.Sprintf("%p", first.act) == fmt.Sprintf("%p", silent.act) {
 		return "300"
@@ -232,8 +233,8 @@
 	return "10000"
 }
 
-// TestServerNotThere: nothing left, so the request is told not run, with a time
-// to come back.
+// TestServerNotThere: nothing was sent, so the outcome is not run, and the response
+// has a Retry-After header.
 func TestServerNotThere(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -245,8 +246,8 @@
 	assert.Assert(t, got.header.Get("Retry-After") != "")
 }
 
-// TestResendIsNotRunAgain: the same request sent twice runs once, and both get
-// the same answer.
+// TestResendIsNotRunAgain: the same request sent twice runs once, and both attempts
+// get the same answer.
 func TestResendIsNotRunAgain(t *testing.T) {
 	fake := startFake(t, works)
 	s := startSite(t, fake.address)
@@ -259,8 +260,8 @@
 	assert.Equal(t, fake.requests.Load(), int64(1))
 }
 
-// TestResendAfterTakeOver: a router that has just taken the page over does not
-// know what its predecessor did, and does not run a re-sent request.
+// TestResendAfterTakeOver: a router that has just taken over the page does not know
+// which requests its predecessor ran, and does not run a re-sent one.
 func TestResendAfterTakeOver(t *testing.T) {
 	fake := startFake(t, works)
 	s := startSite(t, fake.address)
@@ -271,10 +272,9 @@
 	assert.Equal(t, fake.requests.Load(), int64(0))
 }
 
-// Symptom: a caller is told "not run" of a request that has run.
-// Sequence: the first attempt runs and its answer is lost; the second meets a
-// router that has more in flight than it may have.
-// Cause: the refusal of the second attempt was told of the request.
+// Guards against reporting a request as not run although it has run: the answer to
+// the first attempt is lost, the second is rejected by an overloaded router, and that
+// rejection is reported for the request as a whole.
 func TestOverloadedRouterDoesNotDenyEarlierAttempts(t *testing.T) {
 	fake := startFake(t, works)
 	s := startSite(t, fake.address)
@@ -287,8 +287,9 @@
 	assert.Equal(t, second.reason, caller.ReasonOverload)
 }
 
-// TestKeyMovesWhileServerIsSilent: the caller of a non-idempotent request learns
-// at once that its outcome is unknown, and an idempotent one runs at the new owner.
+// TestKeyMovesWhileServerIsSilent: if the key's token changes while its server does not
+// answer, a non-idempotent request gets the outcome unknown at once, and an idempotent
+// one is sent again with the new token.
 func TestKeyMovesWhileServerIsSilent(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		t.Run(method, func(t *testing.T) {
@@ -313,7 +314,7 @@
 	}
 }
 
-// TestBadRequests has one row for each thing that a caller can get wrong.
+// TestBadRequests has one row for each kind of invalid request.
 func TestBadRequests(t *testing.T) {
 	s := startSite(t, startFake(t, works).address)
 	id := uuid.Must(uuid.NewV7()).String()
@@ -346,7 +347,8 @@
 	}
 }
 
-// FuzzParseMeta: no header makes the parser fail without a typed error.
+// FuzzParseMeta checks that the parser returns a HeaderError for every header that it
+// rejects.
 func FuzzParseMeta(f *testing.F) {
 	f.Add("POST", "k", uuid.Must(uuid.NewV7()).String(), "1", "true", "100")
 	f.Add("GET", "", "", "", "", "")
--- a/router/feed.go
+++ b/router/feed.go
@@ -11,12 +11,12 @@
 	"cicadarouter/link/linkpb"
 )
 
-// feedRetry is the pause before another controller is tried.
+// feedRetry is the delay before the next controller is tried.
 const feedRetry = 100 * time.Millisecond
 
-// Feed keeps a directory filled from any controller of a failure domain, until
-// the context ends. seeds are the controllers named in the settings; those in
-// the host list are tried too.
+// Feed keeps a directory up to date from any controller of a failure domain until
+// the context is done. seeds are the controllers' addresses from the settings; those
+// in the host list are tried too.
 func Feed(ctx context.Context, dir *directory.Directory, links link.Peers, identity link.Identity, seeds []string) {
 	for turn := 0; ctx.Err() == nil; turn++ {
 		addresses := controllers(dir, identity.Domain, seeds)
@@ -37,13 +37,13 @@
 	return addresses
 }
 
-// Ready reports whether the directory holds a host list and services, so that
-// the router can serve.
+// Ready reports whether the directory has a host list and services, without which
+// the router can't serve requests.
 func Ready(dir *directory.Directory) bool {
 	return len(dir.Hosts()) > 0 && len(dir.Services()) > 0
 }
 
-// WaitReady waits until Ready or the context ends.
+// WaitReady waits until Ready returns true or the context is done.
 func WaitReady(ctx context.Context, dir *directory.Directory) {
 	const poll = 20 * time.Millisecond
 	for !Ready(dir) && ctx.Err() == nil {
--- a/router/front.go
+++ b/router/front.go
@@ -15,13 +15,13 @@
 	"cicadarouter/record"
 )
 
-// servicePrefix begins the paths of callers' requests.
+// servicePrefix is the path prefix of callers' requests; the service name follows.
 const servicePrefix = "/s/"
 
-// Front serves callers over HTTP.
+// Front is the HTTP handler for callers' requests.
 type Front struct{ r *Router }
 
-// NewFront returns the callers' handler of a router.
+// NewFront returns the HTTP handler for a router's callers.
 func NewFront(r *Router) *Front { return &Front{r: r} }
 
 // ServeHTTP implements http.Handler.
@@ -34,8 +34,7 @@
 		f.refuse(out, in, *problem)
 		return
 	}
-	// Whatever refused this attempt, an earlier one that the caller made may
-	// have run.
+	// Even if this attempt is rejected, an earlier one by the caller may have run.
 	history := dispatch.NewHistory(req.meta.Attempt)
 	reply := history.Conclude(f.serve(in.Context(), req))
 	objective := time.Duration(req.service.Objectives.LatencyMillis) * time.Millisecond
@@ -60,15 +59,15 @@
 	return f.r.deliver(ctx, req)
 }
 
-// problem is a request that cannot be taken.
+// problem is the reason for rejecting an invalid request.
 type problem struct {
 	status int
 	reason caller.Reason
 	text   string
 }
 
-// parse reads a caller's request. What is wrong with it is told in full and
-// nothing of it is passed on.
+// parse reads and validates a caller's request. An invalid one is rejected with an
+// explanation and not forwarded.
 func (f *Front) parse(out http.ResponseWriter, in *http.Request) (*request, *problem) {
 	rest, ok := strings.CutPrefix(in.URL.Path, servicePrefix)
 	name, _, _ := strings.Cut(rest, "/")
@@ -116,9 +115,10 @@
 	return body, nil
 }
 
-// locate finds the page of a request. Requests to services without keys meet by
-// their ids if they are not idempotent, so that all copies reach one memory;
-// others stay in this failure domain where it serves them.
+// locate sets the hash and the page of a request. For services without keys,
+// non-idempotent requests are hashed by their ids, so that all copies are
+// deduplicated by the same router; idempotent ones use a page of this failure domain
+// if the service has one there.
 func (f *Front) locate(req *request) {
 	service := req.service
 	switch {
@@ -132,8 +132,8 @@
 	req.page = record.PageName(service.Name, service.PageOf(req.hash))
 }
 
-// localHash returns a random hash of one of this domain's pages, or of any page
-// if the domain has none.
+// localHash returns the lowest hash of a random page of this failure domain, or a
+// random hash if the service has no page here.
 func (f *Front) localHash(service record.Service) uint64 {
 	for position, domain := range service.Domains {
 		if domain == f.r.identity.Domain {
@@ -165,7 +165,7 @@
 	out.WriteHeader(statusOf(reply))
 }
 
-// HeaderRetryAfterMs says more finely than Retry-After when to come back.
+// HeaderRetryAfterMs is Retry-After in milliseconds.
 const HeaderRetryAfterMs = "Cicada-Retry-After-Ms"
 
 func setRetryAfter(header http.Header, wait time.Duration) {
@@ -190,10 +190,11 @@
 	return http.StatusBadGateway
 }
 
-// refuse answers a request that cannot be taken. Its headers may be unreadable,
-// but one that claims to be a further attempt is not told that it has not run.
+// refuse rejects an invalid request. Its headers may not have been parsed; if the
+// attempt header says that there was an earlier attempt, which may have run, the
+// outcome is unknown.
 func (f *Front) refuse(out http.ResponseWriter, in *http.Request, p problem) {
-	f.r.log.Debug("request refused", "reason", p.reason, "text", p.text)
+	f.r.log.Debug("rejected invalid request", "reason", p.reason, "text", p.text)
 	outcome := caller.NotRun
 	if attempt := in.Header.Get(caller.HeaderAttempt); attempt != "" && attempt != "1" {
 		outcome = caller.Unknown
--- a/router/headers.go
+++ b/router/headers.go
@@ -12,19 +12,20 @@
 	"cicadarouter/dispatch"
 )
 
-// hopHeaders belong to one connection and are not passed on.
+// hopHeaders are the hop-by-hop headers and those that net/http sets itself; they
+// are not forwarded.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Host",
 }
 
-// ownPrefix begins the names of the system's own headers.
+// ownPrefix is the prefix of this system's own headers.
 const ownPrefix = "Cicada-"
 
-// callerHeaders returns the headers of a caller's request that go to the server.
+// callerHeaders returns the headers of a caller's request to forward to the server.
 func callerHeaders(header http.Header) []dispatch.Header { return passed(header) }
 
-// answerHeaders returns the headers of a server's answer that go to the caller.
+// answerHeaders returns the headers of a server's answer to forward to the caller.
 func answerHeaders(header http.Header) []dispatch.Header { return passed(header) }
 
 func passed(header http.Header) []dispatch.Header {
@@ -48,7 +49,7 @@
 	})
 }
 
-// serverRequest builds the request as the backend server gets it.
+// serverRequest builds the request to send to the backend server.
 func serverRequest(ctx context.Context, req *request, chosen target, address string) (*http.Request, error) {
 	out, err := http.NewRequestWithContext(ctx, req.method, "http://"+address+req.path, bytes.NewReader(req.body))
 	if err != nil {
--- a/router/meters.go
+++ b/router/meters.go
@@ -12,13 +12,13 @@
 	"cicadarouter/dispatch"
 )
 
-// meters are the router's metrics, in a set of their own so that tests can have
-// several routers in one process.
+// meters holds the router's metrics in a separate set, so that tests can run several
+// routers in one process.
 type meters struct {
 	set      *metrics.Set
 	forwards *metrics.Counter
-	// requests caches what the labels of a request lead to: finding a metric by
-	// its full name costs more than the rest of the counting.
+	// requests caches the metrics by their labels, because looking up a metric by
+	// its full name costs more than updating it.
 	requests sync.Map // requestLabels -> *requestMeters
 }
 
@@ -39,7 +39,7 @@
 	return &meters{set: set, forwards: set.NewCounter("cicada_forwards_total")}
 }
 
-// Names of the metrics of callers' requests.
+// Names of the metrics for callers' requests.
 const (
 	MetricRequests = "cicada_requests_total"
 	MetricSeconds  = "cicada_request_seconds"
@@ -76,5 +76,5 @@
 
 func (m *meters) forwarded() { m.forwards.Inc() }
 
-// WriteMetrics writes the metrics in the exposition format.
+// WriteMetrics writes the metrics in the Prometheus text format.
 func (r *Router) WriteMetrics(out io.Writer) { r.meters.set.WritePrometheus(out) }
--- a/router/page.go
+++ b/router/page.go
@@ -11,13 +11,14 @@
 	"cicadarouter/record"
 )
 
-// lease is an immutable snapshot of what this router may dispatch of a page.
+// lease is an immutable snapshot of a page and of the time until which this router
+// may dispatch its requests.
 type lease struct {
 	page   record.Page
 	expiry time.Duration
 }
 
-// page is the state of a page that this router dispatches or has dispatched.
+// page is the state of a page that this router holds or has held the lease of.
 type page struct {
 	name   string
 	router *Router
@@ -29,9 +30,10 @@
 	servers map[string]*server
 	running map[*attempt]struct{}
 	parked  int
-	// changed is closed when a newer generation comes into force.
+	// changed is closed and replaced when a newer generation takes effect.
 	changed chan struct{}
-	// ownerless notes since when a shard has had no owner.
+	// ownerless maps the lowest hash of each shard without an owner to the time
+	// since when it has had none.
 	ownerless map[uint64]time.Duration
 }
 
@@ -40,8 +42,8 @@
 	record record.Server
 	pool   *backendlink.Pool
 	gate   *dispatch.Gate
-	// avoidUntil keeps requests that have a choice away from a server that
-	// refused, drains or does not answer.
+	// avoidUntil is when requests that can go to several servers may use this one
+	// again after it rejected a request, was draining or did not answer.
 	avoidUntil time.Duration
 	failures   int
 	chosen     int
@@ -49,7 +51,7 @@
 	failed     bool
 }
 
-// attempt is a request that a server works on.
+// attempt is a request in progress on a server.
 type attempt struct {
 	hash   uint64
 	token  uint64
@@ -77,14 +79,14 @@
 	return 0
 }
 
-// renew takes a lease that the holder has accepted. fresh is nil when the page
-// is the one already known.
+// renew applies a lease that ownership.Holder has accepted. fresh is nil if the
+// page's generation has not changed.
 func (p *page) renew(now, expiry time.Duration, fresh *record.Page) {
 	old := p.lease.Load()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if old != nil && now >= old.expiry {
-		// Another router may have dispatched the page while this one had no lease.
+		// Another router may have dispatched requests of the page in the meantime.
 		p.dedup.Uncover(p.router.wall())
 	}
 	if fresh == nil {
@@ -114,8 +116,9 @@
 	}
 }
 
-// cancelMoved ends attempts at servers that have lost the key for good: their
-// answers will not come, and their callers should know at once.
+// cancelMoved cancels attempts whose key has been granted to another owner or under
+// another token: they will not be answered, and their callers should not wait for
+// the deadline. It also empties the queues of servers that own no shard any more.
 func (p *page) cancelMoved(fresh record.Page) {
 	for running := range p.running {
 		shard := fresh.Shards[fresh.ShardAt(running.hash)]
@@ -131,8 +134,9 @@
 	}
 }
 
-// forgetServers drops servers whose records are gone, with their connections.
-// Servers join and leave all day. The caller holds p.mu.
+// forgetServers removes servers that are no longer registered and have no requests,
+// and closes their connections. Without it the map would grow, because servers join
+// and leave all the time. p.mu must be held.
 func (p *page) forgetServers() {
 	for name, known := range p.servers {
 		if _, listed := p.router.directory.Server(name); listed || known.gate.Pressure() > 0 {
@@ -152,14 +156,14 @@
 	return false
 }
 
-// target is where a request is to go.
+// target is the shard that a request belongs to and its owner.
 type target struct {
 	server string
 	token  uint64
 	low    uint64
 }
 
-// owner returns the target of a hash in the lease, if it has one.
+// owner returns the target of a hash, and whether its shard has an owner.
 func (l *lease) owner(hash uint64) (target, bool) {
 	shard := l.page.Shards[l.page.ShardAt(hash)]
 	if !shard.Grantable() {
@@ -168,8 +172,8 @@
 	return target{server: shard.Owner, token: shard.Token, low: shard.Low}, true
 }
 
-// holds reports whether the lease still runs and still says the same of the
-// hash. It is asked last before the bytes of a request go out.
+// holds reports whether the lease is still valid and the hash still has the given
+// owner and token. It is checked immediately before a request is sent.
 func (p *page) holds(hash uint64, wanted target) bool {
 	held := p.lease.Load()
 	if held == nil || p.router.clock.Now() >= held.expiry {
@@ -179,11 +183,12 @@
 	return owned && now.server == wanted.server && now.token == wanted.token
 }
 
-// connectionsKept is left for the controllers' grants and probes.
+// connectionsKept is the number of a server's connections that are reserved for
+// grants and probes by the controllers.
 const connectionsKept = 6
 
-// server returns the named server with its gate, made on first use. The caller
-// holds p.mu.
+// server returns the named server and creates its gate and connection pool on first
+// use or when its address has changed. p.mu must be held.
 func (p *page) server(name string) (*server, bool) {
 	known, ok := p.servers[name]
 	current, listed := p.router.directory.Server(name)
@@ -209,8 +214,8 @@
 	return known, true
 }
 
-// leastChosen is where the count of a server that joins starts, so that it does
-// not get every request until it has caught up. The caller holds p.mu.
+// leastChosen returns the initial selection count of a new server. With 0 it would
+// get every request until it has caught up with the others. p.mu must be held.
 func (p *page) leastChosen() int {
 	least := -1
 	for _, known := range p.servers {
--- a/router/request.go
+++ b/router/request.go
@@ -11,7 +11,7 @@
 	"cicadarouter/record"
 )
 
-// request is a caller's request inside the system.
+// request is a caller's request as routers process and forward it.
 type request struct {
 	service record.Service
 	page    string
@@ -24,8 +24,9 @@
 	hops    uint32
 }
 
-// maxHops lets a request pass from the entry router to a router of the page's
-// failure domain and from there to the dispatch router.
+// maxHops is the maximum number of forwards: from the router that received the
+// request to a router of the page's failure domain, and from there to the dispatch
+// router.
 const maxHops = 2
 
 func (r *request) toLink(budget time.Duration) *linkpb.ForwardRequest {
--- a/router/router.go
+++ b/router/router.go
@@ -15,23 +15,25 @@
 	"cicadarouter/ownership"
 )
 
-// Limits bound what a router takes on.
+// Limits bounds the requests of a router.
 type Limits struct {
-	// InFlight is the most requests of callers at a time.
+	// InFlight is the maximum number of concurrent requests from callers.
 	InFlight int
-	// Parked is the most requests that wait for a key's next owner, by page.
+	// Parked is the maximum number of requests per page that wait for a key's
+	// next owner.
 	Parked int
-	// RequestBody and AnswerBody are in bytes.
+	// RequestBody and AnswerBody are the maximum body sizes in bytes.
 	RequestBody int64
 	AnswerBody  int64
 	// OwnerWait is how long a request may wait for an owner or a dispatch
-	// router. A loss is mended within 2 s; who still waits then is refused.
+	// router. A lost one is replaced within 2 s; requests that wait longer are
+	// rejected.
 	OwnerWait time.Duration
-	// RetryShare is the share of retries to first attempts.
+	// RetryShare is the maximum ratio of retries to first attempts.
 	RetryShare float64
 }
 
-// DefaultLimits suits a small entry host.
+// DefaultLimits returns limits for a small host.
 func DefaultLimits() Limits {
 	return Limits{
 		InFlight:    8192,
@@ -43,7 +45,7 @@
 	}
 }
 
-// Router is the data path of one entry host. It is safe for concurrent use.
+// Router is the data path of one host. It is safe for concurrent use.
 type Router struct {
 	identity  link.Identity
 	limits    Limits
@@ -68,10 +70,11 @@
 	tracked sync.WaitGroup
 }
 
-// retryReserve is the number of retries that a quiet router may make at once.
+// retryReserve is the number of retries that a router with little traffic may make
+// at once.
 const retryReserve = 20
 
-// New returns a router. incarnation must differ from that of every earlier run
+// New returns a router. incarnation must differ from that of every earlier process
 // at this address.
 func New(identity link.Identity, limits Limits, dir *directory.Directory, links link.Peers,
 	clk clock.Clock, wall func() time.Time, incarnation uint64, logger *log.Logger) *Router {
@@ -91,16 +94,17 @@
 	}
 }
 
-// Leave begins a graceful stop: the router gives up its dispatch leases, tells
-// the controllers so when they next ask, and fails the balancer's health check.
-// Requests in flight go on, new ones are forwarded to the successors.
+// Leave starts a graceful shutdown: the router stops using its dispatch leases,
+// reports that to the controllers at their next lease request, and fails the load
+// balancer's health check. Requests in progress continue; new ones are forwarded to
+// the routers that take over.
 func (r *Router) Leave() { r.leaving.Store(true) }
 
-// Leaving reports whether a graceful stop has begun.
+// Leaving reports whether a graceful shutdown has started.
 func (r *Router) Leaving() bool { return r.leaving.Load() }
 
-// Drain waits until no request is in flight, or the context ends. It reports
-// whether all ended.
+// Drain waits until no request is in progress or the context is done. It reports
+// whether all requests have ended.
 func (r *Router) Drain(ctx context.Context) bool {
 	ended := make(chan struct{})
 	go func() {
@@ -115,7 +119,7 @@
 	}
 }
 
-// dispatched returns the page if this router may dispatch it now.
+// dispatched returns the page if this router holds a valid lease and isn't leaving.
 func (r *Router) dispatched(name string) (*page, bool) {
 	if r.leaving.Load() {
 		return nil, false
--- a/router/run.go
+++ b/router/run.go
@@ -9,17 +9,17 @@
 	"cicadarouter/record"
 )
 
-// Pauses of the dispatch loop.
+// Delays and timeouts of the dispatch loop.
 const (
 	shedPause  = 5 * time.Millisecond
 	stalePause = 10 * time.Millisecond
-	// tryTimeout bounds one attempt of an idempotent request, so that a frozen
-	// server's slots come free again.
+	// tryTimeout limits one attempt of an idempotent request, so that the slots of
+	// a server that hangs are released.
 	tryTimeout = 400 * time.Millisecond
 )
 
-// run dispatches a request on a page that this router holds. A non-idempotent
-// one meets the memory of earlier attempts first.
+// run dispatches a request of a page that this router holds the lease of.
+// Non-idempotent requests are deduplicated against earlier attempts first.
 func (p *page) run(ctx context.Context, req *request) dispatch.Reply {
 	if req.meta.Idempotent {
 		return p.dispatch(ctx, req)
@@ -44,8 +44,8 @@
 	}
 }
 
-// runOnce dispatches a request that the memory admitted and notes its end. A
-// panic on the way counts as unknown, so that no later copy may run.
+// runOnce dispatches a request that deduplication admitted and records its
+// outcome. After a panic the outcome is unknown, so that no later copy runs.
 func (p *page) runOnce(ctx context.Context, req *request) dispatch.Reply {
 	reply := unknown(caller.ReasonConnectionLost)
 	defer func() {
@@ -65,7 +65,7 @@
 	again
 )
 
-// dispatch makes attempts until one is final or the time is over.
+// dispatch makes attempts until one is final or the deadline passes.
 func (p *page) dispatch(ctx context.Context, req *request) dispatch.Reply {
 	var history dispatch.History
 	avoid := map[string]bool{}
@@ -89,7 +89,7 @@
 	}
 }
 
-// timedOut is the reply of a request whose time ended between two attempts.
+// timedOut returns the reply to a request whose deadline passed between two attempts.
 func timedOut(last dispatch.Reply) dispatch.Reply {
 	if last.Outcome == caller.Unknown {
 		return last
@@ -97,7 +97,9 @@
 	return notRun(caller.ReasonDeadline, time.Second)
 }
 
-// choose returns the target of the next attempt, or the reply to give without one.
+// choose returns the target of the next attempt and a channel that is closed when the
+// page gets a newer generation. If there is no target, the last result is false and the
+// reply says why.
 func (p *page) choose(req *request, avoid map[string]bool) (target, <-chan struct{}, dispatch.Reply, bool) {
 	p.mu.Lock()
 	changed := p.changed
@@ -118,8 +120,9 @@
 	return target{}, changed, p.withoutOwner(now, chosen.low), false
 }
 
-// withoutOwner is the reply for a key without an owner: wait, if an owner is
-// due, or a refusal at once if that has taken too long.
+// withoutOwner returns the reply for a key without an owner. ReasonNoOwner makes
+// the request wait for the next owner; ReasonOverload rejects it at once, because
+// the shard has had no owner for longer than OwnerWait or too many requests wait.
 func (p *page) withoutOwner(now time.Duration, low uint64) dispatch.Reply {
 	since := p.ownerless[low]
 	if now-since > p.router.limits.OwnerWait || p.parked >= p.router.limits.Parked {
@@ -128,8 +131,8 @@
 	return notRun(caller.ReasonNoOwner, time.Second)
 }
 
-// park waits until the page changes. It reports whether the wait should go on
-// with another try rather than end with a refusal.
+// park waits for a newer generation of the page. It returns false if OwnerWait or
+// the request's deadline passes first.
 func (p *page) park(ctx context.Context, changed <-chan struct{}) bool {
 	p.mu.Lock()
 	p.parked++
@@ -151,9 +154,9 @@
 	}
 }
 
-// leastLoaded chooses the server of an unkeyed page with the fewest requests
-// for its slots. This router sees all requests to the page's servers, so no
-// sampling is needed. The caller holds p.mu.
+// leastLoaded selects the server of an unkeyed page with the fewest running and
+// waiting requests per slot. This router sees all requests to the page's servers,
+// so it compares all of them instead of a sample. p.mu must be held.
 func (p *page) leastLoaded(now time.Duration, req *request, avoid map[string]bool) (target, bool) {
 	var best *server
 	held := p.lease.Load()
@@ -173,8 +176,8 @@
 	return target{server: best.record.Name}, true
 }
 
-// lessLoaded compares by requests for each slot. Among equals, as on a quiet
-// service, the server that was chosen less often comes first.
+// lessLoaded compares the requests per slot. If they are equal, as in an idle
+// service, the server that was chosen less often per slot wins.
 func lessLoaded(a, b *server) bool {
 	first, second := a.gate.Pressure(), b.gate.Pressure()
 	if first != second {
--- a/router/serve.go
+++ b/router/serve.go
@@ -12,13 +12,14 @@
 	"cicadarouter/record"
 )
 
-// LinkServer serves a router's link.
+// LinkServer implements the gRPC service of a router: forwarded requests, leases
+// from the controllers, and request counts.
 type LinkServer struct {
 	linkpb.UnimplementedDispatchServer
 	r *Router
 }
 
-// NewLinkServer returns the link server of a router.
+// NewLinkServer returns the gRPC service of a router.
 func NewLinkServer(r *Router) *LinkServer { return &LinkServer{r: r} }
 
 var _ linkpb.DispatchServer = (*LinkServer)(nil)
@@ -41,14 +42,14 @@
 	return replyToLink(reply, s.hint(req.page)), nil
 }
 
-// hint names the page's dispatch router, as far as this router knows.
+// hint returns the page's dispatch router, or "" if this router doesn't know it.
 func (s *LinkServer) hint(page string) string {
 	if _, ok := s.r.dispatched(page); ok {
 		return s.r.identity.Host
 	}
 	hint := s.r.directory.Dispatcher(page)
 	if hint == s.r.identity.Host {
-		return "" // this router was it, and is not any more
+		return "" // the directory is out of date: this router no longer dispatches the page
 	}
 	return hint
 }
@@ -65,7 +66,8 @@
 	return reply, nil
 }
 
-// takeLease accepts one offered lease and reports on the page.
+// takeLease applies one offered lease, unless it is a probe or this router is
+// leaving, and returns the status of the page.
 func (r *Router) takeLease(offered *linkpb.PageLease, leaving bool) *linkpb.PageStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -75,7 +77,7 @@
 			status.Refused = true
 			var refusal *ownership.GrantRefusal
 			if !errors.As(err, &refusal) {
-				r.log.Error("lease cannot be read", "page", offered.GetPage(), "error", err)
+				r.log.Error("failed to decode the page record of a lease", "page", offered.GetPage(), "error", err)
 			}
 		}
 	}
@@ -86,7 +88,7 @@
 	return status
 }
 
-// accept takes a lease into force. The caller holds r.mu.
+// accept validates and applies a lease. r.mu must be held.
 func (r *Router) accept(offered *linkpb.PageLease) error {
 	var fresh *record.Page
 	if len(offered.GetRecord()) > 0 && offered.GetGeneration() > r.holder.Generation(offered.GetPage()) {
@@ -114,7 +116,8 @@
 	return nil
 }
 
-// report adds what the page's requests say about servers and load.
+// report adds to the status what the page's requests have shown about its servers
+// since the last report, and the load.
 func (p *page) report(status *linkpb.PageStatus) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -131,11 +134,12 @@
 	p.reportLoads(status)
 }
 
-// loadsEvery is how often loads are told. They are averaged over a second where
-// they are used, and telling them at every renewal cost more than the renewals.
+// loadsEvery is the minimum interval between load reports. The controller averages
+// loads over a second, and reporting them at every lease renewal costs more than the
+// renewals themselves.
 const loadsEvery = 900 * time.Millisecond
 
-// reportLoads adds the loads of the shards that were not idle. The caller holds p.mu.
+// reportLoads adds the loads of the shards that were not idle. p.mu must be held.
 func (p *page) reportLoads(status *linkpb.PageStatus) {
 	now := p.router.clock.Now()
 	if now-p.meter.Since() < loadsEvery {
--- a/router/status.go
+++ b/router/status.go
@@ -1,6 +1,6 @@
 package router
 
-// Status describes a router to operators.
+// Status is the state of a router as shown to operators.
 type Status struct {
 	Host       string       `json:"host"`
 	Domain     string       `json:"domain"`
@@ -10,13 +10,13 @@
 	Dispatches []PageStatus `json:"dispatches"`
 }
 
-// PageStatus describes a page that a router dispatches.
+// PageStatus is a page that a router holds a valid lease of.
 type PageStatus struct {
 	Page       string `json:"page"`
 	Generation uint64 `json:"generation"`
 }
 
-// Status returns the router's state.
+// Status returns the router's state and the pages that it dispatches.
 func (r *Router) Status() Status {
 	status := Status{
 		Host:     r.identity.Host,
--- a/router/try.go
+++ b/router/try.go
@@ -12,8 +12,8 @@
 	"cicadarouter/link/backendlink"
 )
 
-// try makes one attempt at a server. The reply is final, or says what is known
-// if there is no other attempt.
+// try sends the request to a server once. If the verdict is again, the reply is
+// the one to return in case no further attempt follows.
 func (p *page) try(ctx context.Context, req *request, chosen target) (dispatch.Reply, verdict) {
 	known, waiter, refusal, ok := p.enter(ctx, req, chosen)
 	if !ok {
@@ -39,7 +39,8 @@
 	return p.afterAnswer(ctx, req, chosen, known, answer)
 }
 
-// enter asks the server's gate for a slot.
+// enter requests a slot from the server's gate. If the request is rejected, the
+// last result is false and the reply says why.
 func (p *page) enter(ctx context.Context, req *request, chosen target) (*server, *dispatch.Waiter, dispatch.Reply, bool) {
 	now := p.router.clock.Now()
 	waiter := &dispatch.Waiter{
@@ -60,15 +61,15 @@
 	return known, waiter, dispatch.Reply{}, true
 }
 
-// admitted reports whether the waiter has a slot, and gives the place up if not.
+// admitted reports whether the waiter has a slot, and removes it from the queue if not.
 func (p *page) admitted(known *server, waiter *dispatch.Waiter) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return known.gate.Leave(waiter)
 }
 
-// afterShed decides for a request that lost its place in a queue: because the
-// key moved, which calls for another attempt, or because its time is too short.
+// afterShed handles a request that was removed from a server's queue. If its key
+// has moved to another owner, it is attempted again; otherwise it is rejected.
 func (p *page) afterShed(req *request, chosen target) (dispatch.Reply, verdict) {
 	if req.service.Keyed && !p.holds(req.hash, chosen) {
 		return notRun(caller.ReasonNoOwner, stalePause), again
@@ -84,7 +85,7 @@
 	return time.Until(deadline)
 }
 
-// send sends the request if the lease still allows it.
+// send sends the request if the lease still allows it when the first byte is due.
 func (p *page) send(ctx context.Context, req *request, chosen target, known *server) (backendlink.Answer, *attempt, error) {
 	var cancel context.CancelFunc
 	if req.meta.Idempotent {
@@ -130,13 +131,14 @@
 	delete(p.running, running)
 }
 
-// Times for which a server is avoided by requests that have a choice.
+// Durations for which requests that can go to several servers avoid one that failed
+// or rejected a request.
 const (
 	avoidFirst = 100 * time.Millisecond
 	avoidMost  = 2 * time.Second
 )
 
-// exit gives the slot back and notes what the attempt says about the server.
+// exit releases the slot and records what the attempt shows about the server.
 func (p *page) exit(known *server, req *request, chosen target, held time.Duration, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -157,13 +159,13 @@
 	known.avoidUntil = now + min(avoidFirst<<min(known.failures, 8), avoidMost)
 }
 
-// afterFailure decides what a request may be told that got no whole answer.
+// afterFailure returns the reply to a request that got no complete answer.
 func (p *page) afterFailure(ctx context.Context, req *request, running *attempt, err error) (dispatch.Reply, verdict) {
 	var sendErr *backendlink.SendError
 	if !errors.As(err, &sendErr) || sendErr.Written {
 		return p.afterWritten(ctx, req, running, err)
 	}
-	// Nothing left this process: the request is proven not to have run.
+	// No byte was sent, so the request can't have run.
 	reply := notRun(caller.ReasonUnreachable, time.Second)
 	if ctx.Err() != nil {
 		return notRun(caller.ReasonDeadline, time.Second), final
@@ -194,7 +196,7 @@
 	return running.moved
 }
 
-// afterAnswer decides about a whole answer, which may be a refusal.
+// afterAnswer handles a complete answer, which may be a rejection by the server.
 func (p *page) afterAnswer(ctx context.Context, req *request, chosen target, known *server, answer backendlink.Answer) (dispatch.Reply, verdict) {
 	refusal := backend.Refusal(answer.Header.Get(backend.HeaderRefused))
 	if refusal == "" {
@@ -205,7 +207,7 @@
 	}
 	switch refusal {
 	case backend.RefusedToken:
-		// The owner knows a newer generation than this router, or lost its lease.
+		// The server knows a newer generation than this router, or has lost its lease.
 		p.waitChange(ctx, stalePause)
 		return notRun(caller.ReasonNoOwner, time.Second), again
 	case backend.RefusedDraining:
@@ -232,11 +234,11 @@
 	known.avoidUntil = p.router.clock.Now() + wait
 }
 
-// afterDone checks that the answer belongs to the request before it is passed on.
+// afterDone verifies that the answer belongs to the request and turns it into the reply.
 func (p *page) afterDone(req *request, chosen target, answer backendlink.Answer) (dispatch.Reply, verdict) {
 	echoed := answer.Header.Get(backend.HeaderRequestID)
 	if echoed != "" && echoed != req.meta.ID.String() {
-		p.router.log.Error("server answered another request", "server", chosen.server, "wanted", req.meta.ID, "found", echoed)
+		p.router.log.Error("server returned the answer to another request", "server", chosen.server, "wanted", req.meta.ID, "found", echoed)
 		return unknown(caller.ReasonForeignResponse), final
 	}
 	return dispatch.Reply{
@@ -248,7 +250,7 @@
 	}, final
 }
 
-// waitChange waits for a newer generation of the page, at most for a while.
+// waitChange waits up to a maximum for a newer generation of the page.
 func (p *page) waitChange(ctx context.Context, most time.Duration) {
 	p.mu.Lock()
 	changed := p.changed
