--- a/link/backendlink/alive_linux.go
+++ b/link/backendlink/alive_linux.go
@@ -9,8 +9,8 @@
 // has closed it, an end of stream is waiting, which would otherwise be detected only
 // after the request was sent, when it is unknown whether the request ran. Waiting
 // bytes belong to no request, so the connection can't be used either.
-func alive(link net.Conn) bool {
-	raw, ok := link.(syscall.Conn)
+func alive(conn net.Conn) bool {
+	raw, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
@@ -18,12 +18,12 @@
 	if err != nil {
 		return false
 	}
-	standing := false
+	open := false
 	readErr := control.Read(func(fd uintptr) bool {
 		var peeked [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		standing = err == syscall.EAGAIN
+		open = err == syscall.EAGAIN
 		return true
 	})
-	return readErr == nil && standing
+	return readErr == nil && open
 }
--- a/link/backendlink/exchange.go
+++ b/link/backendlink/exchange.go
@@ -44,11 +44,11 @@
 
 // Begin takes an idle connection or opens one. If it fails, nothing was sent.
 func (p *Pool) Begin(ctx context.Context) (*Exchange, error) {
-	link, lost, err := p.take(ctx)
+	c, lost, err := p.take(ctx)
 	if err != nil {
 		return nil, &SendError{Cause: err}
 	}
-	return &Exchange{pool: p, link: link, Reused: link.used, AfterLoss: lost}, nil
+	return &Exchange{pool: p, link: c, Reused: c.used, AfterLoss: lost}, nil
 }
 
 // Opened returns how long ago the connection was opened. The process that answers on it
--- a/link/backendlink/pool.go
+++ b/link/backendlink/pool.go
@@ -92,24 +92,24 @@
 	if err != nil {
 		return Answer{}, &SendError{Cause: err}
 	}
-	link, _, err := p.take(ctx)
+	c, _, err := p.take(ctx)
 	if err != nil {
 		return Answer{}, &SendError{Cause: err}
 	}
 	// A call that is cancelled closes its connection, so that its answer isn't read
 	// as the answer to a later request.
-	stop := context.AfterFunc(ctx, func() { _ = link.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	if !lastCheck() {
 		if stop() {
-			p.put(link)
+			p.put(c)
 		}
 		return Answer{}, &SendError{Cause: ErrNotSent}
 	}
-	answer, reusable, sendErr := p.exchange(link, encoded, request)
+	answer, reusable, sendErr := p.exchange(c, encoded, request)
 	if stop() && reusable {
-		p.put(link)
+		p.put(c)
 	} else {
-		_ = link.Close()
+		_ = c.Close()
 	}
 	if sendErr != nil {
 		return Answer{}, sendErr
@@ -124,12 +124,12 @@
 }
 
 // exchange writes the request and reads the answer. The error is nil or a *SendError.
-func (p *Pool) exchange(link *conn, encoded []byte, request *http.Request) (Answer, bool, error) {
-	written, err := link.Write(encoded)
+func (p *Pool) exchange(c *conn, encoded []byte, request *http.Request) (Answer, bool, error) {
+	written, err := c.Write(encoded)
 	if err != nil {
 		return Answer{}, false, &SendError{Written: written > 0, Cause: err}
 	}
-	response, err := http.ReadResponse(link.reader, request)
+	response, err := http.ReadResponse(c.reader, request)
 	if err != nil {
 		return Answer{}, false, &SendError{Written: true, Cause: err}
 	}
@@ -141,7 +141,7 @@
 	if !whole {
 		return Answer{}, false, &SendError{Written: true, Cause: ErrAnswerTooLarge}
 	}
-	reusable := !response.Close && link.reader.Buffered() == 0
+	reusable := !response.Close && c.reader.Buffered() == 0
 	return Answer{Status: response.StatusCode, Header: response.Header, Body: body}, reusable, nil
 }
 
@@ -149,17 +149,17 @@
 // connection was usable and the server had closed at least one before its timeout.
 func (p *Pool) take(ctx context.Context) (taken *conn, lost bool, err error) {
 	for {
-		link := p.popIdle()
-		if link == nil {
+		c := p.popIdle()
+		if c == nil {
 			taken, err = p.open(ctx)
 			return taken, lost, err
 		}
-		expired := !link.until.IsZero() && time.Now().After(link.until)
-		if !expired && alive(link.Conn) {
-			return link, false, nil
+		expired := !c.until.IsZero() && time.Now().After(c.until)
+		if !expired && alive(c.Conn) {
+			return c, false, nil
 		}
 		lost = lost || !expired
-		_ = link.Close()
+		_ = c.Close()
 	}
 }
 
@@ -170,9 +170,9 @@
 		return nil
 	}
 	last := len(p.idle) - 1
-	link := p.idle[last]
+	c := p.idle[last]
 	p.idle = p.idle[:last]
-	return link
+	return c
 }
 
 func (p *Pool) open(ctx context.Context) (*conn, error) {
@@ -187,23 +187,23 @@
 // Reach opens a connection and keeps it idle for a later request. The error says why
 // it could not: if the server's process has terminated, the connection is refused.
 func (p *Pool) Reach(ctx context.Context) error {
-	link, err := p.open(ctx)
+	c, err := p.open(ctx)
 	if err != nil {
 		return err
 	}
-	link.until = time.Now().Add(defaultIdle)
-	p.put(link)
+	c.until = time.Now().Add(defaultIdle)
+	p.put(c)
 	return nil
 }
 
-func (p *Pool) put(link *conn) {
+func (p *Pool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || len(p.idle) >= p.maxIdle {
-		_ = link.Close()
+		_ = c.Close()
 		return
 	}
-	p.idle = append(p.idle, link)
+	p.idle = append(p.idle, c)
 }
 
 // Close closes the idle connections. Connections in use are closed when they are put back.
@@ -211,8 +211,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, link := range p.idle {
-		_ = link.Close()
+	for _, c := range p.idle {
+		_ = c.Close()
 	}
 	p.idle = nil
 }
--- a/router/counts.go
+++ b/router/counts.go
@@ -24,7 +24,7 @@
 }
 
 // note counts a reply. Invalid requests don't count against a service's error budget.
-func (c *counts) note(service string, reply dispatch.Reply, took, objective time.Duration) {
+func (c *counts) note(service string, reply dispatch.Reply, elapsed, objective time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	count, known := c.services[service]
@@ -37,7 +37,7 @@
 	case reply.Outcome != caller.Done && reply.Reason != caller.ReasonBadRequest:
 		count.bad++
 		count.causes[string(reply.Reason)]++
-	case took > objective:
+	case elapsed > objective:
 		count.slow++
 	}
 }
--- a/router/deliver.go
+++ b/router/deliver.go
@@ -27,7 +27,7 @@
 // while that router is unknown or unreachable, and returns the reply.
 func (r *Router) deliver(ctx context.Context, req *request) dispatch.Reply {
 	r.firstAttempt()
-	began := r.clock.Now()
+	start := r.clock.Now()
 	wait := searchPauseFirst
 	var history dispatch.History
 	for turn := 0; ; turn++ {
@@ -42,7 +42,7 @@
 		// A lost router is replaced within OwnerWait. A request that has waited
 		// that long, or whose deadline is before the next try, is rejected now
 		// with the time after which to retry.
-		if r.clock.Now()-began+wait > r.limits.OwnerWait || remaining(ctx) <= wait {
+		if r.clock.Now()-start+wait > r.limits.OwnerWait || remaining(ctx) <= wait {
 			reply.RetryAfter = max(reply.RetryAfter, time.Second)
 			return history.Conclude(reply)
 		}
--- a/router/front.go
+++ b/router/front.go
@@ -28,7 +28,7 @@
 func (f *Front) ServeHTTP(out http.ResponseWriter, in *http.Request) {
 	f.r.tracked.Add(1)
 	defer f.r.tracked.Done()
-	began := f.r.clock.Now()
+	start := f.r.clock.Now()
 	req, problem := f.parse(out, in)
 	if problem != nil {
 		f.refuse(out, in, *problem)
@@ -38,9 +38,9 @@
 	history := dispatch.NewHistory(req.meta.Attempt)
 	reply := history.Conclude(f.serve(in.Context(), req))
 	objective := time.Duration(req.service.Objectives.LatencyMillis) * time.Millisecond
-	took := f.r.clock.Now() - began
-	f.r.meters.request(req.service.Name, reply, took, objective)
-	f.r.counts.note(req.service.Name, reply, took, objective)
+	elapsed := f.r.clock.Now() - start
+	f.r.meters.request(req.service.Name, reply, elapsed, objective)
+	f.r.counts.note(req.service.Name, reply, elapsed, objective)
 	write(out, req, reply)
 }
 
--- a/router/meters.go
+++ b/router/meters.go
@@ -46,11 +46,11 @@
 	MetricSlow     = "cicada_requests_slow_total"
 )
 
-func (m *meters) request(service string, reply dispatch.Reply, took, objective time.Duration) {
+func (m *meters) request(service string, reply dispatch.Reply, elapsed, objective time.Duration) {
 	found := m.find(requestLabels{service: service, outcome: reply.Outcome, reason: reply.Reason})
 	found.count.Inc()
-	found.seconds.Update(took.Seconds())
-	if took > objective {
+	found.seconds.Update(elapsed.Seconds())
+	if elapsed > objective {
 		found.slow.Inc()
 	}
 }
--- a/router/page.go
+++ b/router/page.go
@@ -127,9 +127,9 @@
 			running.cancel()
 		}
 	}
-	for name, known := range p.servers {
+	for name, srv := range p.servers {
 		if !owns(fresh, name) {
-			known.gate.Expel(p.router.clock.Now())
+			srv.gate.Expel(p.router.clock.Now())
 		}
 	}
 }
@@ -138,11 +138,11 @@
 // and closes their connections. Without it the map would grow, because servers join
 // and leave all the time. p.mu must be held.
 func (p *page) forgetServers() {
-	for name, known := range p.servers {
-		if _, listed := p.router.directory.Server(name); listed || known.gate.Pressure() > 0 {
+	for name, srv := range p.servers {
+		if _, listed := p.router.directory.Server(name); listed || srv.gate.Pressure() > 0 {
 			continue
 		}
-		known.pool.Close()
+		srv.pool.Close()
 		delete(p.servers, name)
 	}
 }
@@ -190,37 +190,37 @@
 // server returns the named server and creates its gate and connection pool on first
 // use or when its address has changed. p.mu must be held.
 func (p *page) server(name string) (*server, bool) {
-	known, ok := p.servers[name]
+	srv, ok := p.servers[name]
 	current, listed := p.router.directory.Server(name)
 	if !listed {
-		return known, ok
+		return srv, ok
 	}
-	if ok && known.record.Address == current.Address {
-		known.record = current
-		known.gate.SetSlots(current.Slots)
-		return known, true
+	if ok && srv.record.Address == current.Address {
+		srv.record = current
+		srv.gate.SetSlots(current.Slots)
+		return srv, true
 	}
 	if ok {
-		known.pool.Close()
+		srv.pool.Close()
 	}
 	idle := max(1, current.Connections-connectionsKept)
-	known = &server{
+	srv = &server{
 		record: current,
 		pool:   backendlink.NewPool(current.Address, idle, p.router.limits.AnswerBody),
 		gate:   dispatch.NewGate(dispatch.DefaultGatePolicy(), current.Slots, dispatch.NewRoundRobin()),
 		chosen: p.leastChosen(),
 	}
-	p.servers[name] = known
-	return known, true
+	p.servers[name] = srv
+	return srv, true
 }
 
 // leastChosen returns the initial selection count of a new server. With 0 it would
 // get every request until it has caught up with the others. p.mu must be held.
 func (p *page) leastChosen() int {
 	least := -1
-	for _, known := range p.servers {
-		if least < 0 || known.chosen < least {
-			least = known.chosen
+	for _, srv := range p.servers {
+		if least < 0 || srv.chosen < least {
+			least = srv.chosen
 		}
 	}
 	return max(least, 0)
--- a/router/run.go
+++ b/router/run.go
@@ -161,12 +161,12 @@
 	var best *server
 	held := p.lease.Load()
 	for _, candidate := range p.router.directory.PageServers(req.service, held.page.Home, held.page.Index) {
-		known, ok := p.server(candidate.Name)
-		if !ok || avoid[candidate.Name] || !usable(now, known) {
+		srv, ok := p.server(candidate.Name)
+		if !ok || avoid[candidate.Name] || !usable(now, srv) {
 			continue
 		}
-		if best == nil || lessLoaded(known, best) {
-			best = known
+		if best == nil || lessLoaded(srv, best) {
+			best = srv
 		}
 	}
 	if best == nil {
@@ -186,6 +186,6 @@
 	return a.chosen*b.record.Slots < b.chosen*a.record.Slots
 }
 
-func usable(now time.Duration, known *server) bool {
-	return now >= known.avoidUntil && known.record.State != record.ServerLeaving
+func usable(now time.Duration, srv *server) bool {
+	return now >= srv.avoidUntil && srv.record.State != record.ServerLeaving
 }
--- a/router/serve.go
+++ b/router/serve.go
@@ -121,15 +121,15 @@
 func (p *page) report(status *linkpb.PageStatus) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for name, known := range p.servers {
+	for name, srv := range p.servers {
 		status.Signs = append(status.Signs, &linkpb.ServerSign{
 			Server:   name,
-			Answered: known.answered,
-			Failed:   known.failed && !known.answered,
-			InFlight: uint32(known.gate.InFlight()),
+			Answered: srv.answered,
+			Failed:   srv.failed && !srv.answered,
+			InFlight: uint32(srv.gate.InFlight()),
 		})
-		known.answered = false
-		known.failed = false
+		srv.answered = false
+		srv.failed = false
 	}
 	p.reportLoads(status)
 }
--- a/router/try.go
+++ b/router/try.go
@@ -15,7 +15,7 @@
 // try sends the request to a server once. If the verdict is again, the reply is
 // the one to return in case no further attempt follows.
 func (p *page) try(ctx context.Context, req *request, chosen target) (dispatch.Reply, verdict) {
-	known, waiter, refusal, ok := p.enter(ctx, req, chosen)
+	srv, waiter, refusal, ok := p.enter(ctx, req, chosen)
 	if !ok {
 		return refusal, final
 	}
@@ -23,20 +23,20 @@
 	case <-waiter.Admitted:
 	case <-ctx.Done():
 	}
-	if !p.admitted(known, waiter) {
+	if !p.admitted(srv, waiter) {
 		if ctx.Err() != nil {
 			return notRun(caller.ReasonDeadline, time.Second), final
 		}
 		return p.afterShed(req, chosen)
 	}
-	began := p.router.clock.Now()
-	answer, running, err := p.send(ctx, req, chosen, known)
-	held := p.router.clock.Now() - began
-	p.exit(known, req, chosen, held, err)
+	start := p.router.clock.Now()
+	answer, running, err := p.send(ctx, req, chosen, srv)
+	elapsed := p.router.clock.Now() - start
+	p.exit(srv, req, chosen, elapsed, err)
 	if err != nil {
 		return p.afterFailure(ctx, req, running, err)
 	}
-	return p.afterAnswer(ctx, req, chosen, known, answer)
+	return p.afterAnswer(ctx, req, chosen, srv, answer)
 }
 
 // enter requests a slot from the server's gate. If the request is rejected, the
@@ -50,22 +50,22 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known, ok := p.server(chosen.server)
+	srv, ok := p.server(chosen.server)
 	if !ok {
 		return nil, nil, notRun(caller.ReasonUnreachable, time.Second), false
 	}
-	queued, comeBack := known.gate.Enter(now, waiter)
+	queued, retryAfter := srv.gate.Enter(now, waiter)
 	if !queued {
-		return nil, nil, notRun(caller.ReasonOverload, comeBack), false
+		return nil, nil, notRun(caller.ReasonOverload, retryAfter), false
 	}
-	return known, waiter, dispatch.Reply{}, true
+	return srv, waiter, dispatch.Reply{}, true
 }
 
 // admitted reports whether the waiter has a slot, and removes it from the queue if not.
-func (p *page) admitted(known *server, waiter *dispatch.Waiter) bool {
+func (p *page) admitted(srv *server, waiter *dispatch.Waiter) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return known.gate.Leave(waiter)
+	return srv.gate.Leave(waiter)
 }
 
 // afterShed handles a request that was removed from a server's queue. If its key
@@ -86,7 +86,7 @@
 }
 
 // send sends the request if the lease still allows it when the first byte is due.
-func (p *page) send(ctx context.Context, req *request, chosen target, known *server) (backendlink.Answer, *attempt, error) {
+func (p *page) send(ctx context.Context, req *request, chosen target, srv *server) (backendlink.Answer, *attempt, error) {
 	var cancel context.CancelFunc
 	if req.meta.Idempotent {
 		ctx, cancel = context.WithTimeout(ctx, tryTimeout)
@@ -97,12 +97,12 @@
 	running := &attempt{hash: req.hash, token: chosen.token, cancel: cancel}
 	p.started(req, running)
 	defer p.ended(running)
-	outgoing, err := serverRequest(ctx, req, chosen, known.record.Address)
+	outgoing, err := serverRequest(ctx, req, chosen, srv.record.Address)
 	if err != nil {
 		return backendlink.Answer{}, running, &backendlink.SendError{Cause: err}
 	}
 	lastCheck := func() bool { return p.mayLeave(ctx, req, chosen) }
-	answer, err := known.pool.Do(ctx, outgoing, lastCheck)
+	answer, err := srv.pool.Do(ctx, outgoing, lastCheck)
 	return answer, running, err
 }
 
@@ -139,24 +139,24 @@
 )
 
 // exit releases the slot and records what the attempt shows about the server.
-func (p *page) exit(known *server, req *request, chosen target, held time.Duration, err error) {
+func (p *page) exit(srv *server, req *request, chosen target, elapsed time.Duration, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.router.clock.Now()
 	if err == nil {
-		known.gate.Exit(now, held)
-		known.answered = true
-		known.failures = 0
-		p.meter.Add(chosen.low, req.hash, held)
+		srv.gate.Exit(now, elapsed)
+		srv.answered = true
+		srv.failures = 0
+		p.meter.Add(chosen.low, req.hash, elapsed)
 		return
 	}
-	known.gate.Exit(now, known.gate.Service())
+	srv.gate.Exit(now, srv.gate.Service())
 	if errors.Is(err, backendlink.ErrNotSent) || errors.Is(err, context.Canceled) {
 		return
 	}
-	known.failed = true
-	known.failures++
-	known.avoidUntil = now + min(avoidFirst<<min(known.failures, 8), avoidMost)
+	srv.failed = true
+	srv.failures++
+	srv.avoidUntil = now + min(avoidFirst<<min(srv.failures, 8), avoidMost)
 }
 
 // afterFailure returns the reply to a request that got no complete answer.
@@ -197,7 +197,7 @@
 }
 
 // afterAnswer handles a complete answer, which may be a rejection by the server.
-func (p *page) afterAnswer(ctx context.Context, req *request, chosen target, known *server, answer backendlink.Answer) (dispatch.Reply, verdict) {
+func (p *page) afterAnswer(ctx context.Context, req *request, chosen target, srv *server, answer backendlink.Answer) (dispatch.Reply, verdict) {
 	refusal := backend.Refusal(answer.Header.Get(backend.HeaderRefused))
 	if refusal == "" {
 		return p.afterDone(req, chosen, answer)
@@ -211,7 +211,7 @@
 		p.waitChange(ctx, stalePause)
 		return notRun(caller.ReasonNoOwner, time.Second), again
 	case backend.RefusedDraining:
-		p.avoid(known, avoidMost)
+		p.avoid(srv, avoidMost)
 		if req.service.Keyed {
 			p.waitChange(ctx, stalePause)
 		}
@@ -219,7 +219,7 @@
 	case backend.RefusedExpired:
 		return notRun(caller.ReasonDeadline, time.Second), final
 	}
-	p.avoid(known, avoidFirst)
+	p.avoid(srv, avoidFirst)
 	if !p.router.mayRetry() {
 		return notRun(caller.ReasonShed, time.Second), final
 	}
@@ -228,10 +228,10 @@
 	return notRun(caller.ReasonShed, time.Second), again
 }
 
-func (p *page) avoid(known *server, wait time.Duration) {
+func (p *page) avoid(srv *server, wait time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known.avoidUntil = p.router.clock.Now() + wait
+	srv.avoidUntil = p.router.clock.Now() + wait
 }
 
 // afterDone verifies that the answer belongs to the request and turns it into the reply.
