--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -94,7 +94,7 @@
 		return result
 	}
 	took := g.now() - startedAt
-	g.noteAlive(server, aliveSpan(g.now()-exchange.Opened(), startedAt, server), &result)
+	g.noteAlive(server, aliveSpan(g.now()-exchange.Age(), startedAt, server), &result)
 	finish := func(whole bool) {
 		if stop() && whole {
 			exchange.Keep()
--- a/gateway/serverends.go
+++ b/gateway/serverends.go
@@ -62,7 +62,7 @@
 	}
 	reaching, cancel := context.WithTimeout(ctx, connectCheckTimeout)
 	defer cancel()
-	g.noteConnectError(server, link.Reach(reaching))
+	g.noteConnectError(server, link.Connect(reaching))
 }
 
 // noteConnectError records the result of opening a connection. A refused connection proves that
--- a/host/daemon.go
+++ b/host/daemon.go
@@ -88,7 +88,7 @@
 	for {
 		select {
 		case <-ticker.C:
-			links.Keep(addressesInUse(dir, seeds))
+			links.CloseUnused(addressesInUse(dir, seeds))
 		case <-ctx.Done():
 			return
 		}
--- a/host/daemon_test.go
+++ b/host/daemon_test.go
@@ -29,7 +29,7 @@
 	const longEnough = 20
 	keep := func(calls int) {
 		for range calls {
-			links.Keep(addressesInUse(dir, []string{"127.0.0.1:3"}))
+			links.CloseUnused(addressesInUse(dir, []string{"127.0.0.1:3"}))
 		}
 	}
 	keep(longEnough)
--- a/link/backendlink/exchange.go
+++ b/link/backendlink/exchange.go
@@ -13,14 +13,14 @@
 
 // Limits for the reuse of idle connections and for interim answers.
 const (
-	// defaultIdle is how long an idle connection may be reused if the server does
+	// defaultIdleTimeout is how long an idle connection may be reused if the server does
 	// not state its timeout. Many servers close idle connections after 5 s.
-	defaultIdle = 4 * time.Second
+	defaultIdleTimeout = 4 * time.Second
 	// idleMargin is subtracted from the stated timeout: if a request is sent while
 	// the server closes the connection, it is unknown whether it ran.
 	idleMargin = 1500 * time.Millisecond
-	// mostInterim is the maximum number of 1xx answers before a final one.
-	mostInterim = 8
+	// maxInterimAnswers is the maximum number of 1xx answers before a final one.
+	maxInterimAnswers = 8
 )
 
 // ErrInterim reports too many interim answers.
@@ -31,46 +31,46 @@
 // Abort.
 type Exchange struct {
 	pool *Pool
-	link *conn
+	conn *conn
 	// Response is set by Send.
 	Response *http.Response
 	// Reused is set if the connection was used for earlier requests.
 	Reused bool
 	// AfterLoss is set if the connection was opened because the server had closed an idle
 	// one before its timeout: the server process may be another one now.
-	AfterLoss bool
-	wrote     chan error
+	AfterLoss   bool
+	writeResult chan error
 }
 
 // Begin takes an idle connection or opens one. If it fails, nothing was sent.
 func (p *Pool) Begin(ctx context.Context) (*Exchange, error) {
-	c, lost, err := p.take(ctx)
+	c, lost, err := p.takeConn(ctx)
 	if err != nil {
 		return nil, &SendError{Cause: err}
 	}
-	return &Exchange{pool: p, link: c, Reused: c.used, AfterLoss: lost}, nil
+	return &Exchange{pool: p, conn: c, Reused: c.used, AfterLoss: lost}, nil
 }
 
-// Opened returns how long ago the connection was opened. The process that answers on it
+// Age returns how long ago the connection was opened. The process that answers on it
 // has been running at least since then.
-func (e *Exchange) Opened() time.Duration { return time.Since(e.link.opened) }
+func (e *Exchange) Age() time.Duration { return time.Since(e.conn.opened) }
 
 // Send writes the request and reads the header of the final answer. The error is
 // a *SendError. A server may answer before it has read the whole request; that
 // answer is returned at once, and Keep closes the connection if the request is
 // still being written.
 func (e *Exchange) Send(request *http.Request) error {
-	e.wrote = make(chan error, 1)
-	e.link.used = true
-	counter := &countingWriter{to: e.link}
+	e.writeResult = make(chan error, 1)
+	e.conn.used = true
+	counter := &countingWriter{to: e.conn}
 	if request.ContentLength == 0 || request.Body == nil {
 		err := request.Write(counter)
-		e.wrote <- err
+		e.writeResult <- err
 		if err != nil {
 			return &SendError{Written: counter.n > 0, Cause: err}
 		}
 	} else {
-		go func() { e.wrote <- request.Write(counter) }()
+		go func() { e.writeResult <- request.Write(counter) }()
 	}
 	return e.receive(request)
 }
@@ -78,22 +78,22 @@
 // Next discards the answer in Response and reads the header of the one that follows
 // it. The error is a *SendError.
 func (e *Exchange) Next(request *http.Request) error {
-	if _, whole, err := ReadWhole(e.Response.Body, mostSkipped); err != nil || !whole || e.Response.Close {
+	if _, whole, err := ReadWhole(e.Response.Body, maxSkippedBodyBytes); err != nil || !whole || e.Response.Close {
 		return &SendError{Written: true, Cause: ErrSkipped}
 	}
 	return e.receive(request)
 }
 
-// mostSkipped is the maximum body size in bytes of an answer that Next discards.
-const mostSkipped = 64 << 10
+// maxSkippedBodyBytes is the maximum body size in bytes of an answer that Next discards.
+const maxSkippedBodyBytes = 64 << 10
 
 // ErrSkipped reports an answer that Next could not discard.
 var ErrSkipped = errors.New("failed to discard the preceding answer")
 
 // receive reads the header of the next final answer.
 func (e *Exchange) receive(request *http.Request) error {
-	for range mostInterim {
-		response, err := http.ReadResponse(e.link.reader, request)
+	for range maxInterimAnswers {
+		response, err := http.ReadResponse(e.conn.reader, request)
 		if err != nil {
 			return &SendError{Written: true, Cause: err}
 		}
@@ -111,7 +111,7 @@
 // read the whole answer.
 func (e *Exchange) Keep() {
 	select {
-	case err := <-e.wrote:
+	case err := <-e.writeResult:
 		if err != nil {
 			e.Abort()
 			return
@@ -120,20 +120,20 @@
 		e.Abort()
 		return
 	}
-	if e.Response.Close || e.link.reader.Buffered() > 0 {
+	if e.Response.Close || e.conn.reader.Buffered() > 0 {
 		e.Abort()
 		return
 	}
-	e.link.until = time.Now().Add(keptFor(e.Response.Header))
-	e.pool.put(e.link)
+	e.conn.reuseUntil = time.Now().Add(reusableFor(e.Response.Header))
+	e.pool.putConn(e.conn)
 }
 
 // Abort closes the connection, which tells the server to stop processing the request.
-func (e *Exchange) Abort() { _ = e.link.Close() }
+func (e *Exchange) Abort() { _ = e.conn.Close() }
 
-// keptFor returns how long an idle connection may be reused, from the Keep-Alive
+// reusableFor returns how long an idle connection may be reused, from the Keep-Alive
 // header of an answer.
-func keptFor(header http.Header) time.Duration {
+func reusableFor(header http.Header) time.Duration {
 	for part := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, found := strings.Cut(strings.TrimSpace(part), "=")
 		if !found || !strings.EqualFold(name, "timeout") {
@@ -145,7 +145,7 @@
 		}
 		return time.Duration(seconds)*time.Second - idleMargin
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
 
 // countingWriter counts the bytes written.
--- a/link/backendlink/pool.go
+++ b/link/backendlink/pool.go
@@ -48,9 +48,9 @@
 // connectTimeout limits the time to open a connection, which normally takes about 1 ms.
 const connectTimeout = 300 * time.Millisecond
 
-// readBuffer is the size of a connection's read buffer in bytes: headers and short
+// readBufferBytes is the size of a connection's read buffer in bytes: headers and short
 // answers fit, and hundreds of connections use little memory.
-const readBuffer = 2048
+const readBufferBytes = 2048
 
 // Pool holds the idle connections to one server. It is safe for concurrent use.
 // Its callers limit the number of connections in use.
@@ -70,9 +70,9 @@
 	opened time.Time
 	// used is set once the connection was used for a request.
 	used bool
-	// until is when the idle connection must not be reused any more, because the
+	// reuseUntil is when the idle connection must not be reused any more, because the
 	// server may close it; zero if unknown.
-	until time.Time
+	reuseUntil time.Time
 }
 
 // NewPool returns a pool for the server at an IP address and port. Do fails for
@@ -92,7 +92,7 @@
 	if err != nil {
 		return Answer{}, &SendError{Cause: err}
 	}
-	c, _, err := p.take(ctx)
+	c, _, err := p.takeConn(ctx)
 	if err != nil {
 		return Answer{}, &SendError{Cause: err}
 	}
@@ -101,13 +101,13 @@
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	if !lastCheck() {
 		if stop() {
-			p.put(c)
+			p.putConn(c)
 		}
 		return Answer{}, &SendError{Cause: ErrNotSent}
 	}
 	answer, reusable, sendErr := p.exchange(c, encoded, request)
 	if stop() && reusable {
-		p.put(c)
+		p.putConn(c)
 	} else {
 		_ = c.Close()
 	}
@@ -145,16 +145,16 @@
 	return Answer{Status: response.StatusCode, Header: response.Header, Body: body}, reusable, nil
 }
 
-// take returns an idle connection that is still open, or opens one. lost is set if no idle
+// takeConn returns an idle connection that is still open, or opens one. lost is set if no idle
 // connection was usable and the server had closed at least one before its timeout.
-func (p *Pool) take(ctx context.Context) (taken *conn, lost bool, err error) {
+func (p *Pool) takeConn(ctx context.Context) (taken *conn, lost bool, err error) {
 	for {
 		c := p.popIdle()
 		if c == nil {
-			taken, err = p.open(ctx)
+			taken, err = p.openConn(ctx)
 			return taken, lost, err
 		}
-		expired := !c.until.IsZero() && time.Now().After(c.until)
+		expired := !c.reuseUntil.IsZero() && time.Now().After(c.reuseUntil)
 		if !expired && alive(c.Conn) {
 			return c, false, nil
 		}
@@ -175,28 +175,28 @@
 	return c
 }
 
-func (p *Pool) open(ctx context.Context) (*conn, error) {
+func (p *Pool) openConn(ctx context.Context) (*conn, error) {
 	dialer := net.Dialer{Timeout: connectTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp", p.address)
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBuffer), opened: time.Now()}, nil
+	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferBytes), opened: time.Now()}, nil
 }
 
-// Reach opens a connection and keeps it idle for a later request. The error says why
+// Connect opens a connection and keeps it idle for a later request. The error says why
 // it could not: if the server's process has terminated, the connection is refused.
-func (p *Pool) Reach(ctx context.Context) error {
-	c, err := p.open(ctx)
+func (p *Pool) Connect(ctx context.Context) error {
+	c, err := p.openConn(ctx)
 	if err != nil {
 		return err
 	}
-	c.until = time.Now().Add(defaultIdle)
-	p.put(c)
+	c.reuseUntil = time.Now().Add(defaultIdleTimeout)
+	p.putConn(c)
 	return nil
 }
 
-func (p *Pool) put(c *conn) {
+func (p *Pool) putConn(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || len(p.idle) >= p.maxIdle {
--- a/link/backendlink/pool_test.go
+++ b/link/backendlink/pool_test.go
@@ -26,14 +26,14 @@
 	}()
 	pool := NewPool(listener.Addr().String(), 4, 1<<10)
 	defer pool.Close()
-	assert.NilError(t, pool.Reach(t.Context()))
+	assert.NilError(t, pool.Connect(t.Context()))
 	kept, err := pool.Begin(t.Context())
 	assert.NilError(t, err)
 	assert.Assert(t, !kept.AfterLoss, "the idle connection is still open")
 	kept.Abort()
 	assert.NilError(t, (<-serverSide).Close())
 
-	assert.NilError(t, pool.Reach(t.Context()))
+	assert.NilError(t, pool.Connect(t.Context()))
 	assert.NilError(t, (<-serverSide).Close())
 	idle := pool.idle[0].Conn
 	for alive(idle) { // until the close has arrived
@@ -45,8 +45,8 @@
 	lost.Abort()
 	assert.NilError(t, (<-serverSide).Close())
 
-	assert.NilError(t, pool.Reach(t.Context()))
-	pool.idle[0].until = time.Now().Add(-time.Second)
+	assert.NilError(t, pool.Connect(t.Context()))
+	pool.idle[0].reuseUntil = time.Now().Add(-time.Second)
 	expired, err := pool.Begin(t.Context())
 	assert.NilError(t, err)
 	assert.Assert(t, !expired.AfterLoss, "the server may close the connection after its timeout")
--- a/link/link.go
+++ b/link/link.go
@@ -20,10 +20,10 @@
 
 // Timeouts and sizes of connections between processes.
 const (
-	connectTimeout  = 500 * time.Millisecond
-	reconnectFirst  = 50 * time.Millisecond
-	reconnectMost   = 500 * time.Millisecond
-	maxMessageBytes = 16 << 20
+	connectTimeout        = 500 * time.Millisecond
+	initialReconnectDelay = 50 * time.Millisecond
+	maxReconnectDelay     = 500 * time.Millisecond
+	maxMessageBytes       = 16 << 20
 	// windowBytes is the flow-control window of streams and connections. With a
 	// fixed size gRPC sends no bandwidth-estimation ping for each burst of data.
 	windowBytes = 1 << 20
@@ -35,14 +35,14 @@
 
 	mu    sync.Mutex
 	conns map[string]*grpc.ClientConn
-	// absent maps an address to the number of consecutive calls of Keep in which
+	// unusedCalls maps an address to the number of consecutive calls of Keep in which
 	// it was not in use.
-	absent map[string]int
+	unusedCalls map[string]int
 }
 
 // NewPool returns a pool whose connections use the credentials.
 func NewPool(creds credentials.TransportCredentials) *Pool {
-	return &Pool{creds: creds, conns: map[string]*grpc.ClientConn{}, absent: map[string]int{}}
+	return &Pool{creds: creds, conns: map[string]*grpc.ClientConn{}, unusedCalls: map[string]int{}}
 }
 
 // Control returns the client of a controller.
@@ -71,7 +71,7 @@
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes), grpc.MaxCallSendMsgSize(maxMessageBytes)),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			MinConnectTimeout: connectTimeout,
-			Backoff:           backoff.Config{BaseDelay: reconnectFirst, Multiplier: 1.6, Jitter: 0.2, MaxDelay: reconnectMost},
+			Backoff:           backoff.Config{BaseDelay: initialReconnectDelay, Multiplier: 1.6, Jitter: 0.2, MaxDelay: maxReconnectDelay},
 		}),
 	)
 	if err != nil {
@@ -81,16 +81,16 @@
 	return conn
 }
 
-// absentCalls is the number of consecutive calls of Keep without an address after
+// maxUnusedCalls is the number of consecutive calls of Keep without an address after
 // which its connection is closed. A host that was removed from the list may still be
 // processing requests, which closing its connection would abort; the calls must span
 // more time than any request's deadline allows.
-const absentCalls = 12
+const maxUnusedCalls = 12
 
-// Keep closes connections to addresses that have not been in use for absentCalls
+// CloseUnused closes connections to addresses that have not been in use for absentCalls
 // consecutive calls. A nil set means that the addresses in use are unknown; such a
 // call is not counted.
-func (p *Pool) Keep(inUse map[string]bool) {
+func (p *Pool) CloseUnused(inUse map[string]bool) {
 	if inUse == nil {
 		return
 	}
@@ -98,14 +98,14 @@
 	defer p.mu.Unlock()
 	for address, conn := range p.conns {
 		if inUse[address] {
-			delete(p.absent, address)
+			delete(p.unusedCalls, address)
 			continue
 		}
-		p.absent[address]++
-		if p.absent[address] >= absentCalls {
+		p.unusedCalls[address]++
+		if p.unusedCalls[address] >= maxUnusedCalls {
 			_ = conn.Close()
 			delete(p.conns, address)
-			delete(p.absent, address)
+			delete(p.unusedCalls, address)
 		}
 	}
 }
--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -44,14 +44,14 @@
 // BenchmarkDispatch measures a request to the router that dispatches its page, with a
 // backend server over loopback.
 func BenchmarkDispatch(b *testing.B) {
-	s := startSite(b, startFake(b, works).address)
+	s := startSite(b, startFakeServer(b, works).address)
 	serveBench(b, router.NewFront(s.router))
 }
 
 // BenchmarkForward measures the same request to another router, which forwards it over
 // gRPC.
 func BenchmarkForward(b *testing.B) {
-	s := startSite(b, startFake(b, works).address)
+	s := startSite(b, startFakeServer(b, works).address)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b, err)
 	server := link.NewServer(insecure.NewCredentials())
--- a/router/counts.go
+++ b/router/counts.go
@@ -23,8 +23,8 @@
 	services map[string]*serviceCount
 }
 
-// note counts a reply. Invalid requests don't count against a service's error budget.
-func (c *counts) note(service string, reply dispatch.Reply, elapsed, objective time.Duration) {
+// add counts a reply. Invalid requests don't count against a service's error budget.
+func (c *counts) add(service string, reply dispatch.Reply, elapsed, objective time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	count, known := c.services[service]
--- a/router/deliver.go
+++ b/router/deliver.go
@@ -16,23 +16,23 @@
 
 // Delays and timeouts of the search for a page's dispatch router.
 const (
-	searchPauseFirst = 10 * time.Millisecond
-	searchPauseMost  = 100 * time.Millisecond
-	// forwardTry limits one forward of an idempotent request, so that time for
+	initialSearchDelay = 10 * time.Millisecond
+	maxSearchDelay     = 100 * time.Millisecond
+	// forwardTimeout limits one forward of an idempotent request, so that time for
 	// another router remains if the first one hangs.
-	forwardTry = 1500 * time.Millisecond
+	forwardTimeout = 1500 * time.Millisecond
 )
 
 // deliver dispatches a request or forwards it to its page's dispatch router, retries
 // while that router is unknown or unreachable, and returns the reply.
 func (r *Router) deliver(ctx context.Context, req *request) dispatch.Reply {
-	r.firstAttempt()
+	r.recordFirstAttempt()
 	start := r.clock.Now()
-	wait := searchPauseFirst
+	wait := initialSearchDelay
 	var history dispatch.History
 	for turn := 0; ; turn++ {
 		reply := r.deliverOnce(ctx, req, turn)
-		if reply.Outcome == caller.Done || reply.Reason == caller.ReasonDeadline || !r.worthAnother(req, reply) {
+		if reply.Outcome == caller.Done || reply.Reason == caller.ReasonDeadline || !r.shouldRetry(req, reply) {
 			return history.Conclude(reply)
 		}
 		history.Note(reply)
@@ -47,44 +47,44 @@
 			return history.Conclude(reply)
 		}
 		clock.Sleep(ctx, wait)
-		wait = min(2*wait, searchPauseMost)
+		wait = min(2*wait, maxSearchDelay)
 	}
 }
 
-// worthAnother reports whether to try again, at the same or another router.
-func (r *Router) worthAnother(req *request, reply dispatch.Reply) bool {
+// shouldRetry reports whether to try again, at the same or another router.
+func (r *Router) shouldRetry(req *request, reply dispatch.Reply) bool {
 	switch {
 	case reply.Outcome == caller.NotRun:
 		return reply.Reason == caller.ReasonNoDispatcher
 	case !req.meta.Idempotent || reply.Reason != caller.ReasonNoDispatcher:
 		return false
 	}
-	if !r.mayRetry() {
+	if !r.takeRetry() {
 		return false
 	}
-	r.meters.retry("router-lost")
+	r.metrics.countRetry("router-lost")
 	return true
 }
 
 func (r *Router) deliverOnce(ctx context.Context, req *request, turn int) dispatch.Reply {
-	if held, ok := r.dispatched(req.page); ok {
-		return held.run(ctx, req)
+	if held, ok := r.leasedPage(req.page); ok {
+		return held.runDeduplicated(ctx, req)
 	}
 	if req.hops >= maxHops {
-		return notRun(caller.ReasonNoDispatcher, stalePause)
+		return notRun(caller.ReasonNoDispatcher, staleRetryDelay)
 	}
-	host := r.candidate(req, turn)
+	host := r.candidateHost(req, turn)
 	if host == "" {
-		return notRun(caller.ReasonNoDispatcher, searchPauseMost)
+		return notRun(caller.ReasonNoDispatcher, maxSearchDelay)
 	}
 	return r.forward(ctx, req, host)
 }
 
-// candidate returns the host to try in this turn. Every other turn it is the last
+// candidateHost returns the host to try in this turn. Every other turn it is the last
 // known dispatch router of the page, which takes one map lookup and may have changed
 // since the previous turn. In the other turns it is each remaining host of the page's
 // failure domain in order of preference.
-func (r *Router) candidate(req *request, turn int) string {
+func (r *Router) candidateHost(req *request, turn int) string {
 	hint := r.directory.Dispatcher(req.page)
 	if hint == r.identity.Host {
 		hint = ""
@@ -92,7 +92,7 @@
 	if hint != "" && turn%2 == 0 {
 		return hint
 	}
-	order := domain.DispatchOrder(req.page, r.directory.Hosts(), r.homeOf(req))
+	order := domain.DispatchOrder(req.page, r.directory.Hosts(), r.pageHome(req))
 	order = slices.DeleteFunc(order, func(host string) bool { return host == r.identity.Host || host == hint })
 	if len(order) == 0 {
 		return hint
@@ -100,17 +100,17 @@
 	return order[(turn/2)%len(order)]
 }
 
-// homeOf returns the failure domain whose hosts dispatch the page. It differs from
+// pageHome returns the failure domain whose hosts dispatch the page. It differs from
 // the initial one after another domain has taken the page over.
-func (r *Router) homeOf(req *request) string {
+func (r *Router) pageHome(req *request) string {
 	if page, _, known := r.directory.Page(req.page); known {
 		return page.Home
 	}
 	index := req.service.PageOf(req.hash)
-	return r.inherited(req.service, req.page, req.service.PageHome(index))
+	return r.homeAfterTakeover(req.service, req.page, req.service.PageHome(index))
 }
 
-func (r *Router) inherited(service record.Service, page, home string) string {
+func (r *Router) homeAfterTakeover(service record.Service, page, home string) string {
 	lost := r.directory.Lost(record.LostDomain)
 	if !slices.Contains(lost, home) {
 		return home
@@ -118,15 +118,15 @@
 	return domain.Heir(page, service, lost)
 }
 
-// answerTime is the maximum subtracted from the deadline given to the other router,
+// maxReplyMargin is the maximum subtracted from the deadline given to the other router,
 // so that its reply at its deadline arrives before this router's own. The reply may
 // say that the request has not run, which this router could not know.
-const answerTime = 5 * time.Millisecond
+const maxReplyMargin = 5 * time.Millisecond
 
-// budget returns the timeout to pass to another router with a request.
-func budget(ctx context.Context) time.Duration {
+// peerTimeout returns the timeout to pass to another router with a request.
+func peerTimeout(ctx context.Context) time.Duration {
 	left := remaining(ctx)
-	return left - min(answerTime, left/10)
+	return left - min(maxReplyMargin, left/10)
 }
 
 // forward sends the request to another router and records the dispatch router that
@@ -134,21 +134,21 @@
 func (r *Router) forward(ctx context.Context, req *request, host string) dispatch.Reply {
 	peer, ok := r.directory.Host(host)
 	if !ok {
-		return notRun(caller.ReasonNoDispatcher, searchPauseMost)
+		return notRun(caller.ReasonNoDispatcher, maxSearchDelay)
 	}
-	r.meters.forwarded()
+	r.metrics.countForward()
 	var sent link.Sent
 	ctx = link.WithSent(ctx, &sent)
 	if req.meta.Idempotent {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, forwardTry)
+		ctx, cancel = context.WithTimeout(ctx, forwardTimeout)
 		defer cancel()
 	}
-	reply, err := r.links.Dispatch(peer.RouterLink).Forward(ctx, req.toLink(budget(ctx)))
+	reply, err := r.links.Dispatch(peer.RouterLink).Forward(ctx, req.toLink(peerTimeout(ctx)))
 	switch {
 	case err == nil:
 	case !sent.Any():
-		return notRun(caller.ReasonNoDispatcher, searchPauseMost)
+		return notRun(caller.ReasonNoDispatcher, maxSearchDelay)
 	case errors.Is(ctx.Err(), context.DeadlineExceeded) && !req.meta.Idempotent:
 		return unknown(caller.ReasonDeadline)
 	default:
--- a/router/fault_test.go
+++ b/router/fault_test.go
@@ -40,7 +40,7 @@
 	requests atomic.Int64
 }
 
-func startFake(t testing.TB, scripts ...script) *fakeServer {
+func startFakeServer(t testing.TB, scripts ...script) *fakeServer {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -121,13 +121,13 @@
 	r := router.New(link.Identity{Host: "h1", Domain: "a"}, limits, dir, nil, clock.System(), time.Now, 7, logs.Discard())
 	s := &site{router: r, directory: dir, callers: httptest.NewServer(router.NewFront(r))}
 	t.Cleanup(s.callers.Close)
-	s.lease(t, 1, "s1")
+	s.grantLease(t, 1, "s1")
 	return s
 }
 
-// fill replaces the HTTP server for callers by one whose router is at its limit of
+// overload replaces the HTTP server for callers by one whose router is at its limit of
 // concurrent requests, which is 0.
-func (s *site) fill(t testing.TB) {
+func (s *site) overload(t testing.TB) {
 	limits := router.DefaultLimits()
 	limits.InFlight = 0
 	full := router.New(link.Identity{Host: "h1", Domain: "a"}, limits, s.directory, nil, clock.System(), time.Now, 8, logs.Discard())
@@ -135,8 +135,8 @@
 	t.Cleanup(s.callers.Close)
 }
 
-// lease grants the router a lease of the page with the given generation and owner.
-func (s *site) lease(t testing.TB, generation uint64, owner string) {
+// grantLease grants the router a lease of the page with the given generation and owner.
+func (s *site) grantLease(t testing.TB, generation uint64, owner string) {
 	page := record.Page{Service: "split", Home: "a", High: 1<<64 - 1, Generation: generation,
 		Shards: []record.Shard{{Owner: owner, Token: generation, State: record.ShardOwned}}}
 	encoded, err := json.Marshal(page)
@@ -147,8 +147,8 @@
 	assert.NilError(t, err)
 }
 
-// told is the response to a caller.
-type told struct {
+// callerResponse is the response to a caller.
+type callerResponse struct {
 	outcome caller.Outcome
 	reason  caller.Reason
 	status  int
@@ -156,7 +156,7 @@
 	header  http.Header
 }
 
-func (s *site) ask(t *testing.T, method string, header map[string]string) told {
+func (s *site) send(t *testing.T, method string, header map[string]string) callerResponse {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, s.callers.URL+"/s/split/item", strings.NewReader(""))
 	assert.NilError(t, err)
@@ -169,7 +169,7 @@
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
-	return told{
+	return callerResponse{
 		outcome: caller.Outcome(response.Header.Get(caller.HeaderOutcome)),
 		reason:  caller.Reason(response.Header.Get(caller.HeaderReason)),
 		status:  response.StatusCode,
@@ -212,9 +212,9 @@
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
-			fake := startFake(t, row.scripts...)
+			fake := startFakeServer(t, row.scripts...)
 			s := startSite(t, fake.address)
-			got := s.ask(t, row.method, map[string]string{caller.HeaderDeadlineMs: deadlineOf(row.scripts[0])})
+			got := s.send(t, row.method, map[string]string{caller.HeaderDeadlineMs: deadlineOf(row.scripts[0])})
 			assert.Equal(t, got.outcome, row.want, "reason %s", got.reason)
 			assert.Equal(t, fake.requests.Load(), row.sent)
 			if got.outcome == caller.Done {
@@ -241,7 +241,7 @@
 	address := listener.Addr().String()
 	assert.NilError(t, listener.Close())
 	s := startSite(t, address)
-	got := s.ask(t, http.MethodPost, map[string]string{caller.HeaderDeadlineMs: "200"})
+	got := s.send(t, http.MethodPost, map[string]string{caller.HeaderDeadlineMs: "200"})
 	assert.Equal(t, got.outcome, caller.NotRun)
 	assert.Assert(t, got.header.Get("Retry-After") != "")
 }
@@ -249,11 +249,11 @@
 // TestResendIsNotRunAgain: the same request sent twice runs once, and both attempts
 // get the same answer.
 func TestResendIsNotRunAgain(t *testing.T) {
-	fake := startFake(t, works)
+	fake := startFakeServer(t, works)
 	s := startSite(t, fake.address)
 	id := uuid.Must(uuid.NewV7()).String()
-	first := s.ask(t, http.MethodPost, map[string]string{caller.HeaderRequestID: id})
-	second := s.ask(t, http.MethodPost, map[string]string{caller.HeaderRequestID: id, caller.HeaderAttempt: "2"})
+	first := s.send(t, http.MethodPost, map[string]string{caller.HeaderRequestID: id})
+	second := s.send(t, http.MethodPost, map[string]string{caller.HeaderRequestID: id, caller.HeaderAttempt: "2"})
 	assert.Equal(t, first.outcome, caller.Done)
 	assert.Equal(t, second.outcome, caller.Done)
 	assert.Equal(t, second.body, first.body)
@@ -263,10 +263,10 @@
 // TestResendAfterTakeOver: a router that has just taken over the page does not know
 // which requests its predecessor ran, and does not run a re-sent one.
 func TestResendAfterTakeOver(t *testing.T) {
-	fake := startFake(t, works)
+	fake := startFakeServer(t, works)
 	s := startSite(t, fake.address)
 	id := uuid.Must(uuid.NewV7()).String()
-	got := s.ask(t, http.MethodPost, map[string]string{caller.HeaderRequestID: id, caller.HeaderAttempt: "2"})
+	got := s.send(t, http.MethodPost, map[string]string{caller.HeaderRequestID: id, caller.HeaderAttempt: "2"})
 	assert.Equal(t, got.outcome, caller.Unknown)
 	assert.Equal(t, got.reason, caller.ReasonMaybeRunBefore)
 	assert.Equal(t, fake.requests.Load(), int64(0))
@@ -276,13 +276,13 @@
 // the first attempt is lost, the second is rejected by an overloaded router, and that
 // rejection is reported for the request as a whole.
 func TestOverloadedRouterDoesNotDenyEarlierAttempts(t *testing.T) {
-	fake := startFake(t, works)
+	fake := startFakeServer(t, works)
 	s := startSite(t, fake.address)
-	s.fill(t)
+	s.overload(t)
 	id := uuid.Must(uuid.NewV7()).String()
-	first := s.ask(t, http.MethodPost, map[string]string{caller.HeaderRequestID: id})
+	first := s.send(t, http.MethodPost, map[string]string{caller.HeaderRequestID: id})
 	assert.Equal(t, first.outcome, caller.NotRun)
-	second := s.ask(t, http.MethodPost, map[string]string{caller.HeaderRequestID: id, caller.HeaderAttempt: "2"})
+	second := s.send(t, http.MethodPost, map[string]string{caller.HeaderRequestID: id, caller.HeaderAttempt: "2"})
 	assert.Equal(t, second.outcome, caller.Unknown)
 	assert.Equal(t, second.reason, caller.ReasonOverload)
 }
@@ -294,15 +294,15 @@
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		t.Run(method, func(t *testing.T) {
 			arrived := make(chan struct{}, 1)
-			old := startFake(t, script{act: func(conn net.Conn, _ *http.Request) {
+			old := startFakeServer(t, script{act: func(conn net.Conn, _ *http.Request) {
 				arrived <- struct{}{}
 				_, _ = io.Copy(io.Discard, conn)
 			}}, works)
 			s := startSite(t, old.address)
-			answers := make(chan told, 1)
-			go func() { answers <- s.ask(t, method, map[string]string{caller.HeaderDeadlineMs: "60000"}) }()
+			answers := make(chan callerResponse, 1)
+			go func() { answers <- s.send(t, method, map[string]string{caller.HeaderDeadlineMs: "60000"}) }()
 			<-arrived
-			s.lease(t, 2, "s1")
+			s.grantLease(t, 2, "s1")
 			got := <-answers
 			if method == http.MethodPost {
 				assert.Equal(t, got.outcome, caller.Unknown)
@@ -316,7 +316,7 @@
 
 // TestBadRequests has one row for each kind of invalid request.
 func TestBadRequests(t *testing.T) {
-	s := startSite(t, startFake(t, works).address)
+	s := startSite(t, startFakeServer(t, works).address)
 	id := uuid.Must(uuid.NewV7()).String()
 	rows := []struct {
 		name   string
@@ -335,7 +335,7 @@
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			got := s.ask(t, http.MethodPost, row.header)
+			got := s.send(t, http.MethodPost, row.header)
 			assert.Equal(t, got.status, http.StatusBadRequest)
 			want := caller.NotRun
 			if row.header[caller.HeaderAttempt] != "" {
--- a/router/feed.go
+++ b/router/feed.go
@@ -11,23 +11,23 @@
 	"cicadarouter/link/linkpb"
 )
 
-// feedRetry is the delay before the next controller is tried.
-const feedRetry = 100 * time.Millisecond
+// feedRetryDelay is the delay before the next controller is tried.
+const feedRetryDelay = 100 * time.Millisecond
 
 // Feed keeps a directory up to date from any controller of a failure domain until
 // the context is done. seeds are the controllers' addresses from the settings; those
 // in the host list are tried too.
 func Feed(ctx context.Context, dir *directory.Directory, links link.Peers, identity link.Identity, seeds []string) {
 	for turn := 0; ctx.Err() == nil; turn++ {
-		addresses := controllers(dir, identity.Domain, seeds)
+		addresses := controllerAddresses(dir, identity.Domain, seeds)
 		address := addresses[turn%len(addresses)]
 		request := &linkpb.RecordsRequest{From: identity.Host, Domain: identity.Domain}
 		_ = directory.Follow(ctx, links.Control(address), request, dir.Take)
-		clock.Sleep(ctx, feedRetry)
+		clock.Sleep(ctx, feedRetryDelay)
 	}
 }
 
-func controllers(dir *directory.Directory, domain string, seeds []string) []string {
+func controllerAddresses(dir *directory.Directory, domain string, seeds []string) []string {
 	addresses := slices.Clone(seeds)
 	for _, host := range dir.Hosts() {
 		if host.Domain == domain && !slices.Contains(addresses, host.Link) {
--- a/router/front.go
+++ b/router/front.go
@@ -26,12 +26,12 @@
 
 // ServeHTTP implements http.Handler.
 func (f *Front) ServeHTTP(out http.ResponseWriter, in *http.Request) {
-	f.r.tracked.Add(1)
-	defer f.r.tracked.Done()
+	f.r.activeCalls.Add(1)
+	defer f.r.activeCalls.Done()
 	start := f.r.clock.Now()
 	req, problem := f.parse(out, in)
 	if problem != nil {
-		f.refuse(out, in, *problem)
+		f.reject(out, in, *problem)
 		return
 	}
 	// Even if this attempt is rejected, an earlier one by the caller may have run.
@@ -39,9 +39,9 @@
 	reply := history.Conclude(f.serve(in.Context(), req))
 	objective := time.Duration(req.service.Objectives.LatencyMillis) * time.Millisecond
 	elapsed := f.r.clock.Now() - start
-	f.r.meters.request(req.service.Name, reply, elapsed, objective)
-	f.r.counts.note(req.service.Name, reply, elapsed, objective)
-	write(out, req, reply)
+	f.r.metrics.recordRequest(req.service.Name, reply, elapsed, objective)
+	f.r.counts.add(req.service.Name, reply, elapsed, objective)
+	writeReply(out, req, reply)
 }
 
 func (f *Front) serve(ctx context.Context, req *request) dispatch.Reply {
@@ -59,8 +59,8 @@
 	return f.r.deliver(ctx, req)
 }
 
-// problem is the reason for rejecting an invalid request.
-type problem struct {
+// requestError is the reason for rejecting an invalid request.
+type requestError struct {
 	status int
 	reason caller.Reason
 	text   string
@@ -68,20 +68,20 @@
 
 // parse reads and validates a caller's request. An invalid one is rejected with an
 // explanation and not forwarded.
-func (f *Front) parse(out http.ResponseWriter, in *http.Request) (*request, *problem) {
+func (f *Front) parse(out http.ResponseWriter, in *http.Request) (*request, *requestError) {
 	rest, ok := strings.CutPrefix(in.URL.Path, servicePrefix)
 	name, _, _ := strings.Cut(rest, "/")
 	service, known := f.r.directory.Service(name)
 	if !ok || !known {
-		return nil, &problem{http.StatusNotFound, caller.ReasonUnknownService, "no service " + strconv.Quote(name) + "; use /s/SERVICE/PATH"}
+		return nil, &requestError{http.StatusNotFound, caller.ReasonUnknownService, "no service " + strconv.Quote(name) + "; use /s/SERVICE/PATH"}
 	}
 	meta, err := caller.ParseMeta(in.Method, in.Header)
 	if err != nil {
-		return nil, &problem{http.StatusBadRequest, caller.ReasonBadRequest, err.Error()}
+		return nil, &requestError{http.StatusBadRequest, caller.ReasonBadRequest, err.Error()}
 	}
 	if service.Keyed && meta.Key == "" {
 		text := "header " + caller.HeaderKey + " is missing: service " + name + " is divided by key"
-		return nil, &problem{http.StatusBadRequest, caller.ReasonBadRequest, text}
+		return nil, &requestError{http.StatusBadRequest, caller.ReasonBadRequest, text}
 	}
 	body, failed := f.readBody(out, in)
 	if failed != nil {
@@ -98,28 +98,28 @@
 	if !strings.HasPrefix(req.path, "/") {
 		req.path = "/" + req.path
 	}
-	f.locate(req)
+	f.setPage(req)
 	return req, nil
 }
 
-func (f *Front) readBody(out http.ResponseWriter, in *http.Request) ([]byte, *problem) {
+func (f *Front) readBody(out http.ResponseWriter, in *http.Request) ([]byte, *requestError) {
 	body, err := io.ReadAll(http.MaxBytesReader(out, in.Body, f.r.limits.RequestBody))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
 		text := "body is larger than " + strconv.FormatInt(tooLarge.Limit, 10) + " bytes"
-		return nil, &problem{http.StatusRequestEntityTooLarge, caller.ReasonBadRequest, text}
+		return nil, &requestError{http.StatusRequestEntityTooLarge, caller.ReasonBadRequest, text}
 	case err != nil:
-		return nil, &problem{http.StatusBadRequest, caller.ReasonBadRequest, "body could not be read: " + err.Error()}
+		return nil, &requestError{http.StatusBadRequest, caller.ReasonBadRequest, "body could not be read: " + err.Error()}
 	}
 	return body, nil
 }
 
-// locate sets the hash and the page of a request. For services without keys,
+// setPage sets the hash and the page of a request. For services without keys,
 // non-idempotent requests are hashed by their ids, so that all copies are
 // deduplicated by the same router; idempotent ones use a page of this failure domain
 // if the service has one there.
-func (f *Front) locate(req *request) {
+func (f *Front) setPage(req *request) {
 	service := req.service
 	switch {
 	case service.Keyed:
@@ -145,8 +145,8 @@
 	return rand.Uint64()
 }
 
-// write sends a reply to the caller.
-func write(out http.ResponseWriter, req *request, reply dispatch.Reply) {
+// writeReply sends a reply to the caller.
+func writeReply(out http.ResponseWriter, req *request, reply dispatch.Reply) {
 	header := out.Header()
 	header.Set(caller.HeaderRequestID, req.meta.ID.String())
 	header.Set(caller.HeaderOutcome, string(reply.Outcome))
@@ -190,10 +190,10 @@
 	return http.StatusBadGateway
 }
 
-// refuse rejects an invalid request. Its headers may not have been parsed; if the
+// reject rejects an invalid request. Its headers may not have been parsed; if the
 // attempt header says that there was an earlier attempt, which may have run, the
 // outcome is unknown.
-func (f *Front) refuse(out http.ResponseWriter, in *http.Request, p problem) {
+func (f *Front) reject(out http.ResponseWriter, in *http.Request, p requestError) {
 	f.r.log.Debug("rejected invalid request", "reason", p.reason, "text", p.text)
 	outcome := caller.NotRun
 	if attempt := in.Header.Get(caller.HeaderAttempt); attempt != "" && attempt != "1" {
--- a/router/headers.go
+++ b/router/headers.go
@@ -12,27 +12,27 @@
 	"cicadarouter/dispatch"
 )
 
-// hopHeaders are the hop-by-hop headers and those that net/http sets itself; they
+// hopByHopHeaders are the hop-by-hop headers and those that net/http sets itself; they
 // are not forwarded.
-var hopHeaders = []string{
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Host",
 }
 
-// ownPrefix is the prefix of this system's own headers.
-const ownPrefix = "Cicada-"
+// systemHeaderPrefix is the prefix of this system's own headers.
+const systemHeaderPrefix = "Cicada-"
 
 // callerHeaders returns the headers of a caller's request to forward to the server.
-func callerHeaders(header http.Header) []dispatch.Header { return passed(header) }
+func callerHeaders(header http.Header) []dispatch.Header { return endToEndHeaders(header) }
 
 // answerHeaders returns the headers of a server's answer to forward to the caller.
-func answerHeaders(header http.Header) []dispatch.Header { return passed(header) }
+func answerHeaders(header http.Header) []dispatch.Header { return endToEndHeaders(header) }
 
-func passed(header http.Header) []dispatch.Header {
+func endToEndHeaders(header http.Header) []dispatch.Header {
 	connection := strings.Split(header.Get("Connection"), ",")
 	out := make([]dispatch.Header, 0, len(header))
 	for name, values := range header {
-		if strings.HasPrefix(name, ownPrefix) || slices.Contains(hopHeaders, name) || named(connection, name) {
+		if strings.HasPrefix(name, systemHeaderPrefix) || slices.Contains(hopByHopHeaders, name) || listsHeader(connection, name) {
 			continue
 		}
 		for _, value := range values {
@@ -42,8 +42,8 @@
 	return out
 }
 
-// named reports whether the Connection header declares the name as hop-by-hop.
-func named(connection []string, name string) bool {
+// listsHeader reports whether the Connection header declares the name as hop-by-hop.
+func listsHeader(connection []string, name string) bool {
 	return slices.ContainsFunc(connection, func(token string) bool {
 		return strings.EqualFold(strings.TrimSpace(token), name)
 	})
--- a/router/meters.go
+++ b/router/meters.go
@@ -12,9 +12,9 @@
 	"cicadarouter/dispatch"
 )
 
-// meters holds the router's metrics in a separate set, so that tests can run several
+// routerMetrics holds the router's metrics in a separate set, so that tests can run several
 // routers in one process.
-type meters struct {
+type routerMetrics struct {
 	set      *metrics.Set
 	forwards *metrics.Counter
 	// requests caches the metrics by their labels, because looking up a metric by
@@ -28,15 +28,15 @@
 	reason  caller.Reason
 }
 
-type requestMeters struct {
+type requestMetrics struct {
 	count   *metrics.Counter
 	seconds *metrics.Histogram
 	slow    *metrics.Counter
 }
 
-func newMeters() *meters {
+func newRouterMetrics() *routerMetrics {
 	set := metrics.NewSet()
-	return &meters{set: set, forwards: set.NewCounter("cicada_forwards_total")}
+	return &routerMetrics{set: set, forwards: set.NewCounter("cicada_forwards_total")}
 }
 
 // Names of the metrics for callers' requests.
@@ -46,8 +46,8 @@
 	MetricSlow     = "cicada_requests_slow_total"
 )
 
-func (m *meters) request(service string, reply dispatch.Reply, elapsed, objective time.Duration) {
-	found := m.find(requestLabels{service: service, outcome: reply.Outcome, reason: reply.Reason})
+func (m *routerMetrics) recordRequest(service string, reply dispatch.Reply, elapsed, objective time.Duration) {
+	found := m.metricsFor(requestLabels{service: service, outcome: reply.Outcome, reason: reply.Reason})
 	found.count.Inc()
 	found.seconds.Update(elapsed.Seconds())
 	if elapsed > objective {
@@ -55,13 +55,13 @@
 	}
 }
 
-func (m *meters) find(labels requestLabels) *requestMeters {
+func (m *routerMetrics) metricsFor(labels requestLabels) *requestMetrics {
 	if known, ok := m.requests.Load(labels); ok {
-		return known.(*requestMeters)
+		return known.(*requestMetrics)
 	}
 	all := fmt.Sprintf(`{service=%q,outcome=%q,reason=%q}`, labels.service, labels.outcome, labels.reason)
 	byService := fmt.Sprintf(`{service=%q}`, labels.service)
-	found := &requestMeters{
+	found := &requestMetrics{
 		count:   m.set.GetOrCreateCounter(MetricRequests + all),
 		seconds: m.set.GetOrCreateHistogram(MetricSeconds + byService),
 		slow:    m.set.GetOrCreateCounter(MetricSlow + byService),
@@ -70,11 +70,11 @@
 	return found
 }
 
-func (m *meters) retry(cause string) {
+func (m *routerMetrics) countRetry(cause string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`cicada_retries_total{cause=%q}`, cause)).Inc()
 }
 
-func (m *meters) forwarded() { m.forwards.Inc() }
+func (m *routerMetrics) countForward() { m.forwards.Inc() }
 
 // WriteMetrics writes the metrics in the Prometheus text format.
-func (r *Router) WriteMetrics(out io.Writer) { r.meters.set.WritePrometheus(out) }
+func (r *Router) WriteMetrics(out io.Writer) { r.metrics.set.WritePrometheus(out) }
--- a/router/page.go
+++ b/router/page.go
@@ -24,17 +24,17 @@
 	router *Router
 	lease  atomic.Pointer[lease]
 
-	mu      sync.Mutex
-	dedup   *dispatch.Dedup
-	meter   *dispatch.LoadMeter
-	servers map[string]*server
-	running map[*attempt]struct{}
-	parked  int
+	mu              sync.Mutex
+	dedup           *dispatch.Dedup
+	meter           *dispatch.LoadMeter
+	servers         map[string]*server
+	running         map[*attempt]struct{}
+	waitingForOwner int
 	// changed is closed and replaced when a newer generation takes effect.
 	changed chan struct{}
-	// ownerless maps the lowest hash of each shard without an owner to the time
+	// ownerlessSince maps the lowest hash of each shard without an owner to the time
 	// since when it has had none.
-	ownerless map[uint64]time.Duration
+	ownerlessSince map[uint64]time.Duration
 }
 
 // server is a backend server as this router sees it.
@@ -44,11 +44,11 @@
 	gate   *dispatch.Gate
 	// avoidUntil is when requests that can go to several servers may use this one
 	// again after it rejected a request, was draining or did not answer.
-	avoidUntil time.Duration
-	failures   int
-	chosen     int
-	answered   bool
-	failed     bool
+	avoidUntil          time.Duration
+	consecutiveFailures int
+	timesChosen         int
+	answered            bool
+	failed              bool
 }
 
 // attempt is a request in progress on a server.
@@ -61,14 +61,14 @@
 
 func newPage(router *Router, name string) *page {
 	return &page{
-		name:      name,
-		router:    router,
-		dedup:     dispatch.NewDedup(dispatch.DefaultDedupPolicy(), router.wall()),
-		meter:     dispatch.NewLoadMeter(router.clock.Now()),
-		servers:   map[string]*server{},
-		running:   map[*attempt]struct{}{},
-		changed:   make(chan struct{}),
-		ownerless: map[uint64]time.Duration{},
+		name:           name,
+		router:         router,
+		dedup:          dispatch.NewDedup(dispatch.DefaultDedupPolicy(), router.wall()),
+		meter:          dispatch.NewLoadMeter(router.clock.Now()),
+		servers:        map[string]*server{},
+		running:        map[*attempt]struct{}{},
+		changed:        make(chan struct{}),
+		ownerlessSince: map[uint64]time.Duration{},
 	}
 }
 
@@ -94,16 +94,16 @@
 		return
 	}
 	p.lease.Store(&lease{page: *fresh, expiry: expiry})
-	p.noteOwnerless(now, *fresh)
+	p.updateOwnerless(now, *fresh)
 	p.cancelMoved(*fresh)
-	p.forgetServers()
+	p.removeUnlistedServers()
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-func (p *page) noteOwnerless(now time.Duration, fresh record.Page) {
-	before := p.ownerless
-	p.ownerless = map[uint64]time.Duration{}
+func (p *page) updateOwnerless(now time.Duration, fresh record.Page) {
+	before := p.ownerlessSince
+	p.ownerlessSince = map[uint64]time.Duration{}
 	for _, shard := range fresh.Shards {
 		if shard.Grantable() {
 			continue
@@ -112,7 +112,7 @@
 		if !already {
 			since = now
 		}
-		p.ownerless[shard.Low] = since
+		p.ownerlessSince[shard.Low] = since
 	}
 }
 
@@ -128,16 +128,16 @@
 		}
 	}
 	for name, srv := range p.servers {
-		if !owns(fresh, name) {
+		if !ownsShard(fresh, name) {
 			srv.gate.Expel(p.router.clock.Now())
 		}
 	}
 }
 
-// forgetServers removes servers that are no longer registered and have no requests,
+// removeUnlistedServers removes servers that are no longer registered and have no requests,
 // and closes their connections. Without it the map would grow, because servers join
 // and leave all the time. p.mu must be held.
-func (p *page) forgetServers() {
+func (p *page) removeUnlistedServers() {
 	for name, srv := range p.servers {
 		if _, listed := p.router.directory.Server(name); listed || srv.gate.Pressure() > 0 {
 			continue
@@ -147,7 +147,7 @@
 	}
 }
 
-func owns(fresh record.Page, server string) bool {
+func ownsShard(fresh record.Page, server string) bool {
 	for _, shard := range fresh.Shards {
 		if shard.Owner == server && shard.Grantable() {
 			return true
@@ -158,23 +158,23 @@
 
 // target is the shard that a request belongs to and its owner.
 type target struct {
-	server string
-	token  uint64
-	low    uint64
+	server   string
+	token    uint64
+	shardLow uint64
 }
 
 // owner returns the target of a hash, and whether its shard has an owner.
 func (l *lease) owner(hash uint64) (target, bool) {
 	shard := l.page.Shards[l.page.ShardAt(hash)]
 	if !shard.Grantable() {
-		return target{low: shard.Low}, false
+		return target{shardLow: shard.Low}, false
 	}
-	return target{server: shard.Owner, token: shard.Token, low: shard.Low}, true
+	return target{server: shard.Owner, token: shard.Token, shardLow: shard.Low}, true
 }
 
-// holds reports whether the lease is still valid and the hash still has the given
+// stillOwned reports whether the lease is still valid and the hash still has the given
 // owner and token. It is checked immediately before a request is sent.
-func (p *page) holds(hash uint64, wanted target) bool {
+func (p *page) stillOwned(hash uint64, wanted target) bool {
 	held := p.lease.Load()
 	if held == nil || p.router.clock.Now() >= held.expiry {
 		return false
@@ -183,9 +183,9 @@
 	return owned && now.server == wanted.server && now.token == wanted.token
 }
 
-// connectionsKept is the number of a server's connections that are reserved for
+// reservedConnections is the number of a server's connections that are reserved for
 // grants and probes by the controllers.
-const connectionsKept = 6
+const reservedConnections = 6
 
 // server returns the named server and creates its gate and connection pool on first
 // use or when its address has changed. p.mu must be held.
@@ -203,24 +203,24 @@
 	if ok {
 		srv.pool.Close()
 	}
-	idle := max(1, current.Connections-connectionsKept)
+	idle := max(1, current.Connections-reservedConnections)
 	srv = &server{
-		record: current,
-		pool:   backendlink.NewPool(current.Address, idle, p.router.limits.AnswerBody),
-		gate:   dispatch.NewGate(dispatch.DefaultGatePolicy(), current.Slots, dispatch.NewRoundRobin()),
-		chosen: p.leastChosen(),
+		record:      current,
+		pool:        backendlink.NewPool(current.Address, idle, p.router.limits.AnswerBody),
+		gate:        dispatch.NewGate(dispatch.DefaultGatePolicy(), current.Slots, dispatch.NewRoundRobin()),
+		timesChosen: p.minTimesChosen(),
 	}
 	p.servers[name] = srv
 	return srv, true
 }
 
-// leastChosen returns the initial selection count of a new server. With 0 it would
+// minTimesChosen returns the initial selection count of a new server. With 0 it would
 // get every request until it has caught up with the others. p.mu must be held.
-func (p *page) leastChosen() int {
+func (p *page) minTimesChosen() int {
 	least := -1
 	for _, srv := range p.servers {
-		if least < 0 || srv.chosen < least {
-			least = srv.chosen
+		if least < 0 || srv.timesChosen < least {
+			least = srv.timesChosen
 		}
 	}
 	return max(least, 0)
--- a/router/router.go
+++ b/router/router.go
@@ -19,9 +19,9 @@
 type Limits struct {
 	// InFlight is the maximum number of concurrent requests from callers.
 	InFlight int
-	// Parked is the maximum number of requests per page that wait for a key's
+	// WaitingForOwner is the maximum number of requests per page that wait for a key's
 	// next owner.
-	Parked int
+	WaitingForOwner int
 	// RequestBody and AnswerBody are the maximum body sizes in bytes.
 	RequestBody int64
 	AnswerBody  int64
@@ -36,12 +36,12 @@
 // DefaultLimits returns limits for a small host.
 func DefaultLimits() Limits {
 	return Limits{
-		InFlight:    8192,
-		Parked:      1024,
-		RequestBody: 1 << 20,
-		AnswerBody:  4 << 20,
-		OwnerWait:   2200 * time.Millisecond,
-		RetryShare:  0.1,
+		InFlight:        8192,
+		WaitingForOwner: 1024,
+		RequestBody:     1 << 20,
+		AnswerBody:      4 << 20,
+		OwnerWait:       2200 * time.Millisecond,
+		RetryShare:      0.1,
 	}
 }
 
@@ -54,7 +54,7 @@
 	clock     clock.Clock
 	wall      func() time.Time
 	log       *log.Logger
-	meters    *meters
+	metrics   *routerMetrics
 	counts    counts
 
 	leaving  atomic.Bool
@@ -67,7 +67,7 @@
 	budgetMu sync.Mutex
 	budget   *dispatch.Budget
 
-	tracked sync.WaitGroup
+	activeCalls sync.WaitGroup
 }
 
 // retryReserve is the number of retries that a router with little traffic may make
@@ -86,7 +86,7 @@
 		clock:     clk,
 		wall:      wall,
 		log:       logger,
-		meters:    newMeters(),
+		metrics:   newRouterMetrics(),
 		counts:    counts{services: map[string]*serviceCount{}},
 		holder:    ownership.NewHolder(incarnation),
 		pages:     map[string]*page{},
@@ -108,7 +108,7 @@
 func (r *Router) Drain(ctx context.Context) bool {
 	ended := make(chan struct{})
 	go func() {
-		r.tracked.Wait()
+		r.activeCalls.Wait()
 		close(ended)
 	}()
 	select {
@@ -119,8 +119,8 @@
 	}
 }
 
-// dispatched returns the page if this router holds a valid lease and isn't leaving.
-func (r *Router) dispatched(name string) (*page, bool) {
+// leasedPage returns the page if this router holds a valid lease and isn't leaving.
+func (r *Router) leasedPage(name string) (*page, bool) {
 	if r.leaving.Load() {
 		return nil, false
 	}
@@ -133,13 +133,13 @@
 	return held, true
 }
 
-func (r *Router) firstAttempt() {
+func (r *Router) recordFirstAttempt() {
 	r.budgetMu.Lock()
 	defer r.budgetMu.Unlock()
 	r.budget.First()
 }
 
-func (r *Router) mayRetry() bool {
+func (r *Router) takeRetry() bool {
 	r.budgetMu.Lock()
 	defer r.budgetMu.Unlock()
 	return r.budget.Retry()
--- a/router/run.go
+++ b/router/run.go
@@ -11,16 +11,16 @@
 
 // Delays and timeouts of the dispatch loop.
 const (
-	shedPause  = 5 * time.Millisecond
-	stalePause = 10 * time.Millisecond
-	// tryTimeout limits one attempt of an idempotent request, so that the slots of
+	shedRetryDelay  = 5 * time.Millisecond
+	staleRetryDelay = 10 * time.Millisecond
+	// attemptTimeout limits one attempt of an idempotent request, so that the slots of
 	// a server that hangs are released.
-	tryTimeout = 400 * time.Millisecond
+	attemptTimeout = 400 * time.Millisecond
 )
 
-// run dispatches a request of a page that this router holds the lease of.
+// runDeduplicated dispatches a request of a page that this router holds the lease of.
 // Non-idempotent requests are deduplicated against earlier attempts first.
-func (p *page) run(ctx context.Context, req *request) dispatch.Reply {
+func (p *page) runDeduplicated(ctx context.Context, req *request) dispatch.Reply {
 	if req.meta.Idempotent {
 		return p.dispatch(ctx, req)
 	}
@@ -34,7 +34,7 @@
 		case dispatch.AdmitUnknown:
 			return unknown(caller.ReasonMaybeRunBefore)
 		case dispatch.AdmitRun:
-			return p.runOnce(ctx, req)
+			return p.runAndRecord(ctx, req)
 		}
 		select {
 		case <-done:
@@ -44,9 +44,9 @@
 	}
 }
 
-// runOnce dispatches a request that deduplication admitted and records its
+// runAndRecord dispatches a request that deduplication admitted and records its
 // outcome. After a panic the outcome is unknown, so that no later copy runs.
-func (p *page) runOnce(ctx context.Context, req *request) dispatch.Reply {
+func (p *page) runAndRecord(ctx context.Context, req *request) dispatch.Reply {
 	reply := unknown(caller.ReasonConnectionLost)
 	defer func() {
 		p.mu.Lock()
@@ -72,12 +72,12 @@
 	for {
 		chosen, changed, reply, ok := p.choose(req, avoid)
 		if !ok {
-			if reply.Reason != caller.ReasonNoOwner || !p.park(ctx, changed) {
+			if reply.Reason != caller.ReasonNoOwner || !p.waitForOwner(ctx, changed) {
 				return history.Conclude(reply)
 			}
 			continue
 		}
-		reply, next := p.try(ctx, req, chosen)
+		reply, next := p.sendToServer(ctx, req, chosen)
 		if next == final {
 			return history.Conclude(reply)
 		}
@@ -107,7 +107,7 @@
 	now := p.router.clock.Now()
 	defer p.mu.Unlock()
 	if now >= held.expiry || p.router.leaving.Load() {
-		return target{}, nil, notRun(caller.ReasonNoDispatcher, stalePause), false
+		return target{}, nil, notRun(caller.ReasonNoDispatcher, staleRetryDelay), false
 	}
 	if !req.service.Keyed {
 		chosen, ok := p.leastLoaded(now, req, avoid)
@@ -117,29 +117,29 @@
 	if owned {
 		return chosen, changed, dispatch.Reply{}, true
 	}
-	return target{}, changed, p.withoutOwner(now, chosen.low), false
+	return target{}, changed, p.replyWithoutOwner(now, chosen.shardLow), false
 }
 
-// withoutOwner returns the reply for a key without an owner. ReasonNoOwner makes
+// replyWithoutOwner returns the reply for a key without an owner. ReasonNoOwner makes
 // the request wait for the next owner; ReasonOverload rejects it at once, because
 // the shard has had no owner for longer than OwnerWait or too many requests wait.
-func (p *page) withoutOwner(now time.Duration, low uint64) dispatch.Reply {
-	since := p.ownerless[low]
-	if now-since > p.router.limits.OwnerWait || p.parked >= p.router.limits.Parked {
+func (p *page) replyWithoutOwner(now time.Duration, low uint64) dispatch.Reply {
+	since := p.ownerlessSince[low]
+	if now-since > p.router.limits.OwnerWait || p.waitingForOwner >= p.router.limits.WaitingForOwner {
 		return notRun(caller.ReasonOverload, time.Second)
 	}
 	return notRun(caller.ReasonNoOwner, time.Second)
 }
 
-// park waits for a newer generation of the page. It returns false if OwnerWait or
+// waitForOwner waits for a newer generation of the page. It returns false if OwnerWait or
 // the request's deadline passes first.
-func (p *page) park(ctx context.Context, changed <-chan struct{}) bool {
+func (p *page) waitForOwner(ctx context.Context, changed <-chan struct{}) bool {
 	p.mu.Lock()
-	p.parked++
+	p.waitingForOwner++
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
-		p.parked--
+		p.waitingForOwner--
 		p.mu.Unlock()
 	}()
 	timer := time.NewTimer(p.router.limits.OwnerWait)
@@ -172,7 +172,7 @@
 	if best == nil {
 		return target{}, false
 	}
-	best.chosen++
+	best.timesChosen++
 	return target{server: best.record.Name}, true
 }
 
@@ -183,7 +183,7 @@
 	if first != second {
 		return first < second
 	}
-	return a.chosen*b.record.Slots < b.chosen*a.record.Slots
+	return a.timesChosen*b.record.Slots < b.timesChosen*a.record.Slots
 }
 
 func usable(now time.Duration, srv *server) bool {
--- a/router/serve.go
+++ b/router/serve.go
@@ -26,11 +26,11 @@
 
 // Forward implements linkpb.DispatchServer.
 func (s *LinkServer) Forward(ctx context.Context, in *linkpb.ForwardRequest) (*linkpb.ForwardReply, error) {
-	s.r.tracked.Add(1)
-	defer s.r.tracked.Done()
+	s.r.activeCalls.Add(1)
+	defer s.r.activeCalls.Done()
 	service, ok := s.r.directory.Service(in.GetService())
 	if !ok {
-		return replyToLink(notRun(caller.ReasonNoDispatcher, searchPauseMost), ""), nil
+		return replyToLink(notRun(caller.ReasonNoDispatcher, maxSearchDelay), ""), nil
 	}
 	req, err := requestFromLink(service, in)
 	if err != nil {
@@ -39,12 +39,12 @@
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(in.GetBudgetNanos()))
 	defer cancel()
 	reply := s.r.deliverOnce(ctx, req, 0)
-	return replyToLink(reply, s.hint(req.page)), nil
+	return replyToLink(reply, s.knownDispatcher(req.page)), nil
 }
 
-// hint returns the page's dispatch router, or "" if this router doesn't know it.
-func (s *LinkServer) hint(page string) string {
-	if _, ok := s.r.dispatched(page); ok {
+// knownDispatcher returns the page's dispatch router, or "" if this router doesn't know it.
+func (s *LinkServer) knownDispatcher(page string) string {
+	if _, ok := s.r.leasedPage(page); ok {
 		return s.r.identity.Host
 	}
 	hint := s.r.directory.Dispatcher(page)
@@ -58,7 +58,7 @@
 func (s *LinkServer) Lease(_ context.Context, in *linkpb.LeaseRequest) (*linkpb.LeaseReply, error) {
 	reply := &linkpb.LeaseReply{Incarnation: s.r.holder.Incarnation(), Leaving: s.r.leaving.Load()}
 	for _, offered := range in.GetLeases() {
-		reply.Pages = append(reply.Pages, s.r.takeLease(offered, reply.Leaving))
+		reply.Pages = append(reply.Pages, s.r.applyOffer(offered, reply.Leaving))
 	}
 	// The stamp is taken last: a lease that is counted from it ends no later
 	// than one counted from any earlier moment of this exchange would allow.
@@ -66,14 +66,14 @@
 	return reply, nil
 }
 
-// takeLease applies one offered lease, unless it is a probe or this router is
+// applyOffer applies one offered lease, unless it is a probe or this router is
 // leaving, and returns the status of the page.
-func (r *Router) takeLease(offered *linkpb.PageLease, leaving bool) *linkpb.PageStatus {
+func (r *Router) applyOffer(offered *linkpb.PageLease, leaving bool) *linkpb.PageStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	status := &linkpb.PageStatus{Page: offered.GetPage()}
 	if !offered.GetProbe() && !leaving {
-		if err := r.accept(offered); err != nil {
+		if err := r.acceptLease(offered); err != nil {
 			status.Refused = true
 			var refusal *ownership.GrantRefusal
 			if !errors.As(err, &refusal) {
@@ -83,13 +83,13 @@
 	}
 	status.Generation = r.holder.Generation(offered.GetPage())
 	if held, known := r.pages[offered.GetPage()]; known {
-		held.report(status)
+		held.addStatus(status)
 	}
 	return status
 }
 
-// accept validates and applies a lease. r.mu must be held.
-func (r *Router) accept(offered *linkpb.PageLease) error {
+// acceptLease validates and applies a lease. r.mu must be held.
+func (r *Router) acceptLease(offered *linkpb.PageLease) error {
 	var fresh *record.Page
 	if len(offered.GetRecord()) > 0 && offered.GetGeneration() > r.holder.Generation(offered.GetPage()) {
 		fresh = &record.Page{Name: offered.GetPage()}
@@ -116,9 +116,9 @@
 	return nil
 }
 
-// report adds to the status what the page's requests have shown about its servers
+// addStatus adds to the status what the page's requests have shown about its servers
 // since the last report, and the load.
-func (p *page) report(status *linkpb.PageStatus) {
+func (p *page) addStatus(status *linkpb.PageStatus) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name, srv := range p.servers {
@@ -131,18 +131,18 @@
 		srv.answered = false
 		srv.failed = false
 	}
-	p.reportLoads(status)
+	p.addLoads(status)
 }
 
-// loadsEvery is the minimum interval between load reports. The controller averages
+// minLoadReportInterval is the minimum interval between load reports. The controller averages
 // loads over a second, and reporting them at every lease renewal costs more than the
 // renewals themselves.
-const loadsEvery = 900 * time.Millisecond
+const minLoadReportInterval = 900 * time.Millisecond
 
-// reportLoads adds the loads of the shards that were not idle. p.mu must be held.
-func (p *page) reportLoads(status *linkpb.PageStatus) {
+// addLoads adds the loads of the shards that were not idle. p.mu must be held.
+func (p *page) addLoads(status *linkpb.PageStatus) {
 	now := p.router.clock.Now()
-	if now-p.meter.Since() < loadsEvery {
+	if now-p.meter.Since() < minLoadReportInterval {
 		return
 	}
 	held := p.lease.Load()
--- a/router/try.go
+++ b/router/try.go
@@ -12,10 +12,10 @@
 	"cicadarouter/link/backendlink"
 )
 
-// try sends the request to a server once. If the verdict is again, the reply is
+// sendToServer sends the request to a server once. If the verdict is again, the reply is
 // the one to return in case no further attempt follows.
-func (p *page) try(ctx context.Context, req *request, chosen target) (dispatch.Reply, verdict) {
-	srv, waiter, refusal, ok := p.enter(ctx, req, chosen)
+func (p *page) sendToServer(ctx context.Context, req *request, chosen target) (dispatch.Reply, verdict) {
+	srv, waiter, refusal, ok := p.enterGate(ctx, req, chosen)
 	if !ok {
 		return refusal, final
 	}
@@ -23,7 +23,7 @@
 	case <-waiter.Admitted:
 	case <-ctx.Done():
 	}
-	if !p.admitted(srv, waiter) {
+	if !p.checkAdmitted(srv, waiter) {
 		if ctx.Err() != nil {
 			return notRun(caller.ReasonDeadline, time.Second), final
 		}
@@ -32,16 +32,16 @@
 	start := p.router.clock.Now()
 	answer, running, err := p.send(ctx, req, chosen, srv)
 	elapsed := p.router.clock.Now() - start
-	p.exit(srv, req, chosen, elapsed, err)
+	p.leaveGate(srv, req, chosen, elapsed, err)
 	if err != nil {
 		return p.afterFailure(ctx, req, running, err)
 	}
 	return p.afterAnswer(ctx, req, chosen, srv, answer)
 }
 
-// enter requests a slot from the server's gate. If the request is rejected, the
+// enterGate requests a slot from the server's gate. If the request is rejected, the
 // last result is false and the reply says why.
-func (p *page) enter(ctx context.Context, req *request, chosen target) (*server, *dispatch.Waiter, dispatch.Reply, bool) {
+func (p *page) enterGate(ctx context.Context, req *request, chosen target) (*server, *dispatch.Waiter, dispatch.Reply, bool) {
 	now := p.router.clock.Now()
 	waiter := &dispatch.Waiter{
 		Caller:   req.meta.Caller,
@@ -61,8 +61,8 @@
 	return srv, waiter, dispatch.Reply{}, true
 }
 
-// admitted reports whether the waiter has a slot, and removes it from the queue if not.
-func (p *page) admitted(srv *server, waiter *dispatch.Waiter) bool {
+// checkAdmitted reports whether the waiter has a slot, and removes it from the queue if not.
+func (p *page) checkAdmitted(srv *server, waiter *dispatch.Waiter) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return srv.gate.Leave(waiter)
@@ -71,8 +71,8 @@
 // afterShed handles a request that was removed from a server's queue. If its key
 // has moved to another owner, it is attempted again; otherwise it is rejected.
 func (p *page) afterShed(req *request, chosen target) (dispatch.Reply, verdict) {
-	if req.service.Keyed && !p.holds(req.hash, chosen) {
-		return notRun(caller.ReasonNoOwner, stalePause), again
+	if req.service.Keyed && !p.stillOwned(req.hash, chosen) {
+		return notRun(caller.ReasonNoOwner, staleRetryDelay), again
 	}
 	return notRun(caller.ReasonOverload, time.Second), final
 }
@@ -89,34 +89,34 @@
 func (p *page) send(ctx context.Context, req *request, chosen target, srv *server) (backendlink.Answer, *attempt, error) {
 	var cancel context.CancelFunc
 	if req.meta.Idempotent {
-		ctx, cancel = context.WithTimeout(ctx, tryTimeout)
+		ctx, cancel = context.WithTimeout(ctx, attemptTimeout)
 	} else {
 		ctx, cancel = context.WithCancel(ctx)
 	}
 	defer cancel()
 	running := &attempt{hash: req.hash, token: chosen.token, cancel: cancel}
-	p.started(req, running)
-	defer p.ended(running)
+	p.addRunning(req, running)
+	defer p.removeRunning(running)
 	outgoing, err := serverRequest(ctx, req, chosen, srv.record.Address)
 	if err != nil {
 		return backendlink.Answer{}, running, &backendlink.SendError{Cause: err}
 	}
-	lastCheck := func() bool { return p.mayLeave(ctx, req, chosen) }
+	lastCheck := func() bool { return p.maySend(ctx, req, chosen) }
 	answer, err := srv.pool.Do(ctx, outgoing, lastCheck)
 	return answer, running, err
 }
 
-func (p *page) mayLeave(ctx context.Context, req *request, chosen target) bool {
+func (p *page) maySend(ctx context.Context, req *request, chosen target) bool {
 	if ctx.Err() != nil {
 		return false
 	}
 	if req.service.Keyed {
-		return p.holds(req.hash, chosen)
+		return p.stillOwned(req.hash, chosen)
 	}
 	return p.router.clock.Now() < p.expiry()
 }
 
-func (p *page) started(req *request, running *attempt) {
+func (p *page) addRunning(req *request, running *attempt) {
 	if !req.service.Keyed {
 		return
 	}
@@ -125,7 +125,7 @@
 	p.running[running] = struct{}{}
 }
 
-func (p *page) ended(running *attempt) {
+func (p *page) removeRunning(running *attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.running, running)
@@ -134,20 +134,20 @@
 // Durations for which requests that can go to several servers avoid one that failed
 // or rejected a request.
 const (
-	avoidFirst = 100 * time.Millisecond
-	avoidMost  = 2 * time.Second
+	baseAvoidTime = 100 * time.Millisecond
+	maxAvoidTime  = 2 * time.Second
 )
 
-// exit releases the slot and records what the attempt shows about the server.
-func (p *page) exit(srv *server, req *request, chosen target, elapsed time.Duration, err error) {
+// leaveGate releases the slot and records what the attempt shows about the server.
+func (p *page) leaveGate(srv *server, req *request, chosen target, elapsed time.Duration, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.router.clock.Now()
 	if err == nil {
 		srv.gate.Exit(now, elapsed)
 		srv.answered = true
-		srv.failures = 0
-		p.meter.Add(chosen.low, req.hash, elapsed)
+		srv.consecutiveFailures = 0
+		p.meter.Add(chosen.shardLow, req.hash, elapsed)
 		return
 	}
 	srv.gate.Exit(now, srv.gate.Service())
@@ -155,8 +155,8 @@
 		return
 	}
 	srv.failed = true
-	srv.failures++
-	srv.avoidUntil = now + min(avoidFirst<<min(srv.failures, 8), avoidMost)
+	srv.consecutiveFailures++
+	srv.avoidUntil = now + min(baseAvoidTime<<min(srv.consecutiveFailures, 8), maxAvoidTime)
 }
 
 // afterFailure returns the reply to a request that got no complete answer.
@@ -170,7 +170,7 @@
 	if ctx.Err() != nil {
 		return notRun(caller.ReasonDeadline, time.Second), final
 	}
-	clock.Sleep(ctx, stalePause)
+	clock.Sleep(ctx, staleRetryDelay)
 	return reply, again
 }
 
@@ -183,14 +183,14 @@
 		return unknown(caller.ReasonDeadline), final
 	case !req.meta.Idempotent:
 		return reply, final
-	case !p.wasMoved(running) && !p.router.mayRetry():
+	case !p.hasMoved(running) && !p.router.takeRetry():
 		return reply, final
 	}
-	p.router.meters.retry("connection-lost")
+	p.router.metrics.countRetry("connection-lost")
 	return reply, again
 }
 
-func (p *page) wasMoved(running *attempt) bool {
+func (p *page) hasMoved(running *attempt) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return running.moved
@@ -200,31 +200,31 @@
 func (p *page) afterAnswer(ctx context.Context, req *request, chosen target, srv *server, answer backendlink.Answer) (dispatch.Reply, verdict) {
 	refusal := backend.Refusal(answer.Header.Get(backend.HeaderRefused))
 	if refusal == "" {
-		return p.afterDone(req, chosen, answer)
+		return p.acceptAnswer(req, chosen, answer)
 	}
-	if remaining(ctx) <= shedPause {
+	if remaining(ctx) <= shedRetryDelay {
 		return notRun(caller.ReasonDeadline, time.Second), final
 	}
 	switch refusal {
 	case backend.RefusedToken:
 		// The server knows a newer generation than this router, or has lost its lease.
-		p.waitChange(ctx, stalePause)
+		p.waitChange(ctx, staleRetryDelay)
 		return notRun(caller.ReasonNoOwner, time.Second), again
 	case backend.RefusedDraining:
-		p.avoid(srv, avoidMost)
+		p.avoid(srv, maxAvoidTime)
 		if req.service.Keyed {
-			p.waitChange(ctx, stalePause)
+			p.waitChange(ctx, staleRetryDelay)
 		}
 		return notRun(caller.ReasonShed, time.Second), again
 	case backend.RefusedExpired:
 		return notRun(caller.ReasonDeadline, time.Second), final
 	}
-	p.avoid(srv, avoidFirst)
-	if !p.router.mayRetry() {
+	p.avoid(srv, baseAvoidTime)
+	if !p.router.takeRetry() {
 		return notRun(caller.ReasonShed, time.Second), final
 	}
-	p.router.meters.retry("shed")
-	clock.Sleep(ctx, shedPause)
+	p.router.metrics.countRetry("shed")
+	clock.Sleep(ctx, shedRetryDelay)
 	return notRun(caller.ReasonShed, time.Second), again
 }
 
@@ -234,8 +234,8 @@
 	srv.avoidUntil = p.router.clock.Now() + wait
 }
 
-// afterDone verifies that the answer belongs to the request and turns it into the reply.
-func (p *page) afterDone(req *request, chosen target, answer backendlink.Answer) (dispatch.Reply, verdict) {
+// acceptAnswer verifies that the answer belongs to the request and turns it into the reply.
+func (p *page) acceptAnswer(req *request, chosen target, answer backendlink.Answer) (dispatch.Reply, verdict) {
 	echoed := answer.Header.Get(backend.HeaderRequestID)
 	if echoed != "" && echoed != req.meta.ID.String() {
 		p.router.log.Error("server returned the answer to another request", "server", chosen.server, "wanted", req.meta.ID, "found", echoed)
