--- a/link/link.go
+++ b/link/link.go
@@ -35,7 +35,7 @@
 
 	mu    sync.Mutex
 	conns map[string]*grpc.ClientConn
-	// unusedCalls maps an address to the number of consecutive calls of Keep in which
+	// unusedCalls maps an address to the number of consecutive calls of CloseUnused in which
 	// it was not in use.
 	unusedCalls map[string]int
 }
@@ -81,13 +81,13 @@
 	return conn
 }
 
-// maxUnusedCalls is the number of consecutive calls of Keep without an address after
-// which its connection is closed. A host that was removed from the list may still be
-// processing requests, which closing its connection would abort; the calls must span
+// maxUnusedCalls is the number of consecutive calls of CloseUnused without an address
+// after which its connection is closed. A host that was removed from the list may still
+// be processing requests, which closing its connection would abort; the calls must span
 // more time than any request's deadline allows.
 const maxUnusedCalls = 12
 
-// CloseUnused closes connections to addresses that have not been in use for absentCalls
+// CloseUnused closes connections to addresses that have not been in use for maxUnusedCalls
 // consecutive calls. A nil set means that the addresses in use are unknown; such a
 // call is not counted.
 func (p *Pool) CloseUnused(inUse map[string]bool) {
