--- a/link/backendlink/exchange.go
+++ b/link/backendlink/exchange.go
@@ -11,88 +11,89 @@
 	"time"
 )
 
-// Reuse bounds how long an idle connection is trusted.
+// Limits for the reuse of idle connections and for interim answers.
 const (
-	// defaultIdle is used when the server does not state how long it keeps
-	// idle connections. Below the common 5 s of small servers.
-	defaultIdle = 4 * time.Second
-	// idleMargin is kept to the stated time: a request that crosses the
-	// server's close is lost without anyone knowing whether it ran.
+	// defaultIdleTimeout is how long an idle connection may be reused if the server does
+	// not state its timeout. Many servers close idle connections after 5 s.
+	defaultIdleTimeout = 4 * time.Second
+	// idleMargin is subtracted from the stated timeout: if a request is sent while
+	// the server closes the connection, it is unknown whether it ran.
 	idleMargin = 1500 * time.Millisecond
-	// mostInterim bounds the 1xx answers before a final one.
-	mostInterim = 8
+	// maxInterimAnswers is the maximum number of 1xx answers before a final one.
+	maxInterimAnswers = 8
 )
 
 // ErrInterim reports too many interim answers.
 var ErrInterim = errors.New("too many interim answers")
 
-// Exchange is one request on one connection, with its answer read as it comes.
-// Either Keep or Abort must be called. It is used by one goroutine, but Abort
-// may come from any.
+// Exchange is one request on one connection, whose answer is streamed. Either Keep
+// or Abort must be called at the end. It is used by one goroutine, but any may call
+// Abort.
 type Exchange struct {
 	pool *Pool
-	link *conn
+	conn *conn
 	// Response is set by Send.
 	Response *http.Response
-	// Reused tells that the connection had carried earlier requests.
+	// Reused is set if the connection was used for earlier requests.
 	Reused bool
-	// AfterLoss tells that the connection was opened because the server had ended an idle
-	// one before its time: another process may answer on it.
-	AfterLoss bool
-	wrote     chan error
+	// AfterLoss is set if the connection was opened because the server had closed an idle
+	// one before its timeout: the server process may be another one now.
+	AfterLoss   bool
+	writeResult chan error
 }
 
-// Begin takes a connection. Its error proves that nothing was sent.
+// Begin takes an idle connection or opens one. If it fails, nothing was sent.
 func (p *Pool) Begin(ctx context.Context) (*Exchange, error) {
-	link, lost, err := p.take(ctx)
+	c, lost, err := p.takeConn(ctx)
 	if err != nil {
 		return nil, &SendError{Cause: err}
 	}
-	return &Exchange{pool: p, link: link, Reused: link.used, AfterLoss: lost}, nil
+	return &Exchange{pool: p, conn: c, Reused: c.used, AfterLoss: lost}, nil
 }
 
-// Opened returns how long ago the connection was opened: the process that answers on it
-// has run since then.
-func (e *Exchange) Opened() time.Duration { return time.Since(e.link.opened) }
+// Age returns how long ago the connection was opened. The process that answers on it
+// has been running at least since then.
+func (e *Exchange) Age() time.Duration { return time.Since(e.conn.opened) }
 
-// Send writes the request and reads the head of the final answer. The error is
-// a *SendError. An answer may come before the request has been read whole; it
-// is returned at once, and the connection is not used again.
+// Send writes the request and reads the header of the final answer. The error is
+// a *SendError. A server may answer before it has read the whole request; that
+// answer is returned at once, and Keep closes the connection if the request is
+// still being written.
 func (e *Exchange) Send(request *http.Request) error {
-	e.wrote = make(chan error, 1)
-	e.link.used = true
-	counter := &countingWriter{to: e.link}
+	e.writeResult = make(chan error, 1)
+	e.conn.used = true
+	counter := &countingWriter{to: e.conn}
 	if request.ContentLength == 0 || request.Body == nil {
 		err := request.Write(counter)
-		e.wrote <- err
+		e.writeResult <- err
 		if err != nil {
 			return &SendError{Written: counter.n > 0, Cause: err}
 		}
 	} else {
-		go func() { e.wrote <- request.Write(counter) }()
+		go func() { e.writeResult <- request.Write(counter) }()
 	}
 	return e.receive(request)
 }
 
-// Next skips the answer in Response and reads the one that follows it. The
-// error is a *SendError.
+// Next discards the answer in Response and reads the header of the one that follows
+// it. The error is a *SendError.
 func (e *Exchange) Next(request *http.Request) error {
-	if _, whole, err := ReadWhole(e.Response.Body, mostSkipped); err != nil || !whole || e.Response.Close {
+	if _, whole, err := ReadWhole(e.Response.Body, maxSkippedBodyBytes); err != nil || !whole || e.Response.Close {
 		return &SendError{Written: true, Cause: ErrSkipped}
 	}
 	return e.receive(request)
 }
 
-// mostSkipped bounds the body of an answer that is skipped, in bytes.
-const mostSkipped = 64 << 10
+// maxSkippedBodyBytes is the maximum body size in bytes of an answer that Next discards.
+const maxSkippedBodyBytes = 64 << 10
 
-// ErrSkipped reports an answer that could not be skipped.
-var ErrSkipped = errors.New("the answer before could not be skipped")
+// ErrSkipped reports an answer that Next could not discard.
+var ErrSkipped = errors.New("failed to discard the preceding answer")
 
-// receive reads the head of the next final answer.
+// receive reads the header of the next final answer.
 func (e *Exchange) receive(request *http.Request) error {
-	for range mostInterim {
-		response, err := http.ReadResponse(e.link.reader, request)
+	for range maxInterimAnswers {
+		response, err := http.ReadResponse(e.conn.reader, request)
 		if err != nil {
 			return &SendError{Written: true, Cause: err}
 		}
@@ -104,12 +105,13 @@
 	return &SendError{Written: true, Cause: ErrInterim}
 }
 
-// Keep returns the connection to the pool if it can carry another request: the
-// answer was read whole, the request was written whole, and no stray bytes
-// follow. Otherwise it closes it.
+// Keep returns the connection to the pool if it can be reused: the request was
+// written completely, the server doesn't close the connection, and no unexpected
+// bytes follow the answer. Otherwise it closes the connection. The caller must have
+// read the whole answer.
 func (e *Exchange) Keep() {
 	select {
-	case err := <-e.wrote:
+	case err := <-e.writeResult:
 		if err != nil {
 			e.Abort()
 			return
@@ -118,19 +120,20 @@
 		e.Abort()
 		return
 	}
-	if e.Response.Close || e.link.reader.Buffered() > 0 {
+	if e.Response.Close || e.conn.reader.Buffered() > 0 {
 		e.Abort()
 		return
 	}
-	e.link.until = time.Now().Add(keptFor(e.Response.Header))
-	e.pool.put(e.link)
+	e.conn.reuseUntil = time.Now().Add(reusableFor(e.Response.Header))
+	e.pool.putConn(e.conn)
 }
 
-// Abort closes the connection, which stops the server's work on the request.
-func (e *Exchange) Abort() { _ = e.link.Close() }
+// Abort closes the connection, which tells the server to stop processing the request.
+func (e *Exchange) Abort() { _ = e.conn.Close() }
 
-// keptFor reads how long the server keeps an idle connection.
-func keptFor(header http.Header) time.Duration {
+// reusableFor returns how long an idle connection may be reused, from the Keep-Alive
+// header of an answer.
+func reusableFor(header http.Header) time.Duration {
 	for part := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, found := strings.Cut(strings.TrimSpace(part), "=")
 		if !found || !strings.EqualFold(name, "timeout") {
@@ -142,10 +145,10 @@
 		}
 		return time.Duration(seconds)*time.Second - idleMargin
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
 
-// countingWriter tells whether any byte may have left.
+// countingWriter counts the bytes written.
 type countingWriter struct {
 	to io.Writer
 	n  int
@@ -158,8 +161,8 @@
 	return n, err
 }
 
-// ReadWhole reads a body of at most limit bytes. whole is false if there is
-// more; what was read is returned in any case.
+// ReadWhole reads a body of at most limit bytes. If the body is longer, whole is
+// false and data holds the first limit+1 bytes. data is also valid after an error.
 func ReadWhole(body io.Reader, limit int) (data []byte, whole bool, err error) {
 	var buffer bytes.Buffer
 	n, err := io.Copy(&buffer, io.LimitReader(body, int64(limit)+1))
--- a/link/backendlink/pool.go
+++ b/link/backendlink/pool.go
@@ -1,9 +1,8 @@
 // Package backendlink sends requests to one backend server over HTTP/1.1 and
-// tells exactly how far each got.
+// reports for each failed one whether any byte of it may have been sent.
 //
-// net/http's own transport is not used here, because it re-sends some requests
-// by itself and does not say whether a failed one had begun to leave. Encoding
-// and parsing are net/http's.
+// http.Transport is not used, because it resends some requests by itself and does
+// not report whether a failed one was partly sent. Encoding and parsing use net/http.
 package backendlink
 
 import (
@@ -18,43 +17,43 @@
 	"time"
 )
 
-// ErrNotSent reports that the last check before the bytes would have left failed.
-var ErrNotSent = errors.New("request withheld by its last check")
+// ErrNotSent reports that the check before the first byte rejected the request.
+var ErrNotSent = errors.New("request not sent: the check before the first byte rejected it")
 
-// ErrAnswerTooLarge reports an answer beyond the limit. The request has run.
+// ErrAnswerTooLarge reports an answer whose body exceeds the limit. The request has run.
 var ErrAnswerTooLarge = errors.New("answer is larger than the limit")
 
-// SendError reports a request that got no whole answer.
+// SendError reports a request that got no complete answer.
 type SendError struct {
-	// Written is set once any byte may have left: the request may run.
+	// Written is set if any byte may have been sent: the request may have run.
 	Written bool
 	Cause   error
 }
 
 // Error implements error.
 func (e *SendError) Error() string {
-	return fmt.Sprintf("no whole answer (bytes may have left: %t): %v", e.Written, e.Cause)
+	return fmt.Sprintf("no complete answer (request may have been sent: %t): %v", e.Written, e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e *SendError) Unwrap() error { return e.Cause }
 
-// Answer is a whole answer.
+// Answer is a complete answer.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// connectTimeout bounds the opening of a connection, which takes about 1 ms.
+// connectTimeout limits the time to open a connection, which normally takes about 1 ms.
 const connectTimeout = 300 * time.Millisecond
 
-// readBuffer is the size of a connection's read buffer in bytes: heads and
-// short answers fit, and a host with hundreds of connections stays small.
-const readBuffer = 2048
+// readBufferBytes is the size of a connection's read buffer in bytes: headers and short
+// answers fit, and hundreds of connections use little memory.
+const readBufferBytes = 2048
 
 // Pool holds the idle connections to one server. It is safe for concurrent use.
-// The number of connections in use is bounded by its callers.
+// Its callers limit the number of connections in use.
 type Pool struct {
 	address   string
 	maxIdle   int
@@ -68,49 +67,49 @@
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// opened is when the connection was.
 	opened time.Time
-	// used is set once the connection has carried a request.
+	// used is set once the connection was used for a request.
 	used bool
-	// until is when the server may close the idle connection; zero if unknown.
-	until time.Time
+	// reuseUntil is when the idle connection must not be reused any more, because the
+	// server may close it; zero if unknown.
+	reuseUntil time.Time
 }
 
-// NewPool returns a pool for the server at an IP number and port. Answers with
-// more than maxAnswer bytes of body are refused.
+// NewPool returns a pool for the server at an IP address and port. Do fails for
+// answers with more than maxAnswer bytes of body.
 func NewPool(address string, maxIdle int, maxAnswer int64) *Pool {
 	return &Pool{address: address, maxIdle: maxIdle, maxAnswer: maxAnswer}
 }
 
-// Address returns the server's IP number and port.
+// Address returns the server's IP address and port.
 func (p *Pool) Address() string { return p.address }
 
-// Do sends a request and returns its whole answer, or a *SendError. lastCheck
-// is called when the request is encoded and the connection stands, immediately
-// before the first byte leaves; if it returns false, nothing is sent.
+// Do sends a request and returns its complete answer, or a *SendError. lastCheck is
+// called after the request was encoded and the connection opened, immediately before
+// the first byte is sent; if it returns false, nothing is sent.
 func (p *Pool) Do(ctx context.Context, request *http.Request, lastCheck func() bool) (Answer, error) {
 	encoded, err := encode(request)
 	if err != nil {
 		return Answer{}, &SendError{Cause: err}
 	}
-	link, _, err := p.take(ctx)
+	c, _, err := p.takeConn(ctx)
 	if err != nil {
 		return Answer{}, &SendError{Cause: err}
 	}
-	// A call that ends early closes its connection: the answer to it must not
-	// be read as the answer to a later request.
-	stop := context.AfterFunc(ctx, func() { _ = link.Close() })
+	// A call that is cancelled closes its connection, so that its answer isn't read
+	// as the answer to a later request.
+	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	if !lastCheck() {
 		if stop() {
-			p.put(link)
+			p.putConn(c)
 		}
 		return Answer{}, &SendError{Cause: ErrNotSent}
 	}
-	answer, reusable, sendErr := p.exchange(link, encoded, request)
+	answer, reusable, sendErr := p.exchange(c, encoded, request)
 	if stop() && reusable {
-		p.put(link)
+		p.putConn(c)
 	} else {
-		_ = link.Close()
+		_ = c.Close()
 	}
 	if sendErr != nil {
 		return Answer{}, sendErr
@@ -125,12 +124,12 @@
 }
 
 // exchange writes the request and reads the answer. The error is nil or a *SendError.
-func (p *Pool) exchange(link *conn, encoded []byte, request *http.Request) (Answer, bool, error) {
-	written, err := link.Write(encoded)
+func (p *Pool) exchange(c *conn, encoded []byte, request *http.Request) (Answer, bool, error) {
+	written, err := c.Write(encoded)
 	if err != nil {
 		return Answer{}, false, &SendError{Written: written > 0, Cause: err}
 	}
-	response, err := http.ReadResponse(link.reader, request)
+	response, err := http.ReadResponse(c.reader, request)
 	if err != nil {
 		return Answer{}, false, &SendError{Written: true, Cause: err}
 	}
@@ -142,25 +141,25 @@
 	if !whole {
 		return Answer{}, false, &SendError{Written: true, Cause: ErrAnswerTooLarge}
 	}
-	reusable := !response.Close && link.reader.Buffered() == 0
+	reusable := !response.Close && c.reader.Buffered() == 0
 	return Answer{Status: response.StatusCode, Header: response.Header, Body: body}, reusable, nil
 }
 
-// take returns an idle connection that still stands, or opens one. lost is set if the server
-// had ended all idle ones that it was to keep.
-func (p *Pool) take(ctx context.Context) (taken *conn, lost bool, err error) {
+// takeConn returns an idle connection that is still open, or opens one. lost is set if no idle
+// connection was usable and the server had closed at least one before its timeout.
+func (p *Pool) takeConn(ctx context.Context) (taken *conn, lost bool, err error) {
 	for {
-		link := p.popIdle()
-		if link == nil {
-			taken, err = p.open(ctx)
+		c := p.popIdle()
+		if c == nil {
+			taken, err = p.openConn(ctx)
 			return taken, lost, err
 		}
-		expired := !link.until.IsZero() && time.Now().After(link.until)
-		if !expired && alive(link.Conn) {
-			return link, false, nil
+		expired := !c.reuseUntil.IsZero() && time.Now().After(c.reuseUntil)
+		if !expired && alive(c.Conn) {
+			return c, false, nil
 		}
 		lost = lost || !expired
-		_ = link.Close()
+		_ = c.Close()
 	}
 }
 
@@ -171,49 +170,49 @@
 		return nil
 	}
 	last := len(p.idle) - 1
-	link := p.idle[last]
+	c := p.idle[last]
 	p.idle = p.idle[:last]
-	return link
+	return c
 }
 
-func (p *Pool) open(ctx context.Context) (*conn, error) {
+func (p *Pool) openConn(ctx context.Context) (*conn, error) {
 	dialer := net.Dialer{Timeout: connectTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp", p.address)
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBuffer), opened: time.Now()}, nil
+	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferBytes), opened: time.Now()}, nil
 }
 
-// Reach opens a connection and keeps it for a later request. The error tells why
-// there is none: a server whose process has ended refuses it.
-func (p *Pool) Reach(ctx context.Context) error {
-	link, err := p.open(ctx)
+// Connect opens a connection and keeps it idle for a later request. The error says why
+// it could not: if the server's process has terminated, the connection is refused.
+func (p *Pool) Connect(ctx context.Context) error {
+	c, err := p.openConn(ctx)
 	if err != nil {
 		return err
 	}
-	link.until = time.Now().Add(defaultIdle)
-	p.put(link)
+	c.reuseUntil = time.Now().Add(defaultIdleTimeout)
+	p.putConn(c)
 	return nil
 }
 
-func (p *Pool) put(link *conn) {
+func (p *Pool) putConn(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || len(p.idle) >= p.maxIdle {
-		_ = link.Close()
+		_ = c.Close()
 		return
 	}
-	p.idle = append(p.idle, link)
+	p.idle = append(p.idle, c)
 }
 
-// Close closes the idle connections and keeps no others.
+// Close closes the idle connections. Connections in use are closed when they are put back.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, link := range p.idle {
-		_ = link.Close()
+	for _, c := range p.idle {
+		_ = c.Close()
 	}
 	p.idle = nil
 }
--- a/link/link.go
+++ b/link/link.go
@@ -1,6 +1,6 @@
-// Package link carries the messages between the system's own processes over
-// gRPC. Its clustering, discovery and proxying stay unused: every connection
-// goes to one IP number and port.
+// Package link connects the system's own processes over gRPC. gRPC's name
+// resolution, load balancing and proxies are not used: every connection goes to one
+// IP address and port.
 package link
 
 import (
@@ -18,14 +18,14 @@
 	"cicadarouter/link/linkpb"
 )
 
-// Limits of connections between processes.
+// Timeouts and sizes of connections between processes.
 const (
-	connectTimeout  = 500 * time.Millisecond
-	reconnectFirst  = 50 * time.Millisecond
-	reconnectMost   = 500 * time.Millisecond
-	maxMessageBytes = 16 << 20
-	// windowBytes is the flow-control window of streams and connections. A fixed
-	// one keeps gRPC from probing the path with a ping for each burst of data.
+	connectTimeout        = 500 * time.Millisecond
+	initialReconnectDelay = 50 * time.Millisecond
+	maxReconnectDelay     = 500 * time.Millisecond
+	maxMessageBytes       = 16 << 20
+	// windowBytes is the flow-control window of streams and connections. With a
+	// fixed size gRPC sends no bandwidth-estimation ping for each burst of data.
 	windowBytes = 1 << 20
 )
 
@@ -35,13 +35,14 @@
 
 	mu    sync.Mutex
 	conns map[string]*grpc.ClientConn
-	// absent counts for how many calls of Keep an address has not been in use.
-	absent map[string]int
+	// unusedCalls maps an address to the number of consecutive calls of CloseUnused in which
+	// it was not in use.
+	unusedCalls map[string]int
 }
 
 // NewPool returns a pool whose connections use the credentials.
 func NewPool(creds credentials.TransportCredentials) *Pool {
-	return &Pool{creds: creds, conns: map[string]*grpc.ClientConn{}, absent: map[string]int{}}
+	return &Pool{creds: creds, conns: map[string]*grpc.ClientConn{}, unusedCalls: map[string]int{}}
 }
 
 // Control returns the client of a controller.
@@ -70,7 +71,7 @@
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes), grpc.MaxCallSendMsgSize(maxMessageBytes)),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			MinConnectTimeout: connectTimeout,
-			Backoff:           backoff.Config{BaseDelay: reconnectFirst, Multiplier: 1.6, Jitter: 0.2, MaxDelay: reconnectMost},
+			Backoff:           backoff.Config{BaseDelay: initialReconnectDelay, Multiplier: 1.6, Jitter: 0.2, MaxDelay: maxReconnectDelay},
 		}),
 	)
 	if err != nil {
@@ -80,15 +81,16 @@
 	return conn
 }
 
-// absentCalls is how many calls of Keep in a row must miss an address before its
-// connection is closed. A host that has left the list may still finish requests
-// for longer than any deadline allows a request to take; closing its connection
-// would cut them.
-const absentCalls = 12
+// maxUnusedCalls is the number of consecutive calls of CloseUnused without an address
+// after which its connection is closed. A host that was removed from the list may still
+// be processing requests, which closing its connection would abort; the calls must span
+// more time than any request's deadline allows.
+const maxUnusedCalls = 12
 
-// Keep closes connections to addresses that have not been in use for absentCalls
-// calls in a row. A nil set means that nothing is known, and counts for nothing.
-func (p *Pool) Keep(inUse map[string]bool) {
+// CloseUnused closes connections to addresses that have not been in use for maxUnusedCalls
+// consecutive calls. A nil set means that the addresses in use are unknown; such a
+// call is not counted.
+func (p *Pool) CloseUnused(inUse map[string]bool) {
 	if inUse == nil {
 		return
 	}
@@ -96,14 +98,14 @@
 	defer p.mu.Unlock()
 	for address, conn := range p.conns {
 		if inUse[address] {
-			delete(p.absent, address)
+			delete(p.unusedCalls, address)
 			continue
 		}
-		p.absent[address]++
-		if p.absent[address] >= absentCalls {
+		p.unusedCalls[address]++
+		if p.unusedCalls[address] >= maxUnusedCalls {
 			_ = conn.Close()
 			delete(p.conns, address)
-			delete(p.absent, address)
+			delete(p.unusedCalls, address)
 		}
 	}
 }
@@ -125,7 +127,7 @@
 	return len(p.conns)
 }
 
-// brokenConn answers every call with the error that kept a connection from being made.
+// brokenConn fails every call with the error that occurred when the connection was created.
 type brokenConn struct{ err error }
 
 func (b brokenConn) Invoke(context.Context, string, any, any, ...grpc.CallOption) error {
@@ -136,16 +138,16 @@
 	return nil, b.err
 }
 
-// Sent tells whether anything of a call may have left this process. A call that
-// failed before may be said not to have run.
+// Sent records whether any part of a call may have been sent. A call that failed
+// without it is known not to have run.
 type Sent struct{ flag atomic.Bool }
 
-// Any reports whether anything may have left.
+// Any reports whether any part of a call may have been sent.
 func (s *Sent) Any() bool { return s.flag.Load() }
 
 type sentKey struct{}
 
-// WithSent returns a context whose calls note in sent when they begin to leave.
+// WithSent returns a context whose calls set sent when they start sending.
 func WithSent(ctx context.Context, sent *Sent) context.Context {
 	return context.WithValue(ctx, sentKey{}, sent)
 }
@@ -168,7 +170,7 @@
 
 func (sentHandler) HandleConn(context.Context, stats.ConnStats) {}
 
-// NewServer returns a gRPC server for a process's link.
+// NewServer returns a gRPC server for calls from the system's other processes.
 func NewServer(creds credentials.TransportCredentials) *grpc.Server {
 	return grpc.NewServer(
 		grpc.Creds(creds),
--- a/router/page.go
+++ b/router/page.go
@@ -11,28 +11,30 @@
 	"cicadarouter/record"
 )
 
-// lease is an immutable snapshot of what this router may dispatch of a page.
+// lease is an immutable snapshot of a page and of the time until which this router
+// may dispatch its requests.
 type lease struct {
 	page   record.Page
 	expiry time.Duration
 }
 
-// page is the state of a page that this router dispatches or has dispatched.
+// page is the state of a page that this router holds or has held the lease of.
 type page struct {
 	name   string
 	router *Router
 	lease  atomic.Pointer[lease]
 
-	mu      sync.Mutex
-	dedup   *dispatch.Deduplicator
-	meter   *dispatch.LoadMeter
-	servers map[string]*server
-	running map[*attempt]struct{}
-	parked  int
-	// changed is closed when a newer generation comes into force.
+	mu              sync.Mutex
+	dedup           *dispatch.Deduplicator
+	meter           *dispatch.LoadMeter
+	servers         map[string]*server
+	running         map[*attempt]struct{}
+	waitingForOwner int
+	// changed is closed and replaced when a newer generation takes effect.
 	changed chan struct{}
-	// ownerless notes since when a shard has had no owner.
-	ownerless map[uint64]time.Duration
+	// ownerlessSince maps the lowest hash of each shard without an owner to the time
+	// since when it has had none.
+	ownerlessSince map[uint64]time.Duration
 }
 
 // server is a backend server as this router sees it.
@@ -40,16 +42,16 @@
 	record record.Server
 	pool   *backendlink.Pool
 	gate   *dispatch.ConcurrencyLimiter
-	// avoidUntil keeps requests that have a choice away from a server that
-	// refused, drains or does not answer.
-	avoidUntil time.Duration
-	failures   int
-	chosen     int
-	answered   bool
-	failed     bool
+	// avoidUntil is when requests that can go to several servers may use this one
+	// again after it rejected a request, was draining or did not answer.
+	avoidUntil          time.Duration
+	consecutiveFailures int
+	timesChosen         int
+	answered            bool
+	failed              bool
 }
 
-// attempt is a request that a server works on.
+// attempt is a request in progress on a server.
 type attempt struct {
 	hash   uint64
 	token  uint64
@@ -59,14 +61,14 @@
 
 func newPage(router *Router, name string) *page {
 	return &page{
-		name:      name,
-		router:    router,
-		dedup:     dispatch.NewDeduplicator(dispatch.DefaultDedupPolicy(), router.wall()),
-		meter:     dispatch.NewLoadMeter(router.clock.Now()),
-		servers:   map[string]*server{},
-		running:   map[*attempt]struct{}{},
-		changed:   make(chan struct{}),
-		ownerless: map[uint64]time.Duration{},
+		name:           name,
+		router:         router,
+		dedup:          dispatch.NewDeduplicator(dispatch.DefaultDedupPolicy(), router.wall()),
+		meter:          dispatch.NewLoadMeter(router.clock.Now()),
+		servers:        map[string]*server{},
+		running:        map[*attempt]struct{}{},
+		changed:        make(chan struct{}),
+		ownerlessSince: map[uint64]time.Duration{},
 	}
 }
 
@@ -77,14 +79,14 @@
 	return 0
 }
 
-// renew takes a lease that the holder has accepted. fresh is nil when the page
-// is the one already known.
+// renew applies a lease that ownership.Holder has accepted. fresh is nil if the
+// page's generation has not changed.
 func (p *page) renew(now, expiry time.Duration, fresh *record.Page) {
 	old := p.lease.Load()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if old != nil && now >= old.expiry {
-		// Another router may have dispatched the page while this one had no lease.
+		// Another router may have dispatched requests of the page in the meantime.
 		p.dedup.ResetCoverage(p.router.wall())
 	}
 	if fresh == nil {
@@ -92,16 +94,16 @@
 		return
 	}
 	p.lease.Store(&lease{page: *fresh, expiry: expiry})
-	p.noteOwnerless(now, *fresh)
+	p.updateOwnerless(now, *fresh)
 	p.cancelMoved(*fresh)
-	p.forgetServers()
+	p.removeUnlistedServers()
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-func (p *page) noteOwnerless(now time.Duration, fresh record.Page) {
-	before := p.ownerless
-	p.ownerless = map[uint64]time.Duration{}
+func (p *page) updateOwnerless(now time.Duration, fresh record.Page) {
+	before := p.ownerlessSince
+	p.ownerlessSince = map[uint64]time.Duration{}
 	for _, shard := range fresh.Shards {
 		if shard.Grantable() {
 			continue
@@ -110,12 +112,13 @@
 		if !already {
 			since = now
 		}
-		p.ownerless[shard.Low] = since
+		p.ownerlessSince[shard.Low] = since
 	}
 }
 
-// cancelMoved ends attempts at servers that have lost the key for good: their
-// answers will not come, and their callers should know at once.
+// cancelMoved cancels attempts whose key has been granted to another owner or under
+// another token: they will not be answered, and their callers should not wait for
+// the deadline. It also empties the queues of servers that own no shard any more.
 func (p *page) cancelMoved(fresh record.Page) {
 	for running := range p.running {
 		shard := fresh.Shards[fresh.ShardAt(running.hash)]
@@ -124,26 +127,27 @@
 			running.cancel()
 		}
 	}
-	for name, known := range p.servers {
-		if !owns(fresh, name) {
-			known.gate.ShedAll(p.router.clock.Now())
+	for name, srv := range p.servers {
+		if !ownsShard(fresh, name) {
+			srv.gate.ShedAll(p.router.clock.Now())
 		}
 	}
 }
 
-// forgetServers drops servers whose records are gone, with their connections.
-// Servers join and leave all day. The caller holds p.mu.
-func (p *page) forgetServers() {
-	for name, known := range p.servers {
-		if _, listed := p.router.directory.Server(name); listed || known.gate.LoadPerSlot() > 0 {
+// removeUnlistedServers removes servers that are no longer registered and have no requests,
+// and closes their connections. Without it the map would grow, because servers join
+// and leave all the time. p.mu must be held.
+func (p *page) removeUnlistedServers() {
+	for name, srv := range p.servers {
+		if _, listed := p.router.directory.Server(name); listed || srv.gate.LoadPerSlot() > 0 {
 			continue
 		}
-		known.pool.Close()
+		srv.pool.Close()
 		delete(p.servers, name)
 	}
 }
 
-func owns(fresh record.Page, server string) bool {
+func ownsShard(fresh record.Page, server string) bool {
 	for _, shard := range fresh.Shards {
 		if shard.Owner == server && shard.Grantable() {
 			return true
@@ -152,25 +156,25 @@
 	return false
 }
 
-// target is where a request is to go.
+// target is the shard that a request belongs to and its owner.
 type target struct {
-	server string
-	token  uint64
-	low    uint64
+	server   string
+	token    uint64
+	shardLow uint64
 }
 
-// owner returns the target of a hash in the lease, if it has one.
+// owner returns the target of a hash, and whether its shard has an owner.
 func (l *lease) owner(hash uint64) (target, bool) {
 	shard := l.page.Shards[l.page.ShardAt(hash)]
 	if !shard.Grantable() {
-		return target{low: shard.Low}, false
+		return target{shardLow: shard.Low}, false
 	}
-	return target{server: shard.Owner, token: shard.Token, low: shard.Low}, true
+	return target{server: shard.Owner, token: shard.Token, shardLow: shard.Low}, true
 }
 
-// holds reports whether the lease still runs and still says the same of the
-// hash. It is asked last before the bytes of a request go out.
-func (p *page) holds(hash uint64, wanted target) bool {
+// stillOwned reports whether the lease is still valid and the hash still has the given
+// owner and token. It is checked immediately before a request is sent.
+func (p *page) stillOwned(hash uint64, wanted target) bool {
 	held := p.lease.Load()
 	if held == nil || p.router.clock.Now() >= held.expiry {
 		return false
@@ -179,43 +183,44 @@
 	return owned && now.server == wanted.server && now.token == wanted.token
 }
 
-// connectionsKept is left for the controllers' grants and probes.
-const connectionsKept = 6
+// reservedConnections is the number of a server's connections that are reserved for
+// grants and probes by the controllers.
+const reservedConnections = 6
 
-// server returns the named server with its gate, made on first use. The caller
-// holds p.mu.
+// server returns the named server and creates its gate and connection pool on first
+// use or when its address has changed. p.mu must be held.
 func (p *page) server(name string) (*server, bool) {
-	known, ok := p.servers[name]
+	srv, ok := p.servers[name]
 	current, listed := p.router.directory.Server(name)
 	if !listed {
-		return known, ok
+		return srv, ok
 	}
-	if ok && known.record.Address == current.Address {
-		known.record = current
-		known.gate.SetSlots(current.Slots)
-		return known, true
+	if ok && srv.record.Address == current.Address {
+		srv.record = current
+		srv.gate.SetSlots(current.Slots)
+		return srv, true
 	}
 	if ok {
-		known.pool.Close()
+		srv.pool.Close()
 	}
-	idle := max(1, current.Connections-connectionsKept)
-	known = &server{
-		record: current,
-		pool:   backendlink.NewPool(current.Address, idle, p.router.limits.AnswerBody),
-		gate:   dispatch.NewConcurrencyLimiter(dispatch.DefaultLimiterPolicy(), current.Slots, dispatch.NewRoundRobin()),
-		chosen: p.leastChosen(),
+	idle := max(1, current.Connections-reservedConnections)
+	srv = &server{
+		record:      current,
+		pool:        backendlink.NewPool(current.Address, idle, p.router.limits.AnswerBody),
+		gate:        dispatch.NewConcurrencyLimiter(dispatch.DefaultLimiterPolicy(), current.Slots, dispatch.NewRoundRobin()),
+		timesChosen: p.minTimesChosen(),
 	}
-	p.servers[name] = known
-	return known, true
+	p.servers[name] = srv
+	return srv, true
 }
 
-// leastChosen is where the count of a server that joins starts, so that it does
-// not get every request until it has caught up. The caller holds p.mu.
-func (p *page) leastChosen() int {
+// minTimesChosen returns the initial selection count of a new server. With 0 it would
+// get every request until it has caught up with the others. p.mu must be held.
+func (p *page) minTimesChosen() int {
 	least := -1
-	for _, known := range p.servers {
-		if least < 0 || known.chosen < least {
-			least = known.chosen
+	for _, srv := range p.servers {
+		if least < 0 || srv.timesChosen < least {
+			least = srv.timesChosen
 		}
 	}
 	return max(least, 0)
--- a/router/try.go
+++ b/router/try.go
@@ -12,10 +12,10 @@
 	"cicadarouter/link/backendlink"
 )
 
-// try makes one attempt at a server. The reply is final, or says what is known
-// if there is no other attempt.
-func (p *page) try(ctx context.Context, req *request, chosen target) (dispatch.Reply, verdict) {
-	known, waiter, refusal, ok := p.enter(ctx, req, chosen)
+// sendToServer sends the request to a server once. If the verdict is again, the reply is
+// the one to return in case no further attempt follows.
+func (p *page) sendToServer(ctx context.Context, req *request, chosen target) (dispatch.Reply, verdict) {
+	srv, waiter, refusal, ok := p.enterGate(ctx, req, chosen)
 	if !ok {
 		return refusal, final
 	}
@@ -23,24 +23,25 @@
 	case <-waiter.Admitted:
 	case <-ctx.Done():
 	}
-	if !p.admitted(known, waiter) {
+	if !p.checkAdmitted(srv, waiter) {
 		if ctx.Err() != nil {
 			return notRun(caller.ReasonDeadline, time.Second), final
 		}
 		return p.afterShed(req, chosen)
 	}
-	began := p.router.clock.Now()
-	answer, running, err := p.send(ctx, req, chosen, known)
-	held := p.router.clock.Now() - began
-	p.exit(known, req, chosen, held, err)
+	start := p.router.clock.Now()
+	answer, running, err := p.send(ctx, req, chosen, srv)
+	elapsed := p.router.clock.Now() - start
+	p.leaveGate(srv, req, chosen, elapsed, err)
 	if err != nil {
 		return p.afterFailure(ctx, req, running, err)
 	}
-	return p.afterAnswer(ctx, req, chosen, known, answer)
+	return p.afterAnswer(ctx, req, chosen, srv, answer)
 }
 
-// enter asks the server's gate for a slot.
-func (p *page) enter(ctx context.Context, req *request, chosen target) (*server, *dispatch.Waiter, dispatch.Reply, bool) {
+// enterGate requests a slot from the server's gate. If the request is rejected, the
+// last result is false and the reply says why.
+func (p *page) enterGate(ctx context.Context, req *request, chosen target) (*server, *dispatch.Waiter, dispatch.Reply, bool) {
 	now := p.router.clock.Now()
 	waiter := &dispatch.Waiter{
 		Caller:   req.meta.Caller,
@@ -49,29 +50,29 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known, ok := p.server(chosen.server)
+	srv, ok := p.server(chosen.server)
 	if !ok {
 		return nil, nil, notRun(caller.ReasonUnreachable, time.Second), false
 	}
-	queued, comeBack := known.gate.Enqueue(now, waiter)
+	queued, retryAfter := srv.gate.Enqueue(now, waiter)
 	if !queued {
-		return nil, nil, notRun(caller.ReasonOverload, comeBack), false
+		return nil, nil, notRun(caller.ReasonOverload, retryAfter), false
 	}
-	return known, waiter, dispatch.Reply{}, true
+	return srv, waiter, dispatch.Reply{}, true
 }
 
-// admitted reports whether the waiter has a slot, and gives the place up if not.
-func (p *page) admitted(known *server, waiter *dispatch.Waiter) bool {
+// checkAdmitted reports whether the waiter has a slot, and removes it from the queue if not.
+func (p *page) checkAdmitted(srv *server, waiter *dispatch.Waiter) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return known.gate.Cancel(waiter)
+	return srv.gate.Cancel(waiter)
 }
 
-// afterShed decides for a request that lost its place in a queue: because the
-// key moved, which calls for another attempt, or because its time is too short.
+// afterShed handles a request that was removed from a server's queue. If its key
+// has moved to another owner, it is attempted again; otherwise it is rejected.
 func (p *page) afterShed(req *request, chosen target) (dispatch.Reply, verdict) {
-	if req.service.Keyed && !p.holds(req.hash, chosen) {
-		return notRun(caller.ReasonNoOwner, stalePause), again
+	if req.service.Keyed && !p.stillOwned(req.hash, chosen) {
+		return notRun(caller.ReasonNoOwner, staleRetryDelay), again
 	}
 	return notRun(caller.ReasonOverload, time.Second), final
 }
@@ -84,38 +85,38 @@
 	return time.Until(deadline)
 }
 
-// send sends the request if the lease still allows it.
-func (p *page) send(ctx context.Context, req *request, chosen target, known *server) (backendlink.Answer, *attempt, error) {
+// send sends the request if the lease still allows it when the first byte is due.
+func (p *page) send(ctx context.Context, req *request, chosen target, srv *server) (backendlink.Answer, *attempt, error) {
 	var cancel context.CancelFunc
 	if req.meta.Idempotent {
-		ctx, cancel = context.WithTimeout(ctx, tryTimeout)
+		ctx, cancel = context.WithTimeout(ctx, attemptTimeout)
 	} else {
 		ctx, cancel = context.WithCancel(ctx)
 	}
 	defer cancel()
 	running := &attempt{hash: req.hash, token: chosen.token, cancel: cancel}
-	p.started(req, running)
-	defer p.ended(running)
-	outgoing, err := serverRequest(ctx, req, chosen, known.record.Address)
+	p.addRunning(req, running)
+	defer p.removeRunning(running)
+	outgoing, err := serverRequest(ctx, req, chosen, srv.record.Address)
 	if err != nil {
 		return backendlink.Answer{}, running, &backendlink.SendError{Cause: err}
 	}
-	lastCheck := func() bool { return p.mayLeave(ctx, req, chosen) }
-	answer, err := known.pool.Do(ctx, outgoing, lastCheck)
+	lastCheck := func() bool { return p.maySend(ctx, req, chosen) }
+	answer, err := srv.pool.Do(ctx, outgoing, lastCheck)
 	return answer, running, err
 }
 
-func (p *page) mayLeave(ctx context.Context, req *request, chosen target) bool {
+func (p *page) maySend(ctx context.Context, req *request, chosen target) bool {
 	if ctx.Err() != nil {
 		return false
 	}
 	if req.service.Keyed {
-		return p.holds(req.hash, chosen)
+		return p.stillOwned(req.hash, chosen)
 	}
 	return p.router.clock.Now() < p.expiry()
 }
 
-func (p *page) started(req *request, running *attempt) {
+func (p *page) addRunning(req *request, running *attempt) {
 	if !req.service.Keyed {
 		return
 	}
@@ -124,51 +125,52 @@
 	p.running[running] = struct{}{}
 }
 
-func (p *page) ended(running *attempt) {
+func (p *page) removeRunning(running *attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.running, running)
 }
 
-// Times for which a server is avoided by requests that have a choice.
+// Durations for which requests that can go to several servers avoid one that failed
+// or rejected a request.
 const (
-	avoidFirst = 100 * time.Millisecond
-	avoidMost  = 2 * time.Second
+	baseAvoidTime = 100 * time.Millisecond
+	maxAvoidTime  = 2 * time.Second
 )
 
-// exit gives the slot back and notes what the attempt says about the server.
-func (p *page) exit(known *server, req *request, chosen target, held time.Duration, err error) {
+// leaveGate releases the slot and records what the attempt shows about the server.
+func (p *page) leaveGate(srv *server, req *request, chosen target, elapsed time.Duration, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.router.clock.Now()
 	if err == nil {
-		known.gate.Release(now, held)
-		known.answered = true
-		known.failures = 0
-		p.meter.Add(chosen.low, req.hash, held)
+		srv.gate.Release(now, elapsed)
+		srv.answered = true
+		srv.consecutiveFailures = 0
+		p.meter.Add(chosen.shardLow, req.hash, elapsed)
 		return
 	}
-	known.gate.Release(now, known.gate.MeanServiceTime())
+	srv.gate.Release(now, srv.gate.MeanServiceTime())
 	if errors.Is(err, backendlink.ErrNotSent) || errors.Is(err, context.Canceled) {
 		return
 	}
-	known.failed = true
-	known.failures++
-	known.avoidUntil = now + min(avoidFirst<<min(known.failures, 8), avoidMost)
+	srv.failed = true
+	srv.consecutiveFailures++
+	srv.avoidUntil = now + min(baseAvoidTime<<min(srv.consecutiveFailures, 8), maxAvoidTime)
 }
 
-// afterFailure decides what a request may be told that got no whole answer.
+// afterFailure returns the reply to a request that got no complete answer.
 func (p *page) afterFailure(ctx context.Context, req *request, running *attempt, err error) (dispatch.Reply, verdict) {
 	var sendErr *backendlink.SendError
 	if !errors.As(err, &sendErr) || sendErr.Written {
 		return p.afterWritten(ctx, req, running, err)
 	}
-	// Nothing left this process: the request is proven not to have run.
+	// No byte was sent, so the request can't have run.
 	reply := notRun(caller.ReasonUnreachable, time.Second)
 	if ctx.Err() != nil {
 		return notRun(caller.ReasonDeadline, time.Second), final
 	}
-	clock.Sleep(ctx, stalePause)
+	clock.Sleep(ctx, staleRetryDelay)
 	return reply, again
 }
 
@@ -181,62 +183,62 @@
 		return unknown(caller.ReasonDeadline), final
 	case !req.meta.Idempotent:
 		return reply, final
-	case !p.wasMoved(running) && !p.router.mayRetry():
+	case !p.hasMoved(running) && !p.router.takeRetry():
 		return reply, final
 	}
-	p.router.meters.retry("connection-lost")
+	p.router.metrics.countRetry("connection-lost")
 	return reply, again
 }
 
-func (p *page) wasMoved(running *attempt) bool {
+func (p *page) hasMoved(running *attempt) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return running.moved
 }
 
-// afterAnswer decides about a whole answer, which may be a refusal.
-func (p *page) afterAnswer(ctx context.Context, req *request, chosen target, known *server, answer backendlink.Answer) (dispatch.Reply, verdict) {
+// afterAnswer handles a complete answer, which may be a rejection by the server.
+func (p *page) afterAnswer(ctx context.Context, req *request, chosen target, srv *server, answer backendlink.Answer) (dispatch.Reply, verdict) {
 	refusal := backend.Refusal(answer.Header.Get(backend.HeaderRefused))
 	if refusal == "" {
-		return p.afterDone(req, chosen, answer)
+		return p.acceptAnswer(req, chosen, answer)
 	}
-	if remaining(ctx) <= shedPause {
+	if remaining(ctx) <= shedRetryDelay {
 		return notRun(caller.ReasonDeadline, time.Second), final
 	}
 	switch refusal {
 	case backend.RefusedToken:
-		// The owner knows a newer generation than this router, or lost its lease.
-		p.waitChange(ctx, stalePause)
+		// The server knows a newer generation than this router, or has lost its lease.
+		p.waitChange(ctx, staleRetryDelay)
 		return notRun(caller.ReasonNoOwner, time.Second), again
 	case backend.RefusedDraining:
-		p.avoid(known, avoidMost)
+		p.avoid(srv, maxAvoidTime)
 		if req.service.Keyed {
-			p.waitChange(ctx, stalePause)
+			p.waitChange(ctx, staleRetryDelay)
 		}
 		return notRun(caller.ReasonShed, time.Second), again
 	case backend.RefusedExpired:
 		return notRun(caller.ReasonDeadline, time.Second), final
 	}
-	p.avoid(known, avoidFirst)
-	if !p.router.mayRetry() {
+	p.avoid(srv, baseAvoidTime)
+	if !p.router.takeRetry() {
 		return notRun(caller.ReasonShed, time.Second), final
 	}
-	p.router.meters.retry("shed")
-	clock.Sleep(ctx, shedPause)
+	p.router.metrics.countRetry("shed")
+	clock.Sleep(ctx, shedRetryDelay)
 	return notRun(caller.ReasonShed, time.Second), again
 }
 
-func (p *page) avoid(known *server, wait time.Duration) {
+func (p *page) avoid(srv *server, wait time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known.avoidUntil = p.router.clock.Now() + wait
+	srv.avoidUntil = p.router.clock.Now() + wait
 }
 
-// afterDone checks that the answer belongs to the request before it is passed on.
-func (p *page) afterDone(req *request, chosen target, answer backendlink.Answer) (dispatch.Reply, verdict) {
+// acceptAnswer verifies that the answer belongs to the request and turns it into the reply.
+func (p *page) acceptAnswer(req *request, chosen target, answer backendlink.Answer) (dispatch.Reply, verdict) {
 	echoed := answer.Header.Get(backend.HeaderRequestID)
 	if echoed != "" && echoed != req.meta.ID.String() {
-		p.router.log.Error("server answered another request", "server", chosen.server, "wanted", req.meta.ID, "found", echoed)
+		p.router.log.Error("server returned the answer to another request", "server", chosen.server, "wanted", req.meta.ID, "found", echoed)
 		return unknown(caller.ReasonForeignResponse), final
 	}
 	return dispatch.Reply{
@@ -248,7 +250,7 @@
 	}, final
 }
 
-// waitChange waits for a newer generation of the page, at most for a while.
+// waitChange waits up to a maximum for a newer generation of the page.
 func (p *page) waitChange(ctx context.Context, most time.Duration) {
 	p.mu.Lock()
 	changed := p.changed
