--- a/directory/delta.go
+++ b/directory/delta.go
@@ -7,24 +7,24 @@
 	"cicadarouter/record"
 )
 
-// Delta is what changed in a directory since a point in its own order.
+// Delta holds the changes of a directory since one of its sequence numbers.
 type Delta struct {
 	Objects      []platform.Object
 	Hosts        []platform.Host
 	HostsChanged bool
-	// Dispatchers maps pages to hosts.
+	// Dispatchers maps page names to host names.
 	Dispatchers map[string]string
 	Revision    uint64
-	// Seq is the point that this delta reaches.
+	// Seq is the sequence number up to which this delta is complete.
 	Seq uint64
 }
 
-// Filter says which records a consumer needs. page is the decoded record of a
-// page, and empty for other kinds.
+// Filter reports whether a consumer needs a record. page is the decoded page if
+// the object is one, and the zero value for other kinds.
 type Filter func(object platform.Object, page record.Page) bool
 
-// Since returns what changed after seq and passes the filter, and a channel
-// that is closed at the next change.
+// Since returns the changes after seq whose records pass the filter, and a
+// channel that is closed at the next change.
 func (d *Directory) Since(seq uint64, filter Filter) (Delta, <-chan struct{}) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -49,7 +49,8 @@
 	return delta, d.changed
 }
 
-// pageOf returns the decoded page of an object. The caller holds d.mu.
+// pageOf returns the decoded page of an object, or the zero value for other
+// kinds. The caller holds d.mu.
 func (d *Directory) pageOf(object platform.Object) record.Page {
 	if object.Kind != record.KindPage {
 		return record.Page{}
@@ -57,10 +58,10 @@
 	return d.pages[object.Name]
 }
 
-// ControllerRecords passes what a controller needs: what its routers need, and
-// the pages of whose groups its host is a member. A page changes with every move
-// of a shard; sending it to all hosts of a domain would cost each of them more
-// than its share of control.
+// ControllerRecords selects the records that a controller needs: those that its
+// routers need, and the pages in whose current or old group its host is. A page
+// changes each time a shard moves, so sending every page to all hosts of a domain
+// would exceed the control traffic budget of each host.
 func ControllerRecords(host, domain string) Filter {
 	others := RouterRecords(domain)
 	return func(object platform.Object, page record.Page) bool {
@@ -71,9 +72,10 @@
 	}
 }
 
-// RouterRecords passes what a router needs: all services and what operators
-// declared lost, and its own domain's servers. Pages reach a router with its
-// dispatch leases, so that it holds no other assignment.
+// RouterRecords selects the records that a router needs: all services, all
+// declarations of loss, and the servers of its own domain. Deleted servers of any
+// domain are included. Pages reach a router with its dispatch leases only, so
+// that it has no assignment that it holds no lease for.
 func RouterRecords(domain string) Filter {
 	return func(object platform.Object, _ record.Page) bool {
 		switch object.Kind {
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,7 +1,7 @@
-// Package directory is a process's copy of the records and of the host list. It
-// keeps the highest version of each record that it has seen and refuses lower
-// ones, whoever sends them: accepted configuration never reverts, not even for
-// a process that is fed by a stale peer.
+// Package directory holds a process's local copy of the records and of the host
+// list. It keeps the highest version of each record that it has received and
+// ignores lower ones from any source, so that accepted configuration never
+// reverts, even if a peer sends outdated records.
 package directory
 
 import (
@@ -14,25 +14,26 @@
 	"cicadarouter/record"
 )
 
-// entry is a record with the local order in which it was learned.
+// entry is a record with the local sequence number of its last change.
 type entry struct {
 	object platform.Object
 	seq    uint64
 }
 
-// Directory is safe for concurrent use.
+// Directory is the local copy of the records and hosts. It is safe for
+// concurrent use.
 type Directory struct {
 	mu       sync.RWMutex
 	seq      uint64
 	revision uint64
-	// config is the newest version of an operator's record.
+	// config is the highest version of any record that operators write.
 	config   uint64
 	entries  map[record.Ref]entry
 	services map[string]record.Service
 	servers  map[string]record.Server
 	pages    map[string]record.Page
 	lost     map[string]record.Lost
-	// spread caches the division of servers among pages.
+	// spread caches which servers are assigned to each page.
 	spread   map[spreadKey]map[int][]record.Server
 	rejected map[record.Ref]error
 
@@ -62,8 +63,9 @@
 	}
 }
 
-// Apply takes objects from any source, and the store's revision that the source
-// has reached. It returns the references whose newer version was accepted.
+// Apply stores the objects that are newer than the local ones, and advances the
+// local revision to the source's store revision if that is higher. It returns
+// the references of the accepted objects.
 func (d *Directory) Apply(objects []platform.Object, revision uint64) []record.Ref {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -101,8 +103,8 @@
 	return true
 }
 
-// index decodes an object into its typed map. An object that does not decode
-// leaves the last good one in force.
+// index decodes an object into the map of its type. If an object cannot be
+// decoded, the last valid version stays in use.
 func (d *Directory) index(object platform.Object) error {
 	switch object.Kind {
 	case record.KindService:
@@ -117,16 +119,16 @@
 	return nil
 }
 
-func put[T any](into map[string]T, object platform.Object, decode func(record.Envelope) (T, error)) error {
+func put[T any](values map[string]T, object platform.Object, decode func(record.Envelope) (T, error)) error {
 	if object.Deleted {
-		delete(into, object.Name)
+		delete(values, object.Name)
 		return nil
 	}
 	value, err := decode(object.Envelope)
 	if err != nil {
 		return err
 	}
-	into[object.Name] = value
+	values[object.Name] = value
 	return nil
 }
 
@@ -135,8 +137,9 @@
 	d.changed = make(chan struct{})
 }
 
-// SetHosts replaces the host list. An empty list is ignored: it is what a
-// failing platform would give, and every process lives on a host.
+// SetHosts replaces the host list and reports whether it changed. An empty list
+// is ignored: this process itself runs on a host, so an empty list can only come
+// from a failing platform.
 func (d *Directory) SetHosts(hosts []platform.Host) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -154,7 +157,8 @@
 	return true
 }
 
-// SetDispatcher notes which host's router dispatches a page. It is a hint.
+// SetDispatcher records which host's router dispatches a page. The value is a
+// hint and may be out of date.
 func (d *Directory) SetDispatcher(page, host string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -167,21 +171,23 @@
 	d.wake()
 }
 
-// Dispatcher returns the host whose router was last known to dispatch the page.
+// Dispatcher returns the host whose router was last known to dispatch the page,
+// or "".
 func (d *Directory) Dispatcher(page string) string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.dispatchers[page]
 }
 
-// Revision returns the store's revision that this directory has reached.
+// Revision returns the store revision up to which this directory is current.
 func (d *Directory) Revision() uint64 {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.revision
 }
 
-// Config returns the newest version of an operator's record that is in force here.
+// Config returns the highest version of any operator-written record that this
+// directory has accepted.
 func (d *Directory) Config() uint64 {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -196,7 +202,7 @@
 	return service, ok
 }
 
-// Services returns all services, by name.
+// Services returns all services, sorted by name.
 func (d *Directory) Services() []record.Service {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -211,14 +217,15 @@
 	return server, ok
 }
 
-// Servers returns the backend servers of a service in a failure domain, by name.
+// Servers returns the backend servers of a service in a failure domain, sorted
+// by name.
 func (d *Directory) Servers(service, domain string) []record.Server {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.serversOf(service, domain)
 }
 
-// serversOf is Servers for callers that hold d.mu.
+// serversOf implements Servers. The caller holds d.mu.
 func (d *Directory) serversOf(service, domain string) []record.Server {
 	var found []record.Server
 	for _, server := range d.servers {
@@ -230,41 +237,42 @@
 	return found
 }
 
-// spreadKey names the servers of a service in a failure domain.
+// spreadKey identifies the servers of a service in a failure domain.
 type spreadKey struct{ service, domain string }
 
-// PageServers returns the backend servers that belong to a page: those of its
-// service in its home domain that fall to it.
+// PageServers returns the backend servers of the service in the page's home
+// domain that are assigned to the page.
 func (d *Directory) PageServers(service record.Service, home string, index int) []record.Server {
 	key := spreadKey{service.Name, home}
-	slot := index / max(len(service.Domains), 1)
+	domainIndex := index / max(len(service.Domains), 1)
 	d.mu.RLock()
 	cached, known := d.spread[key]
 	d.mu.RUnlock()
 	if known {
-		return cached[slot]
+		return cached[domainIndex]
 	}
-	// Divided and kept under one lock: a server that came between the two would
-	// be missing from what is kept until the next one comes.
+	// Compute and cache under one lock. A server added between the two steps
+	// would clear the cache too early and be missing from it until the next
+	// change of a server or service.
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	divided := d.divide(service, home)
-	d.spread[key] = divided
-	return divided[slot]
+	serversByPage := d.divide(service, home)
+	d.spread[key] = serversByPage
+	return serversByPage[domainIndex]
 }
 
-// divide deals a domain's servers out to its pages. The caller holds d.mu.
+// divide assigns a domain's servers to its pages. The caller holds d.mu.
 func (d *Directory) divide(service record.Service, home string) map[int][]record.Server {
 	servers := d.serversOf(service.Name, home)
-	divided := map[int][]record.Server{}
-	placed := record.Spread(servers, max(service.PagesPerDomain, 1))
+	serversByPage := map[int][]record.Server{}
+	pageOfServer := record.Spread(servers, max(service.PagesPerDomain, 1))
 	for _, server := range servers {
-		divided[placed[server.Name]] = append(divided[placed[server.Name]], server)
+		serversByPage[pageOfServer[server.Name]] = append(serversByPage[pageOfServer[server.Name]], server)
 	}
-	return divided
+	return serversByPage
 }
 
-// Page returns a page and the version it is stored under.
+// Page returns a page and its stored version.
 func (d *Directory) Page(name string) (record.Page, uint64, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -273,14 +281,14 @@
 	return page, d.entries[ref].object.Version, ok
 }
 
-// Pages returns all pages, by name.
+// Pages returns all pages, sorted by name.
 func (d *Directory) Pages() []record.Page {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return sorted(d.pages)
 }
 
-// Lost returns what operators have declared lost in a scope.
+// Lost returns the targets of the scope that operators have declared lost.
 func (d *Directory) Lost(scope record.LostScope) []string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -308,15 +316,15 @@
 	return host, ok
 }
 
-// Rejected returns the records that do not decode, with the reason. The last
-// good version of each stays in force.
+// Rejected returns the records whose latest version cannot be decoded, with the
+// error. The last valid version of each stays in use.
 func (d *Directory) Rejected() map[record.Ref]error {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return maps.Clone(d.rejected)
 }
 
-// Object returns the stored form of a record, deleted or not.
+// Object returns a record's latest object, including the marker of a deleted one.
 func (d *Directory) Object(ref record.Ref) (platform.Object, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// TestNeverReverts: whatever versions come, from stale and fresh peers in any
-// order, what is in force is the highest that came, deletions included; and a
-// consumer that is fed by deltas ends with the same.
+// TestNeverReverts applies versions in any order, as current and outdated peers
+// send them. The highest version, which may be a deletion, must be the one in use,
+// and a consumer that receives deltas must reach the same state.
 func TestNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source, consumer := directory.New(), directory.New()
@@ -37,10 +37,10 @@
 			"": func(t *rapid.T) {
 				got, ok := source.Service("s")
 				if ok != (highest > 0 && !deleted[highest]) {
-					t.Fatalf("version %d deleted %t, service there %t", highest, deleted[highest], ok)
+					t.Fatalf("version %d deleted %t, service exists %t", highest, deleted[highest], ok)
 				}
 				if ok && got.DeadlineMillis != int(highest) {
-					t.Fatalf("version %d in force, highest seen %d", got.DeadlineMillis, highest)
+					t.Fatalf("version %d in use, highest applied %d", got.DeadlineMillis, highest)
 				}
 			},
 			"apply": func(t *rapid.T) {
@@ -55,9 +55,9 @@
 				delta, _ := source.Since(seq, directory.ControllerRecords("h", "a"))
 				seq = delta.Seq
 				consumer.Take(directory.UpdateToLink(delta))
-				want, there := source.Service("s")
+				want, exists := source.Service("s")
 				got, ok := consumer.Service("s")
-				if ok != there || ok && got.DeadlineMillis != want.DeadlineMillis {
+				if ok != exists || ok && got.DeadlineMillis != want.DeadlineMillis {
 					t.Fatalf("consumer has %v, source %v", got, want)
 				}
 			},
@@ -65,7 +65,7 @@
 	})
 }
 
-// A record that does not decode leaves its last good version in force.
+// A record that cannot be decoded leaves its last valid version in use.
 func TestBrokenRecordChangesNothing(t *testing.T) {
 	d := directory.New()
 	d.Apply([]platform.Object{service(1, 100, false)}, 1)
@@ -76,7 +76,7 @@
 	assert.Equal(t, len(d.Rejected()), 1)
 }
 
-// An empty host list is what a failing platform gives; nobody is gone.
+// A failing platform may return an empty host list. The hosts must be kept.
 func TestEmptyHostListIsIgnored(t *testing.T) {
 	d := directory.New()
 	d.SetHosts([]platform.Host{{Name: "h", Domain: "a"}})
--- a/directory/follow.go
+++ b/directory/follow.go
@@ -7,19 +7,22 @@
 	"cicadarouter/link/linkpb"
 )
 
-// Pace of the streams of records. A sender that is frozen keeps its connections
-// open, so that only its silence tells; a follower then turns to another in
-// time for a change to be in force everywhere within 4 s.
+// Timing of the record streams. A frozen sender keeps its connections open, so
+// that a follower detects it only by the missing heartbeats. The timeout leaves
+// enough time to switch to another sender for a change to reach every process
+// within 4 s.
 const (
-	// HeartbeatEvery is how often a sender says that nothing has changed.
+	// HeartbeatEvery is the interval at which a sender sends an update if
+	// nothing has changed.
 	HeartbeatEvery = time.Second
-	// silenceLimit is when a follower gives a silent sender up.
+	// silenceLimit is how long a follower waits for the next update before it
+	// drops the stream.
 	silenceLimit = 2500 * time.Millisecond
 )
 
-// Follow reads a controller's stream of records into take until it breaks, falls
-// silent or the context ends.
-func Follow(ctx context.Context, client linkpb.ControlClient, request *linkpb.RecordsRequest, take func(*linkpb.RecordsUpdate)) error {
+// Follow passes the updates of a controller's record stream to handle until the
+// stream fails, no update arrives for silenceLimit, or the context ends.
+func Follow(ctx context.Context, client linkpb.ControlClient, request *linkpb.RecordsRequest, handle func(*linkpb.RecordsUpdate)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	silence := time.AfterFunc(silenceLimit, cancel)
@@ -34,12 +37,12 @@
 			return err
 		}
 		silence.Reset(silenceLimit)
-		take(update)
+		handle(update)
 	}
 }
 
-// Take applies an update to the directory, which refuses what is older than it
-// knows.
+// Take applies an update to the directory. Records that are older than the local
+// ones are ignored.
 func (d *Directory) Take(update *linkpb.RecordsUpdate) {
 	d.Apply(ObjectsFromLink(update.GetRecords()), update.GetRevision())
 	d.TakeHosts(update)
@@ -48,7 +51,7 @@
 	}
 }
 
-// TakeHosts applies the host list of an update, if it has one.
+// TakeHosts applies the host list of an update, if it contains one.
 func (d *Directory) TakeHosts(update *linkpb.RecordsUpdate) {
 	if update.GetHostsChanged() {
 		d.SetHosts(hostsFromLink(update.GetHosts()))
--- a/directory/link.go
+++ b/directory/link.go
@@ -6,7 +6,7 @@
 	"cicadarouter/record"
 )
 
-// UpdateToLink returns a delta as the link carries it.
+// UpdateToLink converts a delta to its link message.
 func UpdateToLink(delta Delta) *linkpb.RecordsUpdate {
 	update := &linkpb.RecordsUpdate{Revision: delta.Revision, HostsChanged: delta.HostsChanged}
 	for _, object := range delta.Objects {
@@ -34,7 +34,7 @@
 	return update
 }
 
-// ObjectsFromLink returns records as the link carried them.
+// ObjectsFromLink converts records from their link messages.
 func ObjectsFromLink(records []*linkpb.Record) []platform.Object {
 	objects := make([]platform.Object, 0, len(records))
 	for _, in := range records {
--- a/record/enforced.go
+++ b/record/enforced.go
@@ -2,38 +2,39 @@
 
 import "encoding/json"
 
-// Enforced is a failure domain's report on which configuration is in force in
-// it. One controller of the domain writes it.
+// Enforced reports which configuration version all daemons of a failure domain
+// have applied. One controller of the domain writes it.
 type Enforced struct {
 	Domain string `json:"domain"`
-	// Config is the newest version of an operator's record that every daemon of
-	// the domain has in force.
+	// Config is the highest version of an operator-written record that every
+	// daemon of the domain has applied.
 	Config  uint64 `json:"config"`
 	Daemons int    `json:"daemons"`
-	// Expected is the number of daemons that the host list names.
+	// Expected is the number of daemons according to the host list.
 	Expected int `json:"expected"`
-	// Lagging names some daemons that are behind.
+	// Lagging names some of the daemons that have not applied the newest version.
 	Lagging []string `json:"lagging,omitempty"`
 	// Reporter is the host that wrote the report.
 	Reporter string `json:"reporter"`
 }
 
-// KindBurn holds the counts that the burn report is made from, by failure
-// domain and service.
+// KindBurn holds the request counts that the error budget burn report is computed
+// from, by failure domain and service.
 const KindBurn Kind = "burn"
 
-// Operators reports whether records of the kind are operators' configuration.
+// Operators reports whether records of the kind are configuration that operators
+// write.
 func (k Kind) Operators() bool {
 	return k == KindService || k == KindServer || k == KindLost
 }
 
-// Encode writes the report.
+// Encode returns the report's record.
 func (e Enforced) Encode() (Envelope, error) {
 	spec, err := json.Marshal(e)
 	return Envelope{Kind: KindEnforced, Name: e.Domain, Schema: SchemaV2, Spec: spec}, err
 }
 
-// DecodeEnforced reads a report.
+// DecodeEnforced decodes a report.
 func DecodeEnforced(e Envelope) (Enforced, error) {
 	var enforced Enforced
 	if err := json.Unmarshal(e.Spec, &enforced); err != nil {
--- a/record/page.go
+++ b/record/page.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// KeyHash returns the place of a key in its service's hash space.
+// KeyHash returns the position of a key in its service's hash space.
 func KeyHash(service, key string) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(service)
@@ -18,15 +18,15 @@
 	return digest.Sum64()
 }
 
-// ShardState says whether a shard has an owner.
+// ShardState is the ownership state of a shard.
 type ShardState string
 
 // The states of a shard.
 const (
-	// ShardOwned: Owner may be granted the shard under Token.
+	// ShardOwned means that Owner may be granted the shard under Token.
 	ShardOwned ShardState = "owned"
-	// ShardReleasing: nobody may be granted the shard in this generation.
-	// Owner may still hold it from an earlier generation.
+	// ShardReleasing means that no server may be granted the shard in this
+	// generation. Owner may still hold it from an earlier generation.
 	ShardReleasing ShardState = "releasing"
 )
 
@@ -39,20 +39,20 @@
 	// Token is the generation in which Owner became the owner. It grows with
 	// every change of owner of any key.
 	Token uint64 `json:"token,omitempty"`
-	// Next is the server that the shard is meant for while it is releasing.
+	// Next is the intended next owner while the shard is releasing.
 	Next string `json:"next,omitempty"`
-	// Released is the generation in which the shard became releasing.
+	// Released is the generation in which the shard entered ShardReleasing.
 	Released uint64 `json:"released,omitempty"`
 }
 
-// Releasing reports whether the shard waits for a new owner.
+// Releasing reports whether the shard is waiting for a new owner.
 func (s Shard) Releasing() bool { return s.State == ShardReleasing }
 
 // Grantable reports whether the shard's owner may be granted it.
 func (s Shard) Grantable() bool { return s.State == ShardOwned && s.Owner != "" }
 
-// Page assigns one contiguous range of a service's hash space. It is the unit
-// of conditional update and of lease renewal.
+// Page holds the shard assignment of one contiguous range of a service's hash
+// space. It is the unit of conditional updates and of lease renewal.
 type Page struct {
 	Name       string `json:"-"`
 	Service    string `json:"service"`
@@ -61,22 +61,26 @@
 	Low        uint64 `json:"low"`
 	High       uint64 `json:"high"` // inclusive
 	Generation uint64 `json:"generation"`
-	// Group lists the hosts whose controllers renew this page; the first is its assigner.
+	// Group lists the hosts whose controllers renew this page's leases. The
+	// first one changes the assignment.
 	Group []string `json:"group"`
-	// OldGroup is the group before a change of group, until no lease that it
-	// alone agreed to can still run.
+	// OldGroup is the previous group. It is kept after a change of group until
+	// every lease that only the old group has agreed to has expired.
 	OldGroup []string `json:"oldGroup,omitempty"`
-	// GroupSince is the generation that Group begins with.
+	// GroupSince is the first generation of Group.
 	GroupSince uint64 `json:"groupSince"`
-	// Bounded limits how long the group may renew without the store, so that
-	// another failure domain may take the page after that time. It is fixed
-	// when the page is made: a cut-off group could not learn of a change.
+	// Bounded limits how long the group may renew leases without access to the
+	// store, so that another failure domain can take over the page after that
+	// time. It is fixed when the page is created, because a group that is cut
+	// off could not learn of a change.
 	Bounded bool `json:"bounded,omitempty"`
-	// TakenOver is the generation in which another failure domain took the page, or 0.
+	// TakenOver is the generation in which another failure domain took over the
+	// page, or 0.
 	TakenOver uint64  `json:"takenOver,omitempty"`
 	Shards    []Shard `json:"shards"`
-	// Attempt identifies the write that made this generation. A writer that
-	// lost the store's reply compares it to learn whether its write took effect.
+	// Attempt identifies the write that created this generation. A writer that
+	// did not receive the store's reply compares it to find out whether its
+	// write took effect.
 	Attempt string `json:"attempt"`
 }
 
@@ -107,7 +111,7 @@
 // PageCount returns the number of pages of the service.
 func (s Service) PageCount() int { return len(s.Domains) * s.PagesPerDomain }
 
-// PageHome returns the failure domain that the index-th page was made for.
+// PageHome returns the home failure domain of the index-th page.
 func (s Service) PageHome(index int) string { return s.Domains[index%len(s.Domains)] }
 
 // PageOf returns the index of the page that holds a hash.
@@ -118,7 +122,7 @@
 	return PageIndex(hash, s.PageCount())
 }
 
-// DecodePage reads a page.
+// DecodePage decodes a page and checks the order of its shards.
 func DecodePage(e Envelope) (Page, error) {
 	page := Page{Name: e.Name}
 	if err := json.Unmarshal(e.Spec, &page); err != nil {
@@ -136,13 +140,13 @@
 	return page, c.err()
 }
 
-// Encode writes the page.
+// Encode returns the page's record.
 func (p Page) Encode() (Envelope, error) {
 	spec, err := json.Marshal(p)
 	return Envelope{Kind: KindPage, Name: p.Name, Schema: SchemaV2, Spec: spec}, err
 }
 
-// Clone returns a copy that shares nothing with p.
+// Clone returns a deep copy of the page.
 func (p Page) Clone() Page {
 	p.Group = slices.Clone(p.Group)
 	p.OldGroup = slices.Clone(p.OldGroup)
@@ -179,8 +183,8 @@
 	return p.Shards[index+1].Low - 1
 }
 
-// Voters lists the hosts whose agreement counts: the group and, during a change
-// of group, the old one.
+// Voters lists the hosts that vote on the page's leases: the group and, during a
+// change of group, the old group.
 func (p Page) Voters() []string {
 	voters := slices.Clone(p.Group)
 	for _, host := range p.OldGroup {
--- a/record/record.go
+++ b/record/record.go
@@ -1,10 +1,10 @@
-// Package record defines the kinds of records that the platform's store holds
-// for the system: what operators write (services, backend servers, lost
-// domains and hosts) and what controllers write (assignment pages).
+// Package record defines the records that the system keeps in the platform's
+// store: services, backend servers and declarations of loss, which operators
+// write, and assignment pages and reports, which controllers write.
 //
-// A record on the wire is an Envelope. Its Spec is read through the schema
-// version that the envelope names; fields that this build does not know are
-// kept, so that a newer writer's data survives an older reader's edit.
+// On the wire a record is an Envelope. Its Spec is decoded by the schema version
+// that the envelope names. The unknown fields of services and servers are kept,
+// so that an edit by an older build does not drop the data of a newer one.
 package record
 
 import (
@@ -13,7 +13,7 @@
 	"strings"
 )
 
-// Kind names a type of record.
+// Kind is the type of a record.
 type Kind string
 
 // The kinds of records.
@@ -34,7 +34,7 @@
 	SchemaV2 Schema = "v2"
 )
 
-// Ref names one record.
+// Ref identifies one record.
 type Ref struct {
 	Kind Kind
 	Name string
@@ -43,7 +43,8 @@
 // String returns "kind/name".
 func (r Ref) String() string { return string(r.Kind) + "/" + r.Name }
 
-// Envelope is a record as operators and the store see it.
+// Envelope is the encoded form of a record, in documents of operators and in the
+// store.
 type Envelope struct {
 	Kind   Kind            `json:"kind"`
 	Name   string          `json:"name"`
@@ -54,12 +55,12 @@
 // Ref returns the envelope's kind and name.
 func (e Envelope) Ref() Ref { return Ref{Kind: e.Kind, Name: e.Name} }
 
-// FieldError reports one field of a record or request that cannot be accepted.
+// FieldError reports an invalid field of a record or request.
 type FieldError struct {
 	Record Ref    // the record that holds the field
 	Field  string // path of the field, in JSON names
-	Value  string // the value as given
-	Fix    string // what the operator should do
+	Value  string // the rejected value
+	Fix    string // what the operator should change
 }
 
 // Error implements error.
@@ -68,7 +69,7 @@
 }
 
 // CheckError collects every FieldError of one check, so that an operator can
-// mend all of them at once.
+// correct all of them at once.
 type CheckError struct{ Fields []*FieldError }
 
 // Error implements error.
@@ -80,7 +81,7 @@
 	return strings.Join(lines, "; ")
 }
 
-// checker gathers FieldErrors for one record.
+// checker collects the FieldErrors of one record.
 type checker struct {
 	ref    Ref
 	fields []*FieldError
@@ -100,19 +101,20 @@
 	return &CheckError{Fields: c.fields}
 }
 
-// nameMaxLength bounds record names: they become path segments and metric labels.
+// nameMaxLength limits record names in bytes, because names are used as path
+// segments and metric labels.
 const nameMaxLength = 63
 
-// ValidName reports whether a name holds only lower-case letters, digits, '-'
-// and '.', starts with a letter or digit and has at most 63 bytes.
+// ValidName reports whether a name contains only lower-case letters, digits, '-'
+// and '.', starts with a letter or digit, and has 1 to 63 bytes.
 func ValidName(name string) bool {
 	if name == "" || len(name) > nameMaxLength {
 		return false
 	}
 	for i, r := range name {
-		letter := r >= 'a' && r <= 'z' || r >= '0' && r <= '9'
-		mark := r == '-' || r == '.'
-		if !letter && (!mark || i == 0) {
+		alphanumeric := r >= 'a' && r <= 'z' || r >= '0' && r <= '9'
+		separator := r == '-' || r == '.'
+		if !alphanumeric && (!separator || i == 0) {
 			return false
 		}
 	}
