--- a/contract/adapter/adapter.go
+++ b/contract/adapter/adapter.go
@@ -1,6 +1,6 @@
-// Package adapter is the contract between the product and what translates a
-// hosting platform's protocol for it. An adapter translates names, formats and
-// calls; it decides nothing.
+// Package adapter defines the interfaces between the router and an adapter for a
+// hosting platform's protocol. An adapter translates names, formats and calls; it
+// makes no decisions.
 package adapter
 
 import (
@@ -15,100 +15,106 @@
 	"cicadarouter/routing"
 )
 
-// Request is what a caller says of its request beside the request itself.
+// Request is the metadata that a caller sends with its request.
 type Request struct {
-	// ID names this attempt of the caller.
+	// ID identifies this attempt of the caller.
 	ID string
-	// Patience is how long the caller waits from now; 0 if it did not say.
+	// Patience is how long the caller waits from now, or 0 if it sets no limit.
 	Patience time.Duration
-	// Key is the key that the request is about, if HasKey.
+	// Key is the request's key. It is valid if HasKey is set.
 	Key    uint16
 	HasKey bool
 }
 
-// Dispatch is what a backend server is told with a request.
+// Dispatch is the metadata that is sent to a backend server with a request.
 type Dispatch struct {
-	// Server is the ID that the answering server must have.
+	// Server is the ID of the server that the request is addressed to.
 	Server string
-	// Patience is how long the answer is of use.
+	// Patience is the time after which the response is no longer useful.
 	Patience time.Duration
 }
 
-// Answer is what a backend server says with an answer.
+// Answer is the metadata of a backend server's response.
 type Answer struct {
-	// RequestID is the ID of the request that it answers.
+	// RequestID is the ID of the request that this is the response to.
 	RequestID string
 	// NotRun is set if the server states that it did not run the request.
 	NotRun bool
-	// Misdirected is set if the server is not the one addressed, or does not hold the
-	// request's key. Server is the ID of the server that answered; empty if not told.
+	// Misdirected is set if the server reports that it is not the addressed one or
+	// does not hold the request's key. Server is then the ID of the responding
+	// server, or empty if unknown.
 	Misdirected bool
 	Server      string
-	// Proven is set if the answer bears the server's signature.
+	// Proven is set if the response has a signature. The signature is not verified.
 	Proven bool
 	Notice
 }
 
-// Notice is what a backend server tells of itself in any of its answers: to requests, to
-// calls about keys and to health checks.
+// Notice is the state that a backend server reports about itself in any of its
+// responses: to requests, to calls about keys and to health checks.
 type Notice struct {
-	// Load is the server's load, or nil.
+	// Load is the server's load, or nil if it reports none.
 	Load *balance.Load
-	// Limit is how many requests a second the server takes from all hosts together; 0 if
-	// it names no limit.
+	// Limit is the number of requests per second that the server accepts from all
+	// hosts together, or 0 if it sets no limit.
 	Limit float64
-	// Leaving is set if the server says that it leaves.
+	// Leaving is set if the server reports that it is leaving.
 	Leaving bool
-	// Rest is for how long the server wants nothing from this host; 0 if it asks for none.
+	// Rest is for how long this host must send the server no requests (backoff), or
+	// 0 if the server does not ask for it.
 	Rest time.Duration
-	// Unreadable are the values that can't be used. What they were to tell is left out.
+	// Unreadable lists the values that cannot be parsed. The fields above that they
+	// were meant for are left unset.
 	Unreadable []*FieldError
 }
 
-// Codec reads and writes the headers of requests and answers.
+// Codec reads and writes the headers of requests and responses.
 type Codec interface {
-	// ReadRequest returns a *FieldError for a header that can't be read.
+	// ReadRequest returns a *FieldError if a header cannot be parsed.
 	ReadRequest(header http.Header) (Request, error)
 	WriteDispatch(header http.Header, dispatch Dispatch)
 	ReadAnswer(status int, header http.Header) Answer
 }
 
-// FieldError reports a value that can't be used.
+// FieldError reports an invalid value.
 type FieldError struct{ Field, Value, Fix string }
 
 // Error implements error.
 func (e *FieldError) Error() string { return fmt.Sprintf("%s = %q: %s", e.Field, e.Value, e.Fix) }
 
-// Registry says where in the store the servers' entries and the operator's
-// configuration lie, and decodes them. Errors are of type *FieldError or
-// *routing.InvalidError; the object is then left aside.
+// Registry defines which objects of the store hold the servers' entries and the
+// operator's configuration, and decodes them. Errors are of type *FieldError or
+// *routing.InvalidError; the caller then ignores the object.
 type Registry interface {
-	// Servers is the kind of the servers' entries.
+	// Servers returns the kind of the servers' entries.
 	Servers() string
-	// Server decodes an entry.
+	// Server decodes a server's entry.
 	Server(object objects.Object) (fleet.Server, error)
-	// Configurations is the kind of the operator's configuration, and Current
-	// the name of the object that holds the latest.
+	// Configurations returns the kind of the operator's configuration, and Current
+	// the name of the object that holds the latest one.
 	Configurations() string
 	Current() string
-	// Evacuations is the kind of the operators' requests that a failure domain's
-	// servers get nothing, and Evacuation returns the domain that one names.
+	// Evacuations returns the kind of the operators' requests to evacuate a failure
+	// domain, whose servers then get no requests. Evacuation returns the domain
+	// that such an object names.
 	Evacuations() string
 	Evacuation(object objects.Object) (domain string, err error)
 	// Configuration decodes the operator's configuration.
 	Configuration(object objects.Object) (*routing.Configuration, error)
 }
 
-// Grant gives or renews keys.
+// Grant assigns a range of keys to a server or renews its lease.
 type Grant struct {
 	From, To uint16
 	Token    uint64
 	Term     time.Duration
-	// Handoff is what the last holder returned on release; empty if unknown.
+	// Handoff is the value that the previous holder returned on release, or empty
+	// if unknown.
 	Handoff string
 }
 
-// StaleTokenError reports a grant refused because of a higher token.
+// StaleTokenError reports a grant that was refused because the server has seen a
+// higher token.
 type StaleTokenError struct {
 	Server string
 	Token  uint64
@@ -119,36 +125,40 @@
 	return fmt.Sprintf("server %s has seen a higher token than %d", e.Server, e.Token)
 }
 
-// OtherServerError reports that another server answers at an address: the one
-// that was there has ended.
+// OtherServerError reports that another server responds at a server's address, so
+// that the wanted server no longer runs there.
 type OtherServerError struct{ Wanted, Found string }
 
 // Error implements error.
 func (e *OtherServerError) Error() string {
-	return fmt.Sprintf("server %s answers at the address of %s", e.Found, e.Wanted)
+	return fmt.Sprintf("server %s responds at the address of %s", e.Found, e.Wanted)
 }
 
-// Backend is a backend server with what a call to it needs.
+// Backend is a backend server with the settings that calls to it need.
 type Backend struct {
 	fleet.Server
-	// HealthPath is where it tells whether it is well.
+	// HealthPath is the URL path of its health check.
 	HealthPath string
 }
 
-// Keys speaks to backend servers about the keys they hold. Any error other than
-// those above leaves open whether the call takes effect; once the call has
-// returned, it can't arrive any more. A notice that came with an error counts.
+// Keys assigns keys to backend servers and takes them back. After an error other
+// than StaleTokenError and OtherServerError, the call may or may not have taken
+// effect, but it cannot reach the server after it has returned. A notice that is
+// returned with an error is valid.
 type Keys interface {
 	Grant(ctx context.Context, server Backend, grant Grant) (Notice, error)
-	// Release returns when work on the keys has ended, with the hand-over.
+	// Release returns the handoff value once the server has ended its work on the
+	// keys.
 	Release(ctx context.Context, server Backend, from, to uint16, token uint64) (handoff string, notice Notice, err error)
-	// Probe asks whether the server answers, healthy or not.
+	// Probe runs a health check. It succeeds if the server responds, whether healthy
+	// or not.
 	Probe(ctx context.Context, server Backend) (Health, error)
 }
 
-// Health is what a backend server says of itself when it is probed.
+// Health is a backend server's response to a probe.
 type Health struct {
-	// TellsCold is set if the server says for how long it is still cold, which is ColdFor.
+	// TellsCold is set if the server reports how long its cold start will still take,
+	// which is ColdFor.
 	TellsCold bool
 	ColdFor   time.Duration
 	// Healthy is set if the server considers itself healthy and is not leaving.
--- a/contract/backend/backend.go
+++ b/contract/backend/backend.go
@@ -1,10 +1,10 @@
-// Package backend is the contract with backend servers: how they are granted
-// keys, how they report, and how requests reach them.
+// Package backend defines the interface to backend servers: how they are granted
+// keys, report their state and receive requests.
 //
-// A server that checks tokens holds a shard while its lease runs on its own
-// clock, refuses grants of generations older than one it has accepted, and
-// refuses a request whose token is not the one it holds the key under. It
-// checks at the start of a request and again at the moment of effect.
+// A server that checks tokens holds a shard until its lease expires by its own
+// clock. It refuses grants of a generation older than one it has accepted, and
+// requests whose token differs from the token under which it holds the key. It
+// checks the token when a request starts and again when the request takes effect.
 package backend
 
 import (
@@ -25,11 +25,11 @@
 	HeaderDeadlineMs = "Cicada-Deadline-Ms"
 )
 
-// HeaderRefused is set by a server that has not run a request, with a Refusal.
+// HeaderRefused contains the Refusal if a server has not run a request.
 const HeaderRefused = "Cicada-Refused"
 
-// Refusal says why a server did not run a request. A refused request is proven
-// not to have run.
+// Refusal is the reason why a server did not run a request. A refused request has
+// certainly not run.
 type Refusal string
 
 // The refusals.
@@ -46,44 +46,44 @@
 	PathReport = "/cicada/report"
 )
 
-// Report is a server's answer to a grant or probe.
+// Report is a server's response to a grant or probe.
 type Report struct {
-	// Server is the name of the server that answers, so that a server started
-	// at another's address is noticed.
+	// Server is the name of the responding server. It reveals a server that was
+	// started at the address of another one.
 	Server string `json:"server"`
-	// Clock is the server's monotonic clock when it answered.
+	// Clock is the server's monotonic clock at the time of the report.
 	Clock       time.Duration `json:"clock"`
 	Incarnation uint64        `json:"incarnation"`
-	// Generation is the newest accepted generation of the page asked about.
+	// Generation is the newest generation of the page that the server has accepted.
 	Generation uint64 `json:"generation"`
-	// Busy lists hashes that requests still run for although the server no
-	// longer holds them.
+	// Busy lists the hashes of keys that the server no longer holds but still
+	// runs requests for.
 	Busy []uint64 `json:"busy,omitempty"`
-	// InFlight is the number of requests running; it may lag.
+	// InFlight is the number of running requests; it may be slightly out of date.
 	InFlight int `json:"inFlight"`
-	// Draining is set when the server is about to leave.
+	// Draining is set if the server is about to leave.
 	Draining bool `json:"draining,omitempty"`
-	// Refusal is why the grant was not accepted, if it was not.
+	// Refusal is the reason why the grant was refused, or empty.
 	Refusal ownership.RefusalReason `json:"refusal,omitempty"`
 }
 
-// ErrUnreachable reports that a server gave no answer. A grant may or may not
-// have been accepted.
-var ErrUnreachable = errors.New("backend server gave no answer")
+// ErrUnreachable reports that no valid response came from a server. A grant may or
+// may not have been accepted.
+var ErrUnreachable = errors.New("no valid response from the backend server")
 
-// OtherServerError reports that another server answers at an address.
+// OtherServerError reports that another server responds at a server's address.
 type OtherServerError struct{ Wanted, Found string }
 
 // Error implements error.
 func (e *OtherServerError) Error() string {
-	return fmt.Sprintf("server %q answers at the address of %q", e.Found, e.Wanted)
+	return fmt.Sprintf("server %q responds at the address of %q", e.Found, e.Wanted)
 }
 
-// Control is how controllers speak to one backend server. Implementations are
+// Control is a controller's interface to one backend server. Implementations are
 // safe for concurrent use.
 type Control interface {
-	// Grant offers a lease. A refusal by the server is part of the Report.
+	// Grant offers a lease. If the server refuses it, the Report contains the reason.
 	Grant(ctx context.Context, grant ownership.Grant) (Report, error)
-	// Report asks for the server's state with regard to a page.
+	// Report returns the server's state with regard to a page.
 	Report(ctx context.Context, page string) (Report, error)
 }
--- a/contract/backend/client.go
+++ b/contract/backend/client.go
@@ -22,7 +22,7 @@
 
 var _ Control = (*Client)(nil)
 
-// NewClient returns a client for the named server at an IP number and port.
+// NewClient returns a client for the named server at an IP address and port.
 // The transport is shared between the clients of one process.
 func NewClient(name, address string, transport http.RoundTripper) *Client {
 	return &Client{name: name, base: "http://" + address, http: &http.Client{Transport: transport}}
@@ -71,15 +71,15 @@
 	return report, nil
 }
 
-// StatusError reports an answer to a control call that is not a report.
+// StatusError reports a control call that was not answered with status 200.
 type StatusError struct{ Status int }
 
 // Error implements error.
 func (e *StatusError) Error() string {
-	return "control call answered with status " + strconv.Itoa(e.Status)
+	return "control call returned status " + strconv.Itoa(e.Status)
 }
 
-// UnreachableError wraps the reason why a server's answer is not known.
+// UnreachableError wraps the error that prevented a valid response of a server.
 type UnreachableError struct {
 	Server string
 	Cause  error
--- a/contract/backend/conformance/conformance.go
+++ b/contract/backend/conformance/conformance.go
@@ -1,5 +1,5 @@
-// Package conformance tests that a backend server keeps the contract, as far as
-// a controller and a router can see.
+// Package conformance tests that a backend server behaves as package backend
+// documents, as far as a controller and a router can observe.
 package conformance
 
 import (
@@ -16,12 +16,12 @@
 // Server is a server under test.
 type Server struct {
 	Control backend.Control
-	// Request sends a request for the key under a page and token, and returns
-	// the server's refusal, or "" if it ran.
+	// Request sends a request for the key with a page and token, and returns the
+	// server's refusal, or "" if the request ran.
 	Request func(key, page string, token uint64) backend.Refusal
 	// Hash returns a key's hash.
 	Hash func(key string) uint64
-	// Advance moves the server's clock.
+	// Advance moves the server's clock forward.
 	Advance func(d time.Duration)
 }
 
@@ -40,13 +40,13 @@
 		{"a server without a grant refuses", func(t *testing.T, s Server) {
 			assert.Equal(t, s.Request(key, page, 1), backend.RefusedToken)
 		}},
-		{"a granted key runs under its token only", func(t *testing.T, s Server) {
+		{"requests for a granted key run with its token only", func(t *testing.T, s Server) {
 			s.grant(t, 1, 5)
 			assert.Equal(t, s.Request(key, page, 5), backend.Refusal(""))
 			assert.Equal(t, s.Request(key, page, 4), backend.RefusedToken)
 			assert.Equal(t, s.Request(key, page, 6), backend.RefusedToken)
 		}},
-		{"a lapsed grant is worth nothing", func(t *testing.T, s Server) {
+		{"requests are refused after the grant has expired", func(t *testing.T, s Server) {
 			s.grant(t, 1, 5)
 			s.Advance(term)
 			assert.Equal(t, s.Request(key, page, 5), backend.RefusedToken)
@@ -57,7 +57,7 @@
 			assert.Equal(t, report.Refusal, ownership.RefusedGeneration)
 			assert.Equal(t, s.Request(key, page, 4), backend.RefusedToken)
 		}},
-		{"a newer generation without the key takes it away", func(t *testing.T, s Server) {
+		{"a newer generation without the key revokes it", func(t *testing.T, s Server) {
 			s.grant(t, 1, 5)
 			report, err := s.Control.Report(context.Background(), page)
 			assert.NilError(t, err)
@@ -67,7 +67,7 @@
 			assert.NilError(t, err)
 			assert.Equal(t, s.Request(key, page, 5), backend.RefusedToken)
 		}},
-		{"a grant for an earlier run is refused", func(t *testing.T, s Server) {
+		{"a grant for another incarnation is refused", func(t *testing.T, s Server) {
 			report, err := s.Control.Report(context.Background(), page)
 			assert.NilError(t, err)
 			report, err = s.Control.Grant(context.Background(), ownership.Grant{
@@ -76,7 +76,7 @@
 			assert.NilError(t, err)
 			assert.Equal(t, report.Refusal, ownership.RefusedIncarnation)
 		}},
-		{"a renewal needs no shards, a new generation does", func(t *testing.T, s Server) {
+		{"a renewal needs no shards but a new generation does", func(t *testing.T, s Server) {
 			s.grant(t, 1, 5)
 			report, err := s.Control.Report(context.Background(), page)
 			assert.NilError(t, err)
@@ -97,14 +97,14 @@
 	}
 }
 
-// Unchecked tests a server that runs whatever reaches it.
+// Unchecked tests a server that does not check tokens.
 func Unchecked(t *testing.T, open func(t *testing.T) Server) {
 	t.Run("a request runs without a grant", func(t *testing.T) {
 		assert.Equal(t, open(t).Request(key, page, 1), backend.Refusal(""))
 	})
 }
 
-// offer offers a generation that gives the key under the token.
+// offer sends a grant of the key under the token and returns the report.
 func (s Server) offer(t *testing.T, generation, token uint64) backend.Report {
 	t.Helper()
 	before, err := s.Control.Report(context.Background(), page)
--- a/contract/caller/caller.go
+++ b/contract/caller/caller.go
@@ -1,7 +1,7 @@
-// Package caller is the contract with callers: the headers of a request and
-// what an answer promises.
+// Package caller defines the interface to callers: the headers of a request and
+// the meaning of the headers of its response.
 //
-// A caller sends its request over HTTP to any entry host, at /s/SERVICE/PATH.
+// A caller sends its request over HTTP to any host, at /s/SERVICE/PATH.
 package caller
 
 import (
@@ -15,46 +15,48 @@
 
 // Headers of a caller's request.
 const (
-	// HeaderKey names the key, for services that are divided by key.
+	// HeaderKey contains the key, for services whose requests are routed by key.
 	HeaderKey = "Cicada-Key"
-	// HeaderRequestID is a UUID of version 7, minted once for a request and
-	// sent again unchanged with each further attempt at it.
+	// HeaderRequestID is a version 7 UUID. The caller generates it once for a
+	// request and sends the same value with each retry.
 	HeaderRequestID = "Cicada-Request-Id"
-	// HeaderAttempt counts attempts at the same request from 1.
+	// HeaderAttempt is the number of the attempt at the request, starting at 1.
 	HeaderAttempt = "Cicada-Attempt"
-	// HeaderIdempotent is "true" or "false". Without it, requests by GET and
-	// HEAD are idempotent and others are not.
+	// HeaderIdempotent is "true" or "false". Without it, GET and HEAD requests
+	// are treated as idempotent and others are not.
 	HeaderIdempotent = "Cicada-Idempotent"
-	// HeaderDeadlineMs is the time in milliseconds that the caller will wait.
+	// HeaderDeadlineMs is the time in milliseconds for which the caller waits.
 	HeaderDeadlineMs = "Cicada-Deadline-Ms"
-	// HeaderCaller names the caller that shares are counted for.
+	// HeaderCaller names the caller to whose share of the capacity the request
+	// counts.
 	HeaderCaller = "Cicada-Caller"
 )
 
-// Headers of an answer.
+// Headers of a response.
 const (
-	// HeaderOutcome is set on every answer.
+	// HeaderOutcome contains the Outcome. Every response has it.
 	HeaderOutcome = "Cicada-Outcome"
-	// HeaderReason says why a request was not done.
+	// HeaderReason contains the Reason of an outcome other than Done.
 	HeaderReason = "Cicada-Reason"
 	// HeaderServer names the backend server that ran the request.
 	HeaderServer = "Cicada-Server"
 )
 
-// Outcome is what an answer says about the request.
+// Outcome tells the caller whether the request was executed.
 type Outcome string
 
 // The outcomes.
 const (
-	// Done: the answer is the whole answer of the server that ran the request.
+	// Done means that this is the complete response of the server that ran the
+	// request.
 	Done Outcome = "done"
-	// NotRun: the request has not run and will not run.
+	// NotRun means that the request has not run and will not run.
 	NotRun Outcome = "not-run"
-	// Unknown: the request may have run.
+	// Unknown means that the request may have run.
 	Unknown Outcome = "unknown"
 )
 
-// Reason refines an outcome other than Done.
+// Reason is the cause of an outcome other than Done.
 type Reason string
 
 // The reasons.
@@ -76,7 +78,7 @@
 	ReasonForeignResponse Reason = "answer-to-another-request"
 )
 
-// HeaderError is a caller's mistake in one header.
+// HeaderError reports an invalid header of a caller's request.
 type HeaderError struct {
 	Header string
 	Value  string
@@ -88,27 +90,28 @@
 	return fmt.Sprintf("header %s has value %q: %s", e.Header, e.Value, e.Fix)
 }
 
-// Limits of what a caller may send.
+// Limits of header values. Lengths are in bytes; maxShown limits the part of a
+// value that an error message quotes.
 const (
 	MaxKeyLength = 512
 	MaxAttempt   = 1000
 	maxShown     = 64
 )
 
-// Meta is what a caller says about its request.
+// Meta is the metadata in the headers of a caller's request.
 type Meta struct {
 	Key        string
 	ID         uuid.UUID
 	Attempt    int
 	Idempotent bool
-	// Deadline is the time left, or 0 where the caller does not say.
+	// Deadline is the remaining time, or 0 if the caller does not set it.
 	Deadline time.Duration
 	Caller   string
-	// Minted is set when the id was made here because the caller sent none.
+	// Minted is set if the ID was generated here because the caller sent none.
 	Minted bool
 }
 
-// ParseMeta reads a request's headers or returns a *HeaderError.
+// ParseMeta parses a request's headers. It returns a *HeaderError if one is invalid.
 func ParseMeta(method string, header http.Header) (Meta, error) {
 	meta := Meta{Key: header.Get(HeaderKey), Caller: header.Get(HeaderCaller), Attempt: 1}
 	if len(meta.Key) > MaxKeyLength {
@@ -139,9 +142,9 @@
 		meta.ID = uuid.Must(uuid.NewV7())
 		return nil
 	}
-	const versionWithTime = 7
+	const timeOrderedVersion = 7
 	id, err := uuid.Parse(text)
-	if err != nil || id.Version() != versionWithTime {
+	if err != nil || id.Version() != timeOrderedVersion {
 		return headerError(HeaderRequestID, text, "use a UUID of version 7, or leave the header out")
 	}
 	meta.ID = id
@@ -158,7 +161,7 @@
 		return headerError(HeaderAttempt, text, "use a whole number from 1 to 1000")
 	}
 	if attempt > 1 && meta.Minted {
-		return headerError(HeaderAttempt, text, "send the "+HeaderRequestID+" of the first attempt with each further one")
+		return headerError(HeaderAttempt, text, "send the "+HeaderRequestID+" of the first attempt with each retry")
 	}
 	meta.Attempt = attempt
 	return nil
@@ -183,21 +186,21 @@
 	if text == "" {
 		return nil
 	}
-	const mostMillis = 60_000
+	const maxMillis = 60_000
 	millis, err := strconv.Atoi(text)
-	if err != nil || millis < 1 || millis > mostMillis {
+	if err != nil || millis < 1 || millis > maxMillis {
 		return headerError(HeaderDeadlineMs, text, "use milliseconds from 1 to 60000")
 	}
 	meta.Deadline = time.Duration(millis) * time.Millisecond
 	return nil
 }
 
-// BirthTime returns the time at which an id of version 7 was minted, by the
-// clock of whoever minted it.
+// BirthTime returns the timestamp of a version 7 UUID, which is the time at which
+// it was generated by the clock of its generator.
 func BirthTime(id uuid.UUID) time.Time {
 	var millis int64
-	const timeBytes = 6
-	for _, part := range id[:timeBytes] {
+	const timestampBytes = 6
+	for _, part := range id[:timestampBytes] {
 		millis = millis<<8 | int64(part)
 	}
 	return time.UnixMilli(millis)
--- a/contract/objects/conformance/conformance.go
+++ b/contract/objects/conformance/conformance.go
@@ -1,5 +1,5 @@
-// Package conformance tests that an implementation of objects.Store keeps the
-// contract. Every implementation runs it from its own tests.
+// Package conformance tests that an implementation of objects.Store meets its
+// documented behavior. Every implementation runs it from its own tests.
 package conformance
 
 import (
@@ -15,7 +15,7 @@
 	"cicadarouter/contract/objects"
 )
 
-// patience bounds what a test waits for an event that must come.
+// patience is the longest time that a test waits for an expected event.
 const patience = 10 * time.Second
 
 const kind = "things"
@@ -29,16 +29,16 @@
 		{"an object is created once", createdOnce},
 		{"a put needs the current revision", putNeedsRevision},
 		{"a put of a missing object fails", putMissing},
-		{"rival puts: exactly one wins", oneRivalWins},
-		{"a read shows what was acknowledged before", readAfterPut},
-		{"a missing object is not found", missing},
-		{"a list holds one kind, without what is deleted", listOneKind},
-		{"a list has all pages", longList},
-		{"a watch returns changes of its kind, deletions included", watchChanges},
+		{"exactly one of several concurrent puts succeeds", oneRivalWins},
+		{"a read returns an acknowledged put", readAfterPut},
+		{"a missing object returns a not-found error", missing},
+		{"a list returns one kind without deleted objects", listOneKind},
+		{"a long list is complete", longList},
+		{"a watch returns changes of its kind, including deletions", watchChanges},
 		{"a watch waits for a change", watchWaits},
-		{"a quiet watch ends", watchEnds},
-		{"a watch from an unknown revision says so", watchUnknown},
-		{"a stale list and watches from it miss nothing", staleReads},
+		{"a watch without changes ends", watchEnds},
+		{"a watch from an unknown revision fails", watchUnknown},
+		{"watches from a stale list miss no change", staleReads},
 	} {
 		t.Run(row.name, func(t *testing.T) { row.test(t, open(t)) })
 	}
@@ -84,19 +84,19 @@
 }
 
 func oneRivalWins(t *testing.T, store objects.Store) {
-	const rivals = 8
+	const writers = 8
 	first := put(t, store, kind, "x", "start", 0)
-	won := make(chan struct{}, rivals)
-	var rivalry sync.WaitGroup
-	for i := range rivals {
-		rivalry.Go(func() {
+	succeeded := make(chan struct{}, writers)
+	var running sync.WaitGroup
+	for i := range writers {
+		running.Go(func() {
 			if _, err := store.Put(context.Background(), thing(kind, "x", fmt.Sprint(i), first.Revision)); err == nil {
-				won <- struct{}{}
+				succeeded <- struct{}{}
 			}
 		})
 	}
-	rivalry.Wait()
-	assert.Equal(t, len(won), 1)
+	running.Wait()
+	assert.Equal(t, len(succeeded), 1)
 }
 
 func readAfterPut(t *testing.T, store objects.Store) {
@@ -124,13 +124,13 @@
 }
 
 func longList(t *testing.T, store objects.Store) {
-	const many = 1200
-	for i := range many {
+	const count = 1200
+	for i := range count {
 		put(t, store, kind, fmt.Sprintf("x-%04d", i), "", 0)
 	}
 	listing, err := store.List(context.Background(), kind)
 	assert.NilError(t, err)
-	assert.Equal(t, len(listing.Objects), many)
+	assert.Equal(t, len(listing.Objects), count)
 }
 
 func watchChanges(t *testing.T, store objects.Store) {
@@ -173,8 +173,8 @@
 	assert.Assert(t, errors.Is(err, objects.ErrCompacted), "got %v", err)
 }
 
-// A stale reader may be behind, but following it from what it listed comes to
-// everything that was written.
+// staleReads checks that watching from the revision of a possibly outdated list
+// eventually returns every write.
 func staleReads(t *testing.T, store objects.Store) {
 	put(t, store, kind, "a", "one", 0)
 	reader := store.Stale()
--- a/contract/objects/memobjects/memobjects.go
+++ b/contract/objects/memobjects/memobjects.go
@@ -1,5 +1,5 @@
-// Package memobjects is an in-memory objects.Store, for tests and stand-ins. It
-// keeps its objects in the same store as the product's own platform stand-in.
+// Package memobjects is an in-memory objects.Store for tests and simulated
+// platforms. It stores its objects in a memstore.Store.
 package memobjects
 
 import (
@@ -29,10 +29,10 @@
 		Spec: json.RawMessage(from.Spec), Deleted: from.Deleted}
 }
 
-// Stale implements objects.Store: what is in memory is never behind.
+// Stale implements objects.Store. Reads from memory are always current.
 func (s *Store) Stale() objects.Reader { return s }
 
-// Copy returns a store that holds what this one holds now.
+// Copy returns an independent copy of the store.
 func (s *Store) Copy() *Store { return &Store{kept: s.kept.Copy()} }
 
 // Get implements objects.Store.
@@ -52,28 +52,28 @@
 
 func ofKind(snapshot platform.Snapshot, kind string) objects.Listing {
 	listing := objects.Listing{Revision: snapshot.Revision}
-	for _, each := range snapshot.Objects {
-		if string(each.Kind) == kind {
-			listing.Objects = append(listing.Objects, object(each))
+	for _, stored := range snapshot.Objects {
+		if string(stored.Kind) == kind {
+			listing.Objects = append(listing.Objects, object(stored))
 		}
 	}
 	return listing
 }
 
 // Put implements objects.Store.
-func (s *Store) Put(ctx context.Context, given objects.Object) (objects.Object, error) {
-	envelope := record.Envelope{Kind: record.Kind(given.Kind), Name: given.Name, Schema: record.SchemaV2, Spec: given.Spec}
-	if given.Revision > 0 {
-		if _, err := s.Get(ctx, given.Kind, given.Name); err != nil {
+func (s *Store) Put(ctx context.Context, updated objects.Object) (objects.Object, error) {
+	envelope := record.Envelope{Kind: record.Kind(updated.Kind), Name: updated.Name, Schema: record.SchemaV2, Spec: updated.Spec}
+	if updated.Revision > 0 {
+		if _, err := s.Get(ctx, updated.Kind, updated.Name); err != nil {
 			return objects.Object{}, err
 		}
 	}
-	version, err := s.kept.Update(ctx, envelope, given.Revision)
+	version, err := s.kept.Update(ctx, envelope, updated.Revision)
 	if err != nil {
 		return objects.Object{}, translate(err)
 	}
-	given.Revision = version
-	return given, nil
+	updated.Revision = version
+	return updated, nil
 }
 
 // Delete implements objects.Store.
--- a/contract/objects/objects.go
+++ b/contract/objects/objects.go
@@ -1,10 +1,10 @@
-// Package objects is the contract with a store that keeps objects by kind, with
-// a revision that grows over the whole store, conditional updates and watches.
-// Revisions never go back: see package revision.
+// Package objects defines the interface to a store of objects by kind, with a
+// revision that increases across the whole store, conditional updates and watches.
+// Revisions never decrease: see package revision.
 // Every implementation must pass contract/objects/conformance.
 //
-// It differs from contract/platform in what it can watch: one kind at a time,
-// as many hosted stores offer it.
+// Unlike contract/platform, a watch covers one kind only, as in many hosted
+// stores.
 package objects
 
 import (
@@ -18,38 +18,38 @@
 	"cicadarouter/revision"
 )
 
-// ErrUnknown reports a call without an answer. It may have taken effect, or may
-// yet take effect while its condition holds.
+// ErrUnknown reports a call without a response. The call may have taken effect, or
+// may still do so as long as the object is at the expected revision.
 var ErrUnknown = platform.ErrUnavailable
 
-// ErrCompacted reports a watch from a revision whose history is gone. The
-// watcher must list again.
+// ErrCompacted reports a watch from a revision whose history the store does not
+// have. The watcher must list again.
 var ErrCompacted = platform.ErrCompacted
 
-// ErrRefused reports a call that the store turned away. It had no effect.
-var ErrRefused = errors.New("objects: call refused by the store, without effect")
+// ErrRefused reports a call that the store rejected. It had no effect.
+var ErrRefused = errors.New("objects: call rejected by the store without effect")
 
 // ErrNotFound reports an object that does not exist.
 var ErrNotFound = errors.New("objects: not found")
 
-// Object is one stored object.
 type Object struct {
 	Kind     string
 	Name     string
 	Revision uint64
 	Spec     json.RawMessage
-	// Deleted is set in the changes that a watch returns.
+	// Deleted is set if a change that a watch returns is a deletion.
 	Deleted bool
 }
 
-// Listing is what a kind held, or how it changed, up to a revision.
+// Listing holds the objects of a kind, or the changes of a kind, up to a revision.
 type Listing struct {
 	Objects  []Object
 	Revision uint64
 }
 
-// RewoundError reports a call with a Revision of an earlier era than the store's. It wraps
-// ErrCompacted: the watcher must list again, from a source that knows the era.
+// RewoundError reports a call with a revision of an earlier era than the store's. It
+// wraps ErrCompacted: the watcher must list again, from a source that has reached
+// the current era.
 type RewoundError struct{ Given, Era uint64 }
 
 // Error implements error.
@@ -60,7 +60,7 @@
 // Unwrap returns ErrCompacted.
 func (e *RewoundError) Unwrap() error { return ErrCompacted }
 
-// ConflictError reports a conditional call that met another revision.
+// ConflictError reports a conditional call for an object that is at another revision.
 type ConflictError struct {
 	Kind, Name string
 	Given      uint64
@@ -69,31 +69,32 @@
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("%s/%s: update of revision %d met revision %d", e.Kind, e.Name, e.Given, e.Current.Revision)
+	return fmt.Sprintf("%s/%s: conflicting update: expected revision %d, current revision is %d", e.Kind, e.Name, e.Given, e.Current.Revision)
 }
 
-// Reader follows kinds of a store.
+// Reader lists and watches the objects of a store by kind.
 type Reader interface {
 	// List returns all objects of a kind.
 	List(ctx context.Context, kind string) (Listing, error)
-	// Watch waits, at most for wait, until the kind has changed after the
-	// revision, and returns the changes in order.
+	// Watch waits for up to wait until the kind has changed after the revision,
+	// and returns the changes in order.
 	Watch(ctx context.Context, kind string, revision uint64, wait time.Duration) (Listing, error)
 }
 
 // Store is a store of objects. Implementations are safe for concurrent use.
-// Reads are linearizable, but for those of Stale.
+// Reads are linearizable, except those of the reader that Stale returns.
 type Store interface {
 	Reader
-	// Stale returns a reader whose calls cost less and may tell what held
-	// seconds ago. A watch from the revision of a stale listing misses nothing.
+	// Stale returns a reader whose calls cost less and may return a state that
+	// is seconds old. A watch from the revision of a stale listing misses no
+	// change.
 	Stale() Reader
 	// Get returns an object or ErrNotFound.
 	Get(ctx context.Context, kind, name string) (Object, error)
-	// Put writes the spec if the object is at its given Revision (0: it must
-	// not exist), and returns the object as written. It fails with a
-	// *ConflictError, ErrNotFound, ErrRefused or ErrUnknown.
+	// Put writes the spec if the stored object is at object.Revision, where 0
+	// means that it must not exist, and returns the object as written. It fails
+	// with a *ConflictError, ErrNotFound, ErrRefused or ErrUnknown.
 	Put(ctx context.Context, object Object) (Object, error)
-	// Delete removes the object if it is at the revision.
+	// Delete removes the object if it is at the given revision.
 	Delete(ctx context.Context, kind, name string, revision uint64) error
 }
--- a/contract/platform/conformance/conformance.go
+++ b/contract/platform/conformance/conformance.go
@@ -1,5 +1,5 @@
-// Package conformance tests that an implementation of platform.Store keeps the
-// contract. Every implementation runs it from its own tests.
+// Package conformance tests that an implementation of platform.Store meets its
+// documented behavior. Every implementation runs it from its own tests.
 package conformance
 
 import (
@@ -16,7 +16,7 @@
 	"cicadarouter/record"
 )
 
-// Open returns an empty store for one test, and a way to set its host list.
+// Open returns an empty store for one test, and a function that sets its host list.
 type Open func(t *testing.T) (store platform.Store, setHosts func([]platform.Host))
 
 // Run runs the suite.
@@ -27,16 +27,16 @@
 	}{
 		{"an object is created once", createdOnce},
 		{"an update needs the current version", updateNeedsVersion},
-		{"a conflict shows what is in force", conflictShowsCurrent},
-		{"versions grow over the whole store", versionsGrow},
-		{"rival updates: exactly one wins", oneRivalWins},
-		{"a read shows what was acknowledged before", readAfterWrite},
-		{"a list leaves deleted objects out", listWithoutDeleted},
+		{"a conflict returns the current object", conflictShowsCurrent},
+		{"versions increase across the whole store", versionsGrow},
+		{"exactly one of several concurrent updates succeeds", oneRivalWins},
+		{"a read returns an acknowledged update", readAfterWrite},
+		{"a list omits deleted objects", listWithoutDeleted},
 		{"a deleted name can be created again, with a newer version", createdAgain},
-		{"a watch returns what changed, deletions included", watchReturnsChanges},
-		{"a watch waits", watchWaits},
-		{"a watch from an unknown revision says so", watchUnknownRevision},
-		{"a missing object is not found", missing},
+		{"a watch returns changes, including deletions", watchReturnsChanges},
+		{"a watch waits for a change", watchWaits},
+		{"a watch from an unknown revision fails", watchUnknownRevision},
+		{"a missing object returns a not-found error", missing},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -44,7 +44,7 @@
 			row.test(t, store)
 		})
 	}
-	t.Run("the host list is what was set", func(t *testing.T) {
+	t.Run("the host list is returned as set", func(t *testing.T) {
 		store, setHosts := open(t)
 		want := []platform.Host{{Name: "a-1", Domain: "a", Link: "127.0.0.1:1", RouterLink: "127.0.0.1:2", Leaving: true}}
 		setHosts(want)
@@ -54,7 +54,7 @@
 	})
 }
 
-// patience bounds what a test waits for an event that must come.
+// patience is the longest time that a test waits for an expected event.
 const patience = 10 * time.Second
 
 func object(name, text string) record.Envelope {
@@ -108,19 +108,19 @@
 }
 
 func oneRivalWins(t *testing.T, store platform.Store) {
-	const rivals = 8
+	const writers = 8
 	version := mustUpdate(t, store, object("x", "start"), 0)
-	var rivalry sync.WaitGroup
-	won := make(chan uint64, rivals)
-	for range rivals {
-		rivalry.Go(func() {
-			if written, err := store.Update(context.Background(), object("x", "rival"), version); err == nil {
-				won <- written
+	var running sync.WaitGroup
+	succeeded := make(chan uint64, writers)
+	for range writers {
+		running.Go(func() {
+			if written, err := store.Update(context.Background(), object("x", "concurrent"), version); err == nil {
+				succeeded <- written
 			}
 		})
 	}
-	rivalry.Wait()
-	assert.Equal(t, len(won), 1)
+	running.Wait()
+	assert.Equal(t, len(succeeded), 1)
 }
 
 func readAfterWrite(t *testing.T, store platform.Store) {
@@ -174,10 +174,10 @@
 	mustUpdate(t, store, object("x", "two"), version)
 	snapshot := <-seen
 	assert.Equal(t, len(snapshot.Objects), 1)
-	quiet, err := store.Watch(context.Background(), snapshot.Revision, time.Millisecond)
+	unchanged, err := store.Watch(context.Background(), snapshot.Revision, time.Millisecond)
 	assert.NilError(t, err)
-	assert.Equal(t, len(quiet.Objects), 0)
-	assert.Equal(t, quiet.Revision, snapshot.Revision)
+	assert.Equal(t, len(unchanged.Objects), 0)
+	assert.Equal(t, unchanged.Revision, snapshot.Revision)
 }
 
 func watchUnknownRevision(t *testing.T, store platform.Store) {
--- a/contract/platform/httpstore/httpstore.go
+++ b/contract/platform/httpstore/httpstore.go
@@ -1,4 +1,4 @@
-// Package httpstore reaches the platform's store by its HTTP interface.
+// Package httpstore is a client of the platform's store over HTTP.
 package httpstore
 
 import (
@@ -18,16 +18,17 @@
 	"cicadarouter/record"
 )
 
-// DomainHeader tells the platform which failure domain a call comes from.
+// DomainHeader carries the failure domain of the process that makes a call.
 const DomainHeader = "X-Failure-Domain"
 
-// callTimeout bounds every call but a watch. The store answers in milliseconds.
+// callTimeout limits every call except Watch. The store normally responds within
+// milliseconds.
 const callTimeout = 2 * time.Second
 
-// watchSlack is what a watch may take beyond the time it was asked to wait.
+// watchSlack is the time allowed for a watch in addition to its wait.
 const watchSlack = time.Second
 
-// StatusError reports an answer of the store that the protocol does not know.
+// StatusError reports a response status that the protocol does not define.
 type StatusError struct {
 	Method, Path string
 	Status       int
@@ -36,10 +37,10 @@
 
 // Error implements error.
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("store answered %s %s with status %d: %s", e.Method, e.Path, e.Status, e.Body)
+	return fmt.Sprintf("store responded to %s %s with status %d: %s", e.Method, e.Path, e.Status, e.Body)
 }
 
-// Is makes a failure of the store itself count as platform.ErrUnavailable.
+// Is makes server errors (5xx) match platform.ErrUnavailable.
 func (e *StatusError) Is(target error) bool {
 	return target == platform.ErrUnavailable && e.Status >= http.StatusInternalServerError
 }
@@ -53,8 +54,8 @@
 
 var _ platform.Store = (*Client)(nil)
 
-// New returns a client for the store at address, an IP number and port. domain
-// is the caller's failure domain.
+// New returns a client for the store at address, an IP address and port. domain
+// is the failure domain of this process.
 func New(address, domain string) *Client {
 	return &Client{base: "http://" + address, domain: domain, http: &http.Client{}}
 }
@@ -109,10 +110,10 @@
 	return recordPath(ref) + "?version=" + strconv.FormatUint(version, 10)
 }
 
-// call sends one request. Whatever keeps the reply from being read whole is
-// ErrUnavailable, since the store may have acted on the request.
-func (c *Client) call(ctx context.Context, limit time.Duration, method, path string, in, out any, ref record.Ref, version uint64) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// call sends one request. It returns an error that matches ErrUnavailable if no
+// complete response arrives, because the store may have executed the request.
+func (c *Client) call(ctx context.Context, timeout time.Duration, method, path string, in, out any, ref record.Ref, version uint64) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	request, err := c.request(ctx, method, path, in)
 	if err != nil {
@@ -152,7 +153,7 @@
 	return &UnavailableError{Cause: cause}
 }
 
-// UnavailableError wraps the reason why the store's answer is not known.
+// UnavailableError wraps the error that prevented a valid response of the store.
 type UnavailableError struct{ Cause error }
 
 // Error implements error.
--- a/contract/platform/memstore/memstore.go
+++ b/contract/platform/memstore/memstore.go
@@ -1,5 +1,5 @@
-// Package memstore is an in-memory platform.Store. The stand-in of the platform
-// serves it over HTTP; tests use it directly.
+// Package memstore is an in-memory platform.Store. The simulated platform serves
+// it over HTTP; tests use it directly.
 package memstore
 
 import (
@@ -13,7 +13,7 @@
 	"cicadarouter/record"
 )
 
-// historyLimit is how many changes a watch may lie behind.
+// historyLimit is the number of changes that are kept for watches.
 const historyLimit = 4096
 
 // Store is an in-memory object store. It is safe for concurrent use.
@@ -34,7 +34,7 @@
 	return &Store{objects: map[record.Ref]platform.Object{}, changed: make(chan struct{})}
 }
 
-// Copy returns a store that holds what this one holds now, with its history.
+// Copy returns an independent copy of the store with its history.
 func (s *Store) Copy() *Store {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,14 +99,14 @@
 	return nil
 }
 
-// note appends a change and wakes the watchers.
+// note appends a change to the history and wakes the watchers.
 func (s *Store) note(object platform.Object) {
 	s.revision = object.Version
 	s.history = append(s.history, object)
 	if len(s.history) > historyLimit {
-		cut := len(s.history) - historyLimit
-		s.compacted = s.history[cut-1].Version
-		s.history = slices.Clone(s.history[cut:])
+		excess := len(s.history) - historyLimit
+		s.compacted = s.history[excess-1].Version
+		s.history = slices.Clone(s.history[excess:])
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/contract/platform/platform.go
+++ b/contract/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform is the contract with the platform that hosts the system: an
-// object store with versions, conditional updates and watches, and a list of
+// Package platform defines the interface to the platform that hosts the system:
+// a versioned object store with conditional updates and watches, and a list of
 // hosts. Every implementation must pass contract/platform/conformance.
 package platform
 
@@ -12,12 +12,12 @@
 	"cicadarouter/record"
 )
 
-// Object is a record as stored. Versions grow over the whole store: an object's
+// Object is a stored record. Versions increase across the whole store: an object's
 // version is the store's revision at its last change.
 type Object struct {
 	record.Envelope
 	Version uint64 `json:"version"`
-	// Deleted marks the last version of a deleted object.
+	// Deleted is set in the last version of a deleted object.
 	Deleted bool `json:"deleted,omitempty"`
 }
 
@@ -27,27 +27,27 @@
 	Objects  []Object `json:"objects"`
 }
 
-// Host is an entry host in the platform's list. The list lags.
+// Host is a host in the platform's list, which may be out of date.
 type Host struct {
 	Name   string `json:"name"`
 	Domain string `json:"domain"`
-	// Link is the IP number and port of the controller's link.
+	// Link is the IP address and port of the controller's link.
 	Link string `json:"link"`
-	// RouterLink is the IP number and port of the router's link.
+	// RouterLink is the IP address and port of the router's link.
 	RouterLink string `json:"routerLink"`
-	// Leaving is set when the platform is about to take the host away.
+	// Leaving is set when the platform is about to remove the host.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// ErrUnavailable reports that the store did not answer. The call may or may not
-// have taken effect.
-var ErrUnavailable = errors.New("platform: store unavailable, outcome of the call not known")
+// ErrUnavailable reports that the store failed or sent no complete response. The
+// call may or may not have taken effect.
+var ErrUnavailable = errors.New("platform: store unavailable, outcome of the call unknown")
 
-// ErrCompacted reports a watch from a revision that the store no longer keeps.
-// The watcher must list again.
-var ErrCompacted = errors.New("platform: revision no longer kept, list again")
+// ErrCompacted reports a watch from a revision whose history the store does not
+// have. The watcher must list again.
+var ErrCompacted = errors.New("platform: history of the revision is not available; list again")
 
-// ConflictError reports a conditional update that met another version.
+// ConflictError reports a conditional update of an object that is at another version.
 type ConflictError struct {
 	Ref     record.Ref
 	Given   uint64
@@ -56,7 +56,7 @@
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("%s: update of version %d met version %d", e.Ref, e.Given, e.Current.Version)
+	return fmt.Sprintf("%s: conflicting update: expected version %d, current version is %d", e.Ref, e.Given, e.Current.Version)
 }
 
 // NotFoundError reports an object that does not exist.
@@ -67,21 +67,22 @@
 
 // Store is the platform's object store. Implementations are safe for concurrent
 // use. Reads are linearizable: a read that starts after an update was
-// acknowledged shows it.
+// acknowledged returns that update or a later one.
 type Store interface {
 	// Get returns an object or a *NotFoundError.
 	Get(ctx context.Context, ref record.Ref) (Object, error)
-	// List returns all objects, without deleted ones.
+	// List returns all objects except deleted ones.
 	List(ctx context.Context) (Snapshot, error)
-	// Update writes the envelope if the object is at the given version (0:
-	// it must not exist) and returns its new version. It fails with a
-	// *ConflictError if it is not, or with ErrUnavailable.
+	// Update writes the envelope if the object is at the given version, where 0
+	// means that it must not exist, and returns the new version. It fails with
+	// a *ConflictError if the version differs, or with ErrUnavailable.
 	Update(ctx context.Context, envelope record.Envelope, version uint64) (uint64, error)
-	// Delete removes an object on the same terms.
+	// Delete removes an object if it is at the given version. It fails with a
+	// *NotFoundError if the object does not exist, and otherwise like Update.
 	Delete(ctx context.Context, ref record.Ref, version uint64) error
-	// Watch waits until the store is past the revision, at most for wait, and
-	// returns what changed since, deleted objects included.
+	// Watch waits for up to wait until the store has changed after the revision,
+	// and returns the changes since then, including deleted objects.
 	Watch(ctx context.Context, revision uint64, wait time.Duration) (Snapshot, error)
-	// Hosts returns the platform's list of entry hosts.
+	// Hosts returns the platform's list of hosts.
 	Hosts(ctx context.Context) ([]Host, error)
 }
--- a/record/record_test.go
+++ b/record/record_test.go
@@ -24,8 +24,8 @@
 	return record.Envelope{Kind: record.KindService, Name: "split", Schema: schema, Spec: json.RawMessage(spec)}
 }
 
-// TestSchemasConvertWithoutLoss: whatever v2 can say survives a round through
-// v1, and fields that this build does not know survive both.
+// TestSchemasConvertWithoutLoss checks that every v2 setting survives a conversion
+// to v1 and back, and that unknown fields survive both conversions.
 func TestSchemasConvertWithoutLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first := map[string]any{
@@ -54,14 +54,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		back, err := record.DecodeService(old)
+		roundTrip, err := record.DecodeService(old)
 		if err != nil {
 			t.Fatal(err)
 		}
 		want, _ := decoded.Encode(record.SchemaV2)
-		got, _ := back.Encode(record.SchemaV2)
+		got, _ := roundTrip.Encode(record.SchemaV2)
 		if string(want.Spec) != string(got.Spec) {
-			t.Fatalf("lost on the way through v1:\n%s\n%s", want.Spec, got.Spec)
+			t.Fatalf("conversion through v1 changed the spec:\n%s\n%s", want.Spec, got.Spec)
 		}
 		if !strings.Contains(string(got.Spec), "fromTheFuture") {
 			t.Fatalf("unknown field lost: %s", got.Spec)
@@ -69,16 +69,16 @@
 	})
 }
 
-// TestBadRecords has one row for each thing that an operator can get wrong.
+// TestBadRecords has one row for each kind of invalid service record.
 func TestBadRecords(t *testing.T) {
 	rows := []struct {
 		name  string
 		spec  string
 		field string
 	}{
-		{"no domains", `{}`, "domains"},
-		{"a domain twice", `{"domains":["a","a"]}`, "domains"},
-		{"a domain's name", `{"domains":["A b"]}`, "domains"},
+		{"domains missing", `{}`, "domains"},
+		{"duplicate domain", `{"domains":["a","a"]}`, "domains"},
+		{"invalid domain name", `{"domains":["A b"]}`, "domains"},
 		{"pages", `{"domains":["a"],"pagesPerDomain":-1}`, "pagesPerDomain"},
 		{"shards", `{"domains":["a"],"shardsPerServer":1000}`, "shardsPerServer"},
 		{"deadline", `{"domains":["a"],"deadlineMillis":100000}`, "deadlineMillis"},
@@ -87,7 +87,7 @@
 		{"fencing", `{"domains":["a"],"fencing":"maybe"}`, "fencing"},
 		{"availability", `{"domains":["a"],"objectives":{"availability":1}}`, "objectives.availability"},
 		{"type", `{"domains":"a"}`, "domains"},
-		{"no JSON", `{`, "spec"},
+		{"invalid JSON", `{`, "spec"},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -105,7 +105,8 @@
 	}
 }
 
-// TestPagesCoverTheHashSpace: every hash has exactly one page and one shard.
+// TestPagesCoverTheHashSpace checks that every hash belongs to a page and that the
+// ranges of adjacent pages have no gap or overlap.
 func TestPagesCoverTheHashSpace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := record.Service{Domains: []string{"a", "b", "c"}, PagesPerDomain: rapid.IntRange(1, 200).Draw(t, "pages")}
@@ -118,15 +119,15 @@
 		if index > 0 {
 			_, before := record.PageRange(index-1, s.PageCount())
 			if before+1 != low {
-				t.Fatalf("gap before page %d", index)
+				t.Fatalf("gap or overlap before page %d", index)
 			}
 		}
 	})
 }
 
-// Symptom: keys of one page are never served, although the domain has servers.
-// Sequence: a service has several pages; servers are dealt out by hash alone.
-// Cause: no server fell to that page.
+// TestEveryPageHasServers guards against a page without servers, whose keys are
+// never served although the domain has servers. This happens if servers are
+// assigned to pages by hash alone.
 func TestEveryPageHasServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pages := rapid.IntRange(1, 60).Draw(t, "pages")
@@ -135,19 +136,19 @@
 		for i := range count {
 			servers = append(servers, record.Server{Name: fmt.Sprintf("s-%d", i)})
 		}
-		filled := make([]int, pages)
+		serverCounts := make([]int, pages)
 		for _, page := range record.Spread(servers, pages) {
-			filled[page]++
+			serverCounts[page]++
 		}
-		least, most := slices.Min(filled), slices.Max(filled)
-		if least < 1 || most > least+1 {
-			t.Fatalf("pages have from %d to %d servers", least, most)
+		fewest, most := slices.Min(serverCounts), slices.Max(serverCounts)
+		if fewest < 1 || most > fewest+1 {
+			t.Fatalf("pages have from %d to %d servers", fewest, most)
 		}
 	})
 }
 
-// TestServersStayWithTheirPages: as servers leave one after another, each takes
-// few others from their pages.
+// TestServersStayWithTheirPages checks that each leaving server causes few others
+// to change pages.
 func TestServersStayWithTheirPages(t *testing.T) {
 	const count, pages, leaving = 200, 20, 60
 	var servers []record.Server
@@ -171,8 +172,8 @@
 	t.Logf("%.1f of %d servers displaced by one that leaves", mean, count)
 }
 
-// FuzzDecode: no record makes a decoder crash, and what is refused is refused
-// with a typed error.
+// FuzzDecode checks that no record crashes a decoder, and that rejected records
+// return a typed error.
 func FuzzDecode(f *testing.F) {
 	f.Add("service", "v1", `{"domains":["a"]}`)
 	f.Add("service", "v2", `{"domains":["a"]}`)
@@ -194,7 +195,7 @@
 			var check *record.CheckError
 			var field *record.FieldError
 			if err != nil && !errors.As(err, &check) && !errors.As(err, &field) {
-				t.Fatalf("error without a type: %T %v", err, err)
+				t.Fatalf("untyped error: %T %v", err, err)
 			}
 		}
 	})
--- a/record/service.go
+++ b/record/service.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// WhenCutOff says what becomes of a failure domain's keys when the domain
-// cannot be reached from the others.
+// WhenCutOff is the policy for the keys of a failure domain that the other domains
+// cannot reach.
 type WhenCutOff string
 
 // The choices of WhenCutOff.
 const (
 	// CutOffStay leaves the keys with the domain until an operator's record
-	// declares the domain lost. The domain goes on serving them without end.
+	// declares the domain lost. The domain serves them without a time limit.
 	CutOffStay WhenCutOff = "stay"
-	// CutOffMove bounds how long the domain may renew without the store, so
-	// that another domain may take the keys after that time.
+	// CutOffMove limits how long the domain may renew leases without access to
+	// the store, so that another domain can take over the keys after that time.
 	CutOffMove WhenCutOff = "move"
 )
 
-// Weigh says which cost placement avoids first.
+// Weigh is the cost that placement minimizes first.
 type Weigh string
 
 // The choices of Weigh.
@@ -30,7 +30,7 @@
 	WeighChurn          Weigh = "churn"
 )
 
-// Fencing says whether the backend servers of a service check tokens.
+// Fencing tells whether the backend servers of a service check fencing tokens.
 type Fencing string
 
 // The choices of Fencing.
@@ -41,11 +41,12 @@
 
 // Objectives are the service-level objectives of a service.
 type Objectives struct {
-	// Availability is the share of requests that must be answered, in (0, 1).
+	// Availability is the fraction of requests that must succeed, in (0, 1).
 	Availability float64 `json:"availability"`
-	// LatencyMillis is the time within which LatencyShare of requests must be answered.
+	// LatencyMillis is the latency that LatencyShare of the requests must not exceed.
 	LatencyMillis int `json:"latencyMillis"`
-	// LatencyShare is in (0, 1).
+	// LatencyShare is the fraction of requests that LatencyMillis applies to, in
+	// (0, 1).
 	LatencyShare float64 `json:"latencyShare"`
 }
 
@@ -55,28 +56,29 @@
 	Name string `json:"-"`
 	// Keyed is true where each key has one owning backend server.
 	Keyed bool `json:"keyed"`
-	// Domains lists the failure domains that the key space is divided among.
+	// Domains lists the failure domains that share the key space.
 	Domains []string `json:"domains"`
 	// PagesPerDomain is the number of assignment pages of each domain.
 	PagesPerDomain int `json:"pagesPerDomain"`
-	// ShardsPerServer is the number of shards that a page starts with, for each server.
+	// ShardsPerServer is the initial number of shards of a page per server.
 	ShardsPerServer int        `json:"shardsPerServer"`
 	WhenCutOff      WhenCutOff `json:"whenCutOff"`
 	Weigh           Weigh      `json:"weigh"`
 	Fencing         Fencing    `json:"fencing"`
-	// WaitForOperator keeps a key of an unchecked, unreachable owner without a
-	// new owner until an operator's record declares that server lost.
+	// WaitForOperator prevents a key of an unreachable owner that does not check
+	// tokens from getting a new owner until an operator's record declares that
+	// server lost.
 	WaitForOperator bool `json:"waitForOperator"`
-	// DeadlineMillis is the deadline of a request that brings none, and the
-	// longest that a request may ask for.
+	// DeadlineMillis is the default deadline of a request and the longest one
+	// that a request may set.
 	DeadlineMillis int        `json:"deadlineMillis"`
 	Objectives     Objectives `json:"objectives"`
 
 	extra map[string]json.RawMessage
 }
 
-// serviceV1 is the old layout: one fencing flag, a deadline in seconds and the
-// availability objective in percent, without latency.
+// serviceV1 is the v1 layout. It has boolean flags for the policies, a deadline in
+// seconds, and an availability objective in percent, but no latency objective.
 type serviceV1 struct {
 	Keyed           bool     `json:"keyed"`
 	Domains         []string `json:"domains"`
@@ -89,8 +91,8 @@
 	Availability    float64  `json:"availabilityPercent"`
 }
 
-// v1 keeps what only v2 can say under this key, so that a v1 writer's edit
-// does not drop a v2 writer's choices.
+// v2OnlyKey is the field of a v1 spec that holds the settings that only v2 has, so
+// that an edit by a v1 writer does not drop them.
 const v2OnlyKey = "v2Only"
 
 // v2Only is the part of a service that the v1 layout has no field for.
@@ -98,11 +100,11 @@
 	WaitForOperator bool    `json:"waitForOperator"`
 	LatencyMillis   int     `json:"latencyMillis"`
 	LatencyShare    float64 `json:"latencyShare"`
-	// Availability is the exact share that the percentage was made from.
+	// Availability is the exact fraction, because the percentage may be rounded.
 	Availability float64 `json:"availability"`
 }
 
-// Defaults of fields that a service record may leave out.
+// Defaults of optional fields of a service.
 const (
 	defaultPages         = 1
 	defaultShards        = 8
@@ -119,7 +121,7 @@
 	maxDeadlineMillis = 60_000
 )
 
-// DecodeService reads a service of either schema and checks it.
+// DecodeService decodes a service of either schema and checks it.
 func DecodeService(e Envelope) (Service, error) {
 	service := Service{Name: e.Name}
 	var err error
@@ -154,9 +156,9 @@
 	if err != nil {
 		return err
 	}
-	var newer v2Only
+	var v2Fields v2Only
 	if raw, ok := extra[v2OnlyKey]; ok {
-		if err := json.Unmarshal(raw, &newer); err != nil {
+		if err := json.Unmarshal(raw, &v2Fields); err != nil {
 			return &FieldError{Record: e.Ref(), Field: v2OnlyKey, Value: string(raw), Fix: err.Error()}
 		}
 		delete(extra, v2OnlyKey)
@@ -171,17 +173,17 @@
 	service.Fencing = pick(old.ChecksTokens, FencingChecked, FencingUnchecked)
 	service.DeadlineMillis = int(old.DeadlineSeconds * float64(time.Second/time.Millisecond))
 	service.Objectives.Availability = old.Availability / 100
-	if newer.Availability*100 == old.Availability {
-		service.Objectives.Availability = newer.Availability
+	if v2Fields.Availability*100 == old.Availability {
+		service.Objectives.Availability = v2Fields.Availability
 	}
-	service.WaitForOperator = newer.WaitForOperator
-	service.Objectives.LatencyMillis = newer.LatencyMillis
-	service.Objectives.LatencyShare = newer.LatencyShare
+	service.WaitForOperator = v2Fields.WaitForOperator
+	service.Objectives.LatencyMillis = v2Fields.LatencyMillis
+	service.Objectives.LatencyShare = v2Fields.LatencyShare
 	return nil
 }
 
-// Encode writes the service in the given schema. Fields that this build does
-// not know are written back as they were read.
+// Encode returns the service's record in the given schema. Unknown fields are
+// written unchanged.
 func (s Service) Encode(schema Schema) (Envelope, error) {
 	envelope := Envelope{Kind: KindService, Name: s.Name, Schema: schema}
 	var err error
@@ -208,7 +210,7 @@
 		DeadlineSeconds: float64(s.DeadlineMillis) / 1000,
 		Availability:    s.Objectives.Availability * 100,
 	}
-	newer, err := json.Marshal(v2Only{
+	v2Fields, err := json.Marshal(v2Only{
 		WaitForOperator: s.WaitForOperator,
 		LatencyMillis:   s.Objectives.LatencyMillis,
 		LatencyShare:    s.Objectives.LatencyShare,
@@ -217,7 +219,7 @@
 	if err != nil {
 		return nil, err
 	}
-	extra := map[string]json.RawMessage{v2OnlyKey: newer}
+	extra := map[string]json.RawMessage{v2OnlyKey: v2Fields}
 	for name, raw := range s.extra {
 		extra[name] = raw
 	}
@@ -251,18 +253,18 @@
 	c.require(s.WhenCutOff == CutOffStay || s.WhenCutOff == CutOffMove, "whenCutOff", string(s.WhenCutOff), "use stay or move")
 	c.require(s.Weigh == WeighUnavailability || s.Weigh == WeighChurn, "weigh", string(s.Weigh), "use unavailability or churn")
 	c.require(s.Fencing == FencingChecked || s.Fencing == FencingUnchecked, "fencing", string(s.Fencing), "use checked or unchecked")
-	c.require(share(s.Objectives.Availability), "objectives.availability", fmt.Sprint(s.Objectives.Availability), "use a share above 0 and below 1, such as 0.999")
-	c.require(share(s.Objectives.LatencyShare), "objectives.latencyShare", fmt.Sprint(s.Objectives.LatencyShare), "use a share above 0 and below 1, such as 0.99")
+	c.require(share(s.Objectives.Availability), "objectives.availability", fmt.Sprint(s.Objectives.Availability), "use a fraction above 0 and below 1, such as 0.999")
+	c.require(share(s.Objectives.LatencyShare), "objectives.latencyShare", fmt.Sprint(s.Objectives.LatencyShare), "use a fraction above 0 and below 1, such as 0.99")
 	c.require(s.Objectives.LatencyMillis > 0, "objectives.latencyMillis", fmt.Sprint(s.Objectives.LatencyMillis), "use at least 1")
 	return c.err()
 }
 
-// Deadline returns the service's longest and default request deadline.
+// Deadline returns the default and maximum deadline of a request.
 func (s Service) Deadline() time.Duration {
 	return time.Duration(s.DeadlineMillis) * time.Millisecond
 }
 
-func within(value, most int) bool { return value >= 1 && value <= most }
+func within(value, limit int) bool { return value >= 1 && value <= limit }
 
 func share(value float64) bool { return value > 0 && value < 1 }
 
--- a/record/spec.go
+++ b/record/spec.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// decodeSpec fills target from the envelope's spec and returns the fields that
-// target has no place for.
+// decodeSpec decodes the envelope's spec into target and returns the fields that
+// target does not define.
 func decodeSpec(e Envelope, target any) (map[string]json.RawMessage, error) {
 	spec := e.Spec
 	if len(bytes.TrimSpace(spec)) == 0 {
@@ -44,7 +44,8 @@
 	return value[:shownValueLength] + "..."
 }
 
-// encodeSpec writes the known fields of value together with the extra ones.
+// encodeSpec encodes the fields of value together with the extra fields. On a name
+// clash the field of value wins.
 func encodeSpec(value any, extra map[string]json.RawMessage) (json.RawMessage, error) {
 	known, err := json.Marshal(value)
 	if err != nil {
@@ -58,7 +59,7 @@
 		return nil, err
 	}
 	for name, raw := range extra {
-		if _, taken := all[name]; !taken {
+		if _, exists := all[name]; !exists {
 			all[name] = raw
 		}
 	}
--- a/record/spread.go
+++ b/record/spread.go
@@ -7,14 +7,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Spread divides a failure domain's servers among that domain's pages of a
-// service, so that every page has as many servers as another, give or take one.
-// All of a server's shards lie in its page, so that one dispatch router knows
-// all that the server runs. Each server goes to the page that it ranks first by
-// rendezvous hashing and that has room; a server that joins or leaves displaces
-// few others.
+// Spread assigns a failure domain's servers to that domain's pages of a service.
+// The numbers of servers of two pages differ by at most one. A server has shards
+// of its own page only, so that one dispatch router knows all requests that the
+// server runs. Each server is assigned to the highest-ranked page by rendezvous
+// hashing that has room, so that a server that joins or leaves displaces few
+// others.
 //
-// It returns the index of the page, counted within the domain, of each server.
+// It returns the index of each server's page within the domain, by server name.
 func Spread(servers []Server, pages int) map[string]int {
 	placed := make(map[string]int, len(servers))
 	order := slices.Clone(servers)
@@ -23,19 +23,20 @@
 	})
 	room := len(order) / pages
 	filled := make([]int, pages)
-	var left []Server
+	var unassigned []Server
 	for _, server := range order {
 		if !place(server, room, filled, placed) {
-			left = append(left, server)
+			unassigned = append(unassigned, server)
 		}
 	}
-	for _, server := range left {
+	for _, server := range unassigned {
 		place(server, room+1, filled, placed)
 	}
 	return placed
 }
 
-// place puts a server on its best page that has room.
+// place assigns a server to its highest-ranked page with fewer than room servers,
+// and reports whether there is one.
 func place(server Server, room int, filled []int, placed map[string]int) bool {
 	seed := xxhash.Sum64String(server.Name)
 	best, bestScore := -1, uint64(0)
@@ -53,7 +54,8 @@
 	return true
 }
 
-// mix scores a server and page; both factors are odd, as in splitmix64.
+// mix returns the rendezvous hash of a server and a page. It uses the constants and
+// shifts of splitmix64, whose multipliers are odd and therefore lose no bits.
 func mix(seed, page uint64) uint64 {
 	x := seed + (page+1)*0x9e3779b97f4a7c15
 	x ^= x >> 30
