--- a/cmd/cicadactl/commands.go
+++ b/cmd/cicadactl/commands.go
@@ -163,7 +163,7 @@
 
 // asUsage marks errors in the records as the operator's to mend.
 func asUsage(err error) error {
-	var check *record.CheckError
+	var check *record.ValidationError
 	var field *record.FieldError
 	if errors.As(err, &check) || errors.As(err, &field) {
 		return &program.InputError{Cause: err}
--- a/cmd/cicadactl/hosted.go
+++ b/cmd/cicadactl/hosted.go
@@ -80,16 +80,16 @@
 func readHosted(ctx context.Context, store objects.Store) (*hostedState, error) {
 	registry := platform.Registry{}
 	state := &hostedState{Assignments: map[string]hostedKeys{}, Evacuated: map[string]*hostedEvacuation{}, Quarantines: map[string]gateway.Quarantine{}}
-	object, err := store.Get(ctx, registry.Configurations(), registry.Current())
+	object, err := store.Get(ctx, registry.ConfigurationKind(), registry.ConfigurationName())
 	if err != nil {
 		return nil, eris.Wrap(err, "reading the configuration")
 	}
-	configuration, err := registry.Configuration(object)
+	configuration, err := registry.DecodeConfiguration(object)
 	if err != nil {
 		return nil, eris.Wrap(err, "the configuration in the store is not valid")
 	}
 	state.Configuration = configuration.Version
-	servers, err := store.List(ctx, registry.Servers())
+	servers, err := store.List(ctx, registry.ServerKind())
 	if err != nil {
 		return nil, eris.Wrap(err, "reading the registry")
 	}
@@ -101,7 +101,7 @@
 	for _, record := range records.Objects {
 		state.add(record)
 	}
-	evacuations, err := store.List(ctx, registry.Evacuations())
+	evacuations, err := store.List(ctx, registry.EvacuationKind())
 	if err != nil {
 		return nil, eris.Wrap(err, "reading the evacuations")
 	}
@@ -130,7 +130,7 @@
 func (s *hostedState) evacuate(evacuations, servers objects.Listing) {
 	registry := platform.Registry{}
 	for _, object := range evacuations.Objects {
-		domain, err := registry.Evacuation(object)
+		domain, err := registry.DecodeEvacuation(object)
 		if err != nil {
 			s.Faults = append(s.Faults, err.Error())
 			continue
@@ -139,7 +139,7 @@
 	}
 	within := map[string]*hostedEvacuation{} // by server
 	for _, object := range servers.Objects {
-		server, err := registry.Server(object)
+		server, err := registry.DecodeServer(object)
 		if evacuation := s.Evacuated[server.Domain]; err == nil && evacuation != nil {
 			evacuation.Servers++
 			within[server.ID] = evacuation
@@ -173,7 +173,7 @@
 		byName[name] = &hostedService{Name: name, Keyed: service.Keyed}
 	}
 	for _, object := range listing.Objects {
-		server, err := platform.Registry{}.Server(object)
+		server, err := platform.Registry{}.DecodeServer(object)
 		if err != nil {
 			s.Faults = append(s.Faults, err.Error())
 			continue
--- a/contract/adapter/adapter.go
+++ b/contract/adapter/adapter.go
@@ -19,8 +19,8 @@
 type Request struct {
 	// ID identifies this attempt of the caller.
 	ID string
-	// Patience is how long the caller waits from now, or 0 if it sets no limit.
-	Patience time.Duration
+	// Timeout is how long the caller waits from now, or 0 if it sets no limit.
+	Timeout time.Duration
 	// Key is the request's key. It is valid if HasKey is set.
 	Key    uint16
 	HasKey bool
@@ -30,8 +30,8 @@
 type Dispatch struct {
 	// Server is the ID of the server that the request is addressed to.
 	Server string
-	// Patience is the time after which the response is no longer useful.
-	Patience time.Duration
+	// Timeout is the time after which the response is no longer useful.
+	Timeout time.Duration
 }
 
 // Answer is the metadata of a backend server's response.
@@ -45,8 +45,8 @@
 	// server, or empty if unknown.
 	Misdirected bool
 	Server      string
-	// Proven is set if the response has a signature. The signature is not verified.
-	Proven bool
+	// HasSignature is set if the response has a signature. The signature is not verified.
+	HasSignature bool
 	Notice
 }
 
@@ -86,21 +86,21 @@
 // operator's configuration, and decodes them. Errors are of type *FieldError or
 // *routing.InvalidError; the caller then ignores the object.
 type Registry interface {
-	// Servers returns the kind of the servers' entries.
-	Servers() string
-	// Server decodes a server's entry.
-	Server(object objects.Object) (fleet.Server, error)
-	// Configurations returns the kind of the operator's configuration, and Current
-	// the name of the object that holds the latest one.
-	Configurations() string
-	Current() string
-	// Evacuations returns the kind of the operators' requests to evacuate a failure
-	// domain, whose servers then get no requests. Evacuation returns the domain
-	// that such an object names.
-	Evacuations() string
-	Evacuation(object objects.Object) (domain string, err error)
-	// Configuration decodes the operator's configuration.
-	Configuration(object objects.Object) (*routing.Configuration, error)
+	// ServerKind returns the kind of the servers' entries.
+	ServerKind() string
+	// DecodeServer decodes a server's entry.
+	DecodeServer(object objects.Object) (fleet.Server, error)
+	// ConfigurationKind returns the kind of the operator's configuration, and
+	// ConfigurationName the name of the object that holds the latest one.
+	ConfigurationKind() string
+	ConfigurationName() string
+	// EvacuationKind returns the kind of the operators' requests to evacuate a failure
+	// domain, whose servers then get no requests. DecodeEvacuation returns the
+	// domain that such an object names.
+	EvacuationKind() string
+	DecodeEvacuation(object objects.Object) (domain string, err error)
+	// DecodeConfiguration decodes the operator's configuration.
+	DecodeConfiguration(object objects.Object) (*routing.Configuration, error)
 }
 
 // Grant assigns a range of keys to a server or renews its lease.
@@ -125,13 +125,13 @@
 	return fmt.Sprintf("server %s has seen a higher token than %d", e.Server, e.Token)
 }
 
-// OtherServerError reports that another server responds at a server's address, so
+// WrongServerError reports that another server responds at a server's address, so
 // that the wanted server no longer runs there.
-type OtherServerError struct{ Wanted, Found string }
+type WrongServerError struct{ Expected, Actual string }
 
 // Error implements error.
-func (e *OtherServerError) Error() string {
-	return fmt.Sprintf("server %s responds at the address of %s", e.Found, e.Wanted)
+func (e *WrongServerError) Error() string {
+	return fmt.Sprintf("server %s responds at the address of %s", e.Actual, e.Expected)
 }
 
 // Backend is a backend server with the settings that calls to it need.
@@ -142,7 +142,7 @@
 }
 
 // Keys assigns keys to backend servers and takes them back. After an error other
-// than StaleTokenError and OtherServerError, the call may or may not have taken
+// than StaleTokenError and WrongServerError, the call may or may not have taken
 // effect, but it cannot reach the server after it has returned. A notice that is
 // returned with an error is valid.
 type Keys interface {
@@ -157,10 +157,10 @@
 
 // Health is a backend server's response to a probe.
 type Health struct {
-	// TellsCold is set if the server reports how long its cold start will still take,
+	// ReportsCold is set if the server reports how long its cold start will still take,
 	// which is ColdFor.
-	TellsCold bool
-	ColdFor   time.Duration
+	ReportsCold bool
+	ColdFor     time.Duration
 	// Healthy is set if the server considers itself healthy and is not leaving.
 	Healthy bool
 	Notice
--- a/contract/backend/backend.go
+++ b/contract/backend/backend.go
@@ -71,12 +71,12 @@
 // may not have been accepted.
 var ErrUnreachable = errors.New("no valid response from the backend server")
 
-// OtherServerError reports that another server responds at a server's address.
-type OtherServerError struct{ Wanted, Found string }
+// WrongServerError reports that another server responds at a server's address.
+type WrongServerError struct{ Expected, Actual string }
 
 // Error implements error.
-func (e *OtherServerError) Error() string {
-	return fmt.Sprintf("server %q responds at the address of %q", e.Found, e.Wanted)
+func (e *WrongServerError) Error() string {
+	return fmt.Sprintf("server %q responds at the address of %q", e.Actual, e.Expected)
 }
 
 // Control is a controller's interface to one backend server. Implementations are
--- a/contract/backend/client.go
+++ b/contract/backend/client.go
@@ -66,7 +66,7 @@
 		return Report{}, &UnreachableError{Server: c.name, Cause: err}
 	}
 	if report.Server != c.name {
-		return Report{}, &OtherServerError{Wanted: c.name, Found: report.Server}
+		return Report{}, &WrongServerError{Expected: c.name, Actual: report.Server}
 	}
 	return report, nil
 }
--- a/contract/backend/conformance/conformance.go
+++ b/contract/backend/conformance/conformance.go
@@ -26,9 +26,9 @@
 }
 
 const (
-	page = "test.0"
-	key  = "key"
-	term = time.Minute
+	page          = "test.0"
+	key           = "key"
+	leaseDuration = time.Minute
 )
 
 // Checked tests a server that checks tokens.
@@ -48,12 +48,12 @@
 		}},
 		{"requests are refused after the grant has expired", func(t *testing.T, s Server) {
 			s.grant(t, 1, 5)
-			s.Advance(term)
+			s.Advance(leaseDuration)
 			assert.Equal(t, s.Request(key, page, 5), backend.RefusedToken)
 		}},
 		{"an older generation is refused", func(t *testing.T, s Server) {
 			s.grant(t, 2, 5)
-			report := s.offer(t, 1, 4)
+			report := s.offerGrant(t, 1, 4)
 			assert.Equal(t, report.Refusal, ownership.RefusedGeneration)
 			assert.Equal(t, s.Request(key, page, 4), backend.RefusedToken)
 		}},
@@ -62,7 +62,7 @@
 			report, err := s.Control.Report(context.Background(), page)
 			assert.NilError(t, err)
 			_, err = s.Control.Grant(context.Background(), ownership.Grant{
-				Page: page, Generation: 2, Incarnation: report.Incarnation, Expiry: report.Clock + term, Complete: true,
+				Page: page, Generation: 2, Incarnation: report.Incarnation, Expiry: report.Clock + leaseDuration, Complete: true,
 			})
 			assert.NilError(t, err)
 			assert.Equal(t, s.Request(key, page, 5), backend.RefusedToken)
@@ -71,7 +71,7 @@
 			report, err := s.Control.Report(context.Background(), page)
 			assert.NilError(t, err)
 			report, err = s.Control.Grant(context.Background(), ownership.Grant{
-				Page: page, Generation: 1, Incarnation: report.Incarnation + 1, Expiry: report.Clock + term, Complete: true,
+				Page: page, Generation: 1, Incarnation: report.Incarnation + 1, Expiry: report.Clock + leaseDuration, Complete: true,
 			})
 			assert.NilError(t, err)
 			assert.Equal(t, report.Refusal, ownership.RefusedIncarnation)
@@ -80,11 +80,11 @@
 			s.grant(t, 1, 5)
 			report, err := s.Control.Report(context.Background(), page)
 			assert.NilError(t, err)
-			renewal := ownership.Grant{Page: page, Generation: 1, Incarnation: report.Incarnation, Expiry: report.Clock + 2*term}
+			renewal := ownership.Grant{Page: page, Generation: 1, Incarnation: report.Incarnation, Expiry: report.Clock + 2*leaseDuration}
 			report, err = s.Control.Grant(context.Background(), renewal)
 			assert.NilError(t, err)
 			assert.Equal(t, report.Refusal, ownership.RefusalReason(""))
-			s.Advance(term)
+			s.Advance(leaseDuration)
 			assert.Equal(t, s.Request(key, page, 5), backend.Refusal(""))
 			renewal.Generation = 2
 			report, err = s.Control.Grant(context.Background(), renewal)
@@ -104,8 +104,8 @@
 	})
 }
 
-// offer sends a grant of the key under the token and returns the report.
-func (s Server) offer(t *testing.T, generation, token uint64) backend.Report {
+// offerGrant sends a grant of the key under the token and returns the report.
+func (s Server) offerGrant(t *testing.T, generation, token uint64) backend.Report {
 	t.Helper()
 	before, err := s.Control.Report(context.Background(), page)
 	assert.NilError(t, err)
@@ -114,7 +114,7 @@
 		Page:        page,
 		Generation:  generation,
 		Incarnation: before.Incarnation,
-		Expiry:      before.Clock + term,
+		Expiry:      before.Clock + leaseDuration,
 		Shards:      []ownership.HeldShard{{Low: hash, High: hash, Token: token}},
 		Complete:    true,
 	})
@@ -124,7 +124,7 @@
 
 func (s Server) grant(t *testing.T, generation, token uint64) {
 	t.Helper()
-	report := s.offer(t, generation, token)
+	report := s.offerGrant(t, generation, token)
 	assert.Equal(t, report.Refusal, ownership.RefusalReason(""))
 	assert.Equal(t, report.Generation, generation)
 }
--- a/contract/caller/caller.go
+++ b/contract/caller/caller.go
@@ -61,21 +61,21 @@
 
 // The reasons.
 const (
-	ReasonBadRequest      Reason = "bad-request"
-	ReasonUnknownService  Reason = "unknown-service"
-	ReasonOverload        Reason = "overload"
-	ReasonDeadline        Reason = "deadline"
-	ReasonNoOwner         Reason = "no-owner"
-	ReasonNoDispatcher    Reason = "no-dispatcher"
-	ReasonUnreachable     Reason = "unreachable"
-	ReasonShed            Reason = "shed"
-	ReasonStopping        Reason = "stopping"
-	ReasonConnectionLost  Reason = "connection-lost"
-	ReasonAnswerTooLarge  Reason = "answer-too-large"
-	ReasonMaybeRunBefore  Reason = "earlier-attempt-may-have-run"
-	ReasonRunning         Reason = "earlier-attempt-running"
-	ReasonCancelled       Reason = "cancelled"
-	ReasonForeignResponse Reason = "answer-to-another-request"
+	ReasonBadRequest               Reason = "bad-request"
+	ReasonUnknownService           Reason = "unknown-service"
+	ReasonOverload                 Reason = "overload"
+	ReasonDeadline                 Reason = "deadline"
+	ReasonNoOwner                  Reason = "no-owner"
+	ReasonNoDispatcher             Reason = "no-dispatcher"
+	ReasonUnreachable              Reason = "unreachable"
+	ReasonShed                     Reason = "shed"
+	ReasonStopping                 Reason = "stopping"
+	ReasonConnectionLost           Reason = "connection-lost"
+	ReasonAnswerTooLarge           Reason = "answer-too-large"
+	ReasonEarlierAttemptMayHaveRun Reason = "earlier-attempt-may-have-run"
+	ReasonEarlierAttemptRunning    Reason = "earlier-attempt-running"
+	ReasonCancelled                Reason = "cancelled"
+	ReasonMismatchedResponse       Reason = "answer-to-another-request"
 )
 
 // HeaderError reports an invalid header of a caller's request.
@@ -90,16 +90,16 @@
 	return fmt.Sprintf("header %s has value %q: %s", e.Header, e.Value, e.Fix)
 }
 
-// Limits of header values. Lengths are in bytes; maxShown limits the part of a
-// value that an error message quotes.
+// Limits of header values. Lengths are in bytes; maxQuotedValueLength limits the
+// part of a value that an error message quotes.
 const (
-	MaxKeyLength = 512
-	MaxAttempt   = 1000
-	maxShown     = 64
+	MaxKeyLength         = 512
+	MaxAttempt           = 1000
+	maxQuotedValueLength = 64
 )
 
-// Meta is the metadata in the headers of a caller's request.
-type Meta struct {
+// Metadata holds the parsed headers of a caller's request.
+type Metadata struct {
 	Key        string
 	ID         uuid.UUID
 	Attempt    int
@@ -107,38 +107,38 @@
 	// Deadline is the remaining time, or 0 if the caller does not set it.
 	Deadline time.Duration
 	Caller   string
-	// Minted is set if the ID was generated here because the caller sent none.
-	Minted bool
+	// IDGenerated is set if the ID was generated here because the caller sent none.
+	IDGenerated bool
 }
 
-// ParseMeta parses a request's headers. It returns a *HeaderError if one is invalid.
-func ParseMeta(method string, header http.Header) (Meta, error) {
-	meta := Meta{Key: header.Get(HeaderKey), Caller: header.Get(HeaderCaller), Attempt: 1}
+// ParseMetadata parses a request's headers. It returns a *HeaderError if one is invalid.
+func ParseMetadata(method string, header http.Header) (Metadata, error) {
+	meta := Metadata{Key: header.Get(HeaderKey), Caller: header.Get(HeaderCaller), Attempt: 1}
 	if len(meta.Key) > MaxKeyLength {
-		return Meta{}, headerError(HeaderKey, meta.Key, "use at most 512 bytes")
+		return Metadata{}, headerError(HeaderKey, meta.Key, "use at most 512 bytes")
 	}
 	if len(meta.Caller) > MaxKeyLength {
-		return Meta{}, headerError(HeaderCaller, meta.Caller, "use at most 512 bytes")
+		return Metadata{}, headerError(HeaderCaller, meta.Caller, "use at most 512 bytes")
 	}
-	for _, parse := range []func(*Meta, string, http.Header) error{parseID, parseAttempt, parseIdempotent, parseDeadline} {
+	for _, parse := range []func(*Metadata, string, http.Header) error{parseID, parseAttempt, parseIdempotent, parseDeadline} {
 		if err := parse(&meta, method, header); err != nil {
-			return Meta{}, err
+			return Metadata{}, err
 		}
 	}
 	return meta, nil
 }
 
 func headerError(name, value, fix string) error {
-	if len(value) > maxShown {
-		value = value[:maxShown] + "..."
+	if len(value) > maxQuotedValueLength {
+		value = value[:maxQuotedValueLength] + "..."
 	}
 	return &HeaderError{Header: name, Value: value, Fix: fix}
 }
 
-func parseID(meta *Meta, _ string, header http.Header) error {
+func parseID(meta *Metadata, _ string, header http.Header) error {
 	text := header.Get(HeaderRequestID)
 	if text == "" {
-		meta.Minted = true
+		meta.IDGenerated = true
 		meta.ID = uuid.Must(uuid.NewV7())
 		return nil
 	}
@@ -151,7 +151,7 @@
 	return nil
 }
 
-func parseAttempt(meta *Meta, _ string, header http.Header) error {
+func parseAttempt(meta *Metadata, _ string, header http.Header) error {
 	text := header.Get(HeaderAttempt)
 	if text == "" {
 		return nil
@@ -160,14 +160,14 @@
 	if err != nil || attempt < 1 || attempt > MaxAttempt {
 		return headerError(HeaderAttempt, text, "use a whole number from 1 to 1000")
 	}
-	if attempt > 1 && meta.Minted {
+	if attempt > 1 && meta.IDGenerated {
 		return headerError(HeaderAttempt, text, "send the "+HeaderRequestID+" of the first attempt with each retry")
 	}
 	meta.Attempt = attempt
 	return nil
 }
 
-func parseIdempotent(meta *Meta, method string, header http.Header) error {
+func parseIdempotent(meta *Metadata, method string, header http.Header) error {
 	switch text := header.Get(HeaderIdempotent); text {
 	case "":
 		meta.Idempotent = method == http.MethodGet || method == http.MethodHead
@@ -181,7 +181,7 @@
 	return nil
 }
 
-func parseDeadline(meta *Meta, _ string, header http.Header) error {
+func parseDeadline(meta *Metadata, _ string, header http.Header) error {
 	text := header.Get(HeaderDeadlineMs)
 	if text == "" {
 		return nil
@@ -195,9 +195,9 @@
 	return nil
 }
 
-// BirthTime returns the timestamp of a version 7 UUID, which is the time at which
+// IDTime returns the timestamp of a version 7 UUID, which is the time at which
 // it was generated by the clock of its generator.
-func BirthTime(id uuid.UUID) time.Time {
+func IDTime(id uuid.UUID) time.Time {
 	var millis int64
 	const timestampBytes = 6
 	for _, part := range id[:timestampBytes] {
--- a/contract/objects/conformance/conformance.go
+++ b/contract/objects/conformance/conformance.go
@@ -15,8 +15,8 @@
 	"cicadarouter/contract/objects"
 )
 
-// patience is the longest time that a test waits for an expected event.
-const patience = 10 * time.Second
+// eventTimeout is the longest time that a test waits for an expected event.
+const eventTimeout = 10 * time.Second
 
 const kind = "things"
 
@@ -29,7 +29,7 @@
 		{"an object is created once", createdOnce},
 		{"a put needs the current revision", putNeedsRevision},
 		{"a put of a missing object fails", putMissing},
-		{"exactly one of several concurrent puts succeeds", oneRivalWins},
+		{"exactly one of several concurrent puts succeeds", oneConcurrentPutSucceeds},
 		{"a read returns an acknowledged put", readAfterPut},
 		{"a missing object returns a not-found error", missing},
 		{"a list returns one kind without deleted objects", listOneKind},
@@ -55,7 +55,7 @@
 	return objects.Object{Kind: kind, Name: name, Revision: revision, Spec: []byte(fmt.Sprintf(`{"text":%q}`, text))}
 }
 
-func conflict(t *testing.T, err error) *objects.ConflictError {
+func requireConflict(t *testing.T, err error) *objects.ConflictError {
 	t.Helper()
 	var found *objects.ConflictError
 	assert.Assert(t, errors.As(err, &found), "want a conflict, got %v", err)
@@ -65,7 +65,7 @@
 func createdOnce(t *testing.T, store objects.Store) {
 	first := put(t, store, kind, "x", "one", 0)
 	_, err := store.Put(context.Background(), thing(kind, "x", "two", 0))
-	found := conflict(t, err)
+	found := requireConflict(t, err)
 	assert.Equal(t, found.Current.Revision, first.Revision)
 	assert.Equal(t, string(found.Current.Spec), `{"text":"one"}`)
 }
@@ -75,7 +75,7 @@
 	second := put(t, store, kind, "x", "two", first.Revision)
 	assert.Assert(t, second.Revision > first.Revision)
 	_, err := store.Put(context.Background(), thing(kind, "x", "three", first.Revision))
-	assert.Equal(t, conflict(t, err).Current.Revision, second.Revision)
+	assert.Equal(t, requireConflict(t, err).Current.Revision, second.Revision)
 }
 
 func putMissing(t *testing.T, store objects.Store) {
@@ -83,7 +83,7 @@
 	assert.Assert(t, errors.Is(err, objects.ErrNotFound), "got %v", err)
 }
 
-func oneRivalWins(t *testing.T, store objects.Store) {
+func oneConcurrentPutSucceeds(t *testing.T, store objects.Store) {
 	const writers = 8
 	first := put(t, store, kind, "x", "start", 0)
 	succeeded := make(chan struct{}, writers)
@@ -138,7 +138,7 @@
 	put(t, store, "others", "z", "", 0)
 	y := put(t, store, kind, "y", "two", 0)
 	assert.NilError(t, store.Delete(context.Background(), kind, "x", x.Revision))
-	listing, err := store.Watch(context.Background(), kind, x.Revision, patience)
+	listing, err := store.Watch(context.Background(), kind, x.Revision, eventTimeout)
 	assert.NilError(t, err)
 	assert.Equal(t, len(listing.Objects), 2)
 	assert.Equal(t, listing.Objects[0].Revision, y.Revision)
@@ -150,7 +150,7 @@
 	x := put(t, store, kind, "x", "one", 0)
 	seen := make(chan objects.Listing, 1)
 	go func() {
-		listing, err := store.Watch(context.Background(), kind, x.Revision, patience)
+		listing, err := store.Watch(context.Background(), kind, x.Revision, eventTimeout)
 		if err == nil {
 			seen <- listing
 		}
--- a/contract/objects/memobjects/memobjects.go
+++ b/contract/objects/memobjects/memobjects.go
@@ -15,16 +15,16 @@
 )
 
 // Store is an in-memory store. It is safe for concurrent use.
-type Store struct{ kept *memstore.Store }
+type Store struct{ store *memstore.Store }
 
 var _ objects.Store = (*Store)(nil)
 
 // New returns an empty store.
-func New() *Store { return &Store{kept: memstore.New()} }
+func New() *Store { return &Store{store: memstore.New()} }
 
 func ref(kind, name string) record.Ref { return record.Ref{Kind: record.Kind(kind), Name: name} }
 
-func object(from platform.Object) objects.Object {
+func fromPlatform(from platform.Object) objects.Object {
 	return objects.Object{Kind: string(from.Kind), Name: from.Name, Revision: from.Version,
 		Spec: json.RawMessage(from.Spec), Deleted: from.Deleted}
 }
@@ -33,28 +33,28 @@
 func (s *Store) Stale() objects.Reader { return s }
 
 // Copy returns an independent copy of the store.
-func (s *Store) Copy() *Store { return &Store{kept: s.kept.Copy()} }
+func (s *Store) Copy() *Store { return &Store{store: s.store.Copy()} }
 
 // Get implements objects.Store.
 func (s *Store) Get(ctx context.Context, kind, name string) (objects.Object, error) {
-	found, err := s.kept.Get(ctx, ref(kind, name))
+	found, err := s.store.Get(ctx, ref(kind, name))
 	if err != nil {
-		return objects.Object{}, translate(err)
+		return objects.Object{}, translateError(err)
 	}
-	return object(found), nil
+	return fromPlatform(found), nil
 }
 
 // List implements objects.Store.
 func (s *Store) List(ctx context.Context, kind string) (objects.Listing, error) {
-	snapshot, err := s.kept.List(ctx)
-	return ofKind(snapshot, kind), err
+	snapshot, err := s.store.List(ctx)
+	return filterByKind(snapshot, kind), err
 }
 
-func ofKind(snapshot platform.Snapshot, kind string) objects.Listing {
+func filterByKind(snapshot platform.Snapshot, kind string) objects.Listing {
 	listing := objects.Listing{Revision: snapshot.Revision}
 	for _, stored := range snapshot.Objects {
 		if string(stored.Kind) == kind {
-			listing.Objects = append(listing.Objects, object(stored))
+			listing.Objects = append(listing.Objects, fromPlatform(stored))
 		}
 	}
 	return listing
@@ -68,9 +68,9 @@
 			return objects.Object{}, err
 		}
 	}
-	version, err := s.kept.Update(ctx, envelope, updated.Revision)
+	version, err := s.store.Update(ctx, envelope, updated.Revision)
 	if err != nil {
-		return objects.Object{}, translate(err)
+		return objects.Object{}, translateError(err)
 	}
 	updated.Revision = version
 	return updated, nil
@@ -78,18 +78,18 @@
 
 // Delete implements objects.Store.
 func (s *Store) Delete(ctx context.Context, kind, name string, revision uint64) error {
-	return translate(s.kept.Delete(ctx, ref(kind, name), revision))
+	return translateError(s.store.Delete(ctx, ref(kind, name), revision))
 }
 
 // Watch implements objects.Store.
 func (s *Store) Watch(ctx context.Context, kind string, revision uint64, wait time.Duration) (objects.Listing, error) {
 	deadline := time.Now().Add(wait)
 	for {
-		snapshot, err := s.kept.Watch(ctx, revision, time.Until(deadline))
+		snapshot, err := s.store.Watch(ctx, revision, time.Until(deadline))
 		if err != nil {
-			return objects.Listing{}, translate(err)
+			return objects.Listing{}, translateError(err)
 		}
-		listing := ofKind(snapshot, kind)
+		listing := filterByKind(snapshot, kind)
 		if len(listing.Objects) > 0 || len(snapshot.Objects) == 0 {
 			return listing, nil
 		}
@@ -97,10 +97,10 @@
 	}
 }
 
-func translate(err error) error {
+func translateError(err error) error {
 	var conflict *platform.ConflictError
 	if errors.As(err, &conflict) {
-		return &objects.ConflictError{Kind: string(conflict.Ref.Kind), Name: conflict.Ref.Name, Given: conflict.Given, Current: object(conflict.Current)}
+		return &objects.ConflictError{Kind: string(conflict.Ref.Kind), Name: conflict.Ref.Name, Expected: conflict.Expected, Current: fromPlatform(conflict.Current)}
 	}
 	var missing *platform.NotFoundError
 	if errors.As(err, &missing) {
--- a/contract/objects/objects.go
+++ b/contract/objects/objects.go
@@ -63,13 +63,13 @@
 // ConflictError reports a conditional call for an object that is at another revision.
 type ConflictError struct {
 	Kind, Name string
-	Given      uint64
+	Expected   uint64
 	Current    Object
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("%s/%s: conflicting update: expected revision %d, current revision is %d", e.Kind, e.Name, e.Given, e.Current.Revision)
+	return fmt.Sprintf("%s/%s: conflicting update: expected revision %d, current revision is %d", e.Kind, e.Name, e.Expected, e.Current.Revision)
 }
 
 // Reader lists and watches the objects of a store by kind.
--- a/contract/platform/conformance/conformance.go
+++ b/contract/platform/conformance/conformance.go
@@ -29,7 +29,7 @@
 		{"an update needs the current version", updateNeedsVersion},
 		{"a conflict returns the current object", conflictShowsCurrent},
 		{"versions increase across the whole store", versionsGrow},
-		{"exactly one of several concurrent updates succeeds", oneRivalWins},
+		{"exactly one of several concurrent updates succeeds", oneConcurrentUpdateSucceeds},
 		{"a read returns an acknowledged update", readAfterWrite},
 		{"a list omits deleted objects", listWithoutDeleted},
 		{"a deleted name can be created again, with a newer version", createdAgain},
@@ -54,8 +54,8 @@
 	})
 }
 
-// patience is the longest time that a test waits for an expected event.
-const patience = 10 * time.Second
+// eventTimeout is the longest time that a test waits for an expected event.
+const eventTimeout = 10 * time.Second
 
 func object(name, text string) record.Envelope {
 	spec, _ := json.Marshal(map[string]string{"text": text})
@@ -69,7 +69,7 @@
 	return written
 }
 
-func conflict(t *testing.T, err error) *platform.ConflictError {
+func requireConflict(t *testing.T, err error) *platform.ConflictError {
 	t.Helper()
 	var found *platform.ConflictError
 	assert.Assert(t, errors.As(err, &found), "want a conflict, got %v", err)
@@ -79,21 +79,21 @@
 func createdOnce(t *testing.T, store platform.Store) {
 	mustUpdate(t, store, object("x", "one"), 0)
 	_, err := store.Update(context.Background(), object("x", "two"), 0)
-	conflict(t, err)
+	requireConflict(t, err)
 }
 
 func updateNeedsVersion(t *testing.T, store platform.Store) {
 	first := mustUpdate(t, store, object("x", "one"), 0)
 	second := mustUpdate(t, store, object("x", "two"), first)
 	_, err := store.Update(context.Background(), object("x", "three"), first)
-	conflict(t, err)
+	requireConflict(t, err)
 	mustUpdate(t, store, object("x", "three"), second)
 }
 
 func conflictShowsCurrent(t *testing.T, store platform.Store) {
 	version := mustUpdate(t, store, object("x", "one"), 0)
 	_, err := store.Update(context.Background(), object("x", "two"), version+1)
-	found := conflict(t, err)
+	found := requireConflict(t, err)
 	assert.Equal(t, found.Current.Version, version)
 	assert.Equal(t, string(found.Current.Spec), `{"text":"one"}`)
 }
@@ -107,7 +107,7 @@
 	}
 }
 
-func oneRivalWins(t *testing.T, store platform.Store) {
+func oneConcurrentUpdateSucceeds(t *testing.T, store platform.Store) {
 	const writers = 8
 	version := mustUpdate(t, store, object("x", "start"), 0)
 	var running sync.WaitGroup
@@ -153,7 +153,7 @@
 	first := mustUpdate(t, store, object("x", "one"), 0)
 	second := mustUpdate(t, store, object("y", "two"), 0)
 	assert.NilError(t, store.Delete(context.Background(), object("x", "").Ref(), first))
-	snapshot, err := store.Watch(context.Background(), first, patience)
+	snapshot, err := store.Watch(context.Background(), first, eventTimeout)
 	assert.NilError(t, err)
 	assert.Equal(t, len(snapshot.Objects), 2)
 	assert.Equal(t, snapshot.Objects[0].Version, second)
@@ -165,7 +165,7 @@
 	version := mustUpdate(t, store, object("x", "one"), 0)
 	seen := make(chan platform.Snapshot, 1)
 	go func() {
-		snapshot, err := store.Watch(context.Background(), version, patience)
+		snapshot, err := store.Watch(context.Background(), version, eventTimeout)
 		if err == nil {
 			seen <- snapshot
 		}
--- a/contract/platform/httpstore/httpstore.go
+++ b/contract/platform/httpstore/httpstore.go
@@ -25,8 +25,8 @@
 // milliseconds.
 const callTimeout = 2 * time.Second
 
-// watchSlack is the time allowed for a watch in addition to its wait.
-const watchSlack = time.Second
+// watchMargin is the time allowed for a watch in addition to its wait.
+const watchMargin = time.Second
 
 // StatusError reports a response status that the protocol does not define.
 type StatusError struct {
@@ -78,20 +78,20 @@
 func (c *Client) Update(ctx context.Context, envelope record.Envelope, version uint64) (uint64, error) {
 	var object platform.Object
 	ref := envelope.Ref()
-	err := c.call(ctx, callTimeout, http.MethodPut, versioned(ref, version), envelope, &object, ref, version)
+	err := c.call(ctx, callTimeout, http.MethodPut, versionedPath(ref, version), envelope, &object, ref, version)
 	return object.Version, err
 }
 
 // Delete implements platform.Store.
 func (c *Client) Delete(ctx context.Context, ref record.Ref, version uint64) error {
-	return c.call(ctx, callTimeout, http.MethodDelete, versioned(ref, version), nil, nil, ref, version)
+	return c.call(ctx, callTimeout, http.MethodDelete, versionedPath(ref, version), nil, nil, ref, version)
 }
 
 // Watch implements platform.Store.
 func (c *Client) Watch(ctx context.Context, revision uint64, wait time.Duration) (platform.Snapshot, error) {
 	var snapshot platform.Snapshot
 	path := fmt.Sprintf("/v1/watch?revision=%d&wait=%d", revision, wait.Milliseconds())
-	err := c.call(ctx, wait+watchSlack, http.MethodGet, path, nil, &snapshot, record.Ref{}, 0)
+	err := c.call(ctx, wait+watchMargin, http.MethodGet, path, nil, &snapshot, record.Ref{}, 0)
 	return snapshot, err
 }
 
@@ -106,7 +106,7 @@
 	return "/v1/records/" + url.PathEscape(string(ref.Kind)) + "/" + url.PathEscape(ref.Name)
 }
 
-func versioned(ref record.Ref, version uint64) string {
+func versionedPath(ref record.Ref, version uint64) string {
 	return recordPath(ref) + "?version=" + strconv.FormatUint(version, 10)
 }
 
@@ -121,14 +121,14 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return unavailable(err)
+		return unavailableError(err)
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return unavailable(err)
+		return unavailableError(err)
 	}
-	return decode(response.StatusCode, body, out, request, ref, version)
+	return decodeResponse(response.StatusCode, body, out, request, ref, version)
 }
 
 func (c *Client) request(ctx context.Context, method, path string, in any) (*http.Request, error) {
@@ -149,7 +149,7 @@
 	return request, nil
 }
 
-func unavailable(cause error) error {
+func unavailableError(cause error) error {
 	return &UnavailableError{Cause: cause}
 }
 
@@ -164,14 +164,14 @@
 // Unwrap makes the error match platform.ErrUnavailable and its cause.
 func (e *UnavailableError) Unwrap() []error { return []error{platform.ErrUnavailable, e.Cause} }
 
-func decode(status int, body []byte, out any, request *http.Request, ref record.Ref, version uint64) error {
+func decodeResponse(status int, body []byte, out any, request *http.Request, ref record.Ref, version uint64) error {
 	switch status {
 	case http.StatusOK:
 		if out == nil {
 			return nil
 		}
 		if err := json.Unmarshal(body, out); err != nil {
-			return unavailable(err)
+			return unavailableError(err)
 		}
 		return nil
 	case http.StatusNotFound:
@@ -179,9 +179,9 @@
 	case http.StatusGone:
 		return platform.ErrCompacted
 	case http.StatusConflict:
-		conflict := &platform.ConflictError{Ref: ref, Given: version}
+		conflict := &platform.ConflictError{Ref: ref, Expected: version}
 		if err := json.Unmarshal(body, &conflict.Current); err != nil {
-			return unavailable(err)
+			return unavailableError(err)
 		}
 		return conflict
 	}
--- a/contract/platform/memstore/memstore.go
+++ b/contract/platform/memstore/memstore.go
@@ -73,11 +73,11 @@
 	defer s.mu.Unlock()
 	current := s.objects[envelope.Ref()]
 	if current.Version != version {
-		return 0, &platform.ConflictError{Ref: envelope.Ref(), Given: version, Current: current}
+		return 0, &platform.ConflictError{Ref: envelope.Ref(), Expected: version, Current: current}
 	}
 	object := platform.Object{Envelope: envelope, Version: s.revision + 1}
 	s.objects[envelope.Ref()] = object
-	s.note(object)
+	s.recordChange(object)
 	return object.Version, nil
 }
 
@@ -90,17 +90,17 @@
 		return &platform.NotFoundError{Ref: ref}
 	}
 	if current.Version != version {
-		return &platform.ConflictError{Ref: ref, Given: version, Current: current}
+		return &platform.ConflictError{Ref: ref, Expected: version, Current: current}
 	}
 	delete(s.objects, ref)
 	current.Version = s.revision + 1
 	current.Deleted = true
-	s.note(current)
+	s.recordChange(current)
 	return nil
 }
 
-// note appends a change to the history and wakes the watchers.
-func (s *Store) note(object platform.Object) {
+// recordChange appends a change to the history and wakes the watchers.
+func (s *Store) recordChange(object platform.Object) {
 	s.revision = object.Version
 	s.history = append(s.history, object)
 	if len(s.history) > historyLimit {
@@ -117,7 +117,7 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		snapshot, changed, err := s.since(revision)
+		snapshot, changed, err := s.changesSince(revision)
 		if err != nil || len(snapshot.Objects) > 0 {
 			return snapshot, err
 		}
@@ -131,7 +131,7 @@
 	}
 }
 
-func (s *Store) since(revision uint64) (platform.Snapshot, <-chan struct{}, error) {
+func (s *Store) changesSince(revision uint64) (platform.Snapshot, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if revision < s.compacted || revision > s.revision {
--- a/contract/platform/platform.go
+++ b/contract/platform/platform.go
@@ -49,14 +49,14 @@
 
 // ConflictError reports a conditional update of an object that is at another version.
 type ConflictError struct {
-	Ref     record.Ref
-	Given   uint64
-	Current Object
+	Ref      record.Ref
+	Expected uint64
+	Current  Object
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("%s: conflicting update: expected version %d, current version is %d", e.Ref, e.Given, e.Current.Version)
+	return fmt.Sprintf("%s: conflicting update: expected version %d, current version is %d", e.Ref, e.Expected, e.Current.Version)
 }
 
 // NotFoundError reports an object that does not exist.
--- a/directory/delta.go
+++ b/directory/delta.go
@@ -58,12 +58,12 @@
 	return d.pages[object.Name]
 }
 
-// ControllerRecords selects the records that a controller needs: those that its
+// ControllerFilter selects the records that a controller needs: those that its
 // routers need, and the pages in whose current or old group its host is. A page
 // changes each time a shard moves, so sending every page to all hosts of a domain
 // would exceed the control traffic budget of each host.
-func ControllerRecords(host, domain string) Filter {
-	others := RouterRecords(domain)
+func ControllerFilter(host, domain string) Filter {
+	others := RouterFilter(domain)
 	return func(object platform.Object, page record.Page) bool {
 		if object.Kind == record.KindPage {
 			return slices.Contains(page.Voters(), host)
@@ -72,11 +72,11 @@
 	}
 }
 
-// RouterRecords selects the records that a router needs: all services, all
+// RouterFilter selects the records that a router needs: all services, all
 // declarations of loss, and the servers of its own domain. Deleted servers of any
 // domain are included. Pages reach a router with its dispatch leases only, so
 // that it has no assignment that it holds no lease for.
-func RouterRecords(domain string) Filter {
+func RouterFilter(domain string) Filter {
 	return func(object platform.Object, _ record.Page) bool {
 		switch object.Kind {
 		case record.KindService, record.KindLost:
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -26,16 +26,16 @@
 	mu       sync.RWMutex
 	seq      uint64
 	revision uint64
-	// config is the highest version of any record that operators write.
-	config   uint64
-	entries  map[record.Ref]entry
-	services map[string]record.Service
-	servers  map[string]record.Server
-	pages    map[string]record.Page
-	lost     map[string]record.Lost
-	// spread caches which servers are assigned to each page.
-	spread   map[spreadKey]map[int][]record.Server
-	rejected map[record.Ref]error
+	// configVersion is the highest version of any record that operators write.
+	configVersion uint64
+	entries       map[record.Ref]entry
+	services      map[string]record.Service
+	servers       map[string]record.Server
+	pages         map[string]record.Page
+	lost          map[string]record.Lost
+	// pageServers caches which servers are assigned to each page.
+	pageServers map[serviceDomain]map[int][]record.Server
+	rejected    map[record.Ref]error
 
 	hosts       []platform.Host
 	hostsByName map[string]platform.Host
@@ -55,7 +55,7 @@
 		servers:        map[string]record.Server{},
 		pages:          map[string]record.Page{},
 		lost:           map[string]record.Lost{},
-		spread:         map[spreadKey]map[int][]record.Server{},
+		pageServers:    map[serviceDomain]map[int][]record.Server{},
 		rejected:       map[record.Ref]error{},
 		dispatchers:    map[string]string{},
 		dispatchersSeq: map[string]uint64{},
@@ -78,7 +78,7 @@
 	advanced := revision > d.revision
 	d.revision = max(d.revision, revision)
 	if len(accepted) > 0 || advanced {
-		d.wake()
+		d.notifyChanged()
 	}
 	return accepted
 }
@@ -91,10 +91,10 @@
 	d.seq++
 	d.entries[ref] = entry{object: object, seq: d.seq}
 	if object.Kind == record.KindServer || object.Kind == record.KindService {
-		clear(d.spread)
+		clear(d.pageServers)
 	}
-	if object.Kind.Operators() {
-		d.config = max(d.config, object.Version)
+	if object.Kind.WrittenByOperators() {
+		d.configVersion = max(d.configVersion, object.Version)
 	}
 	delete(d.rejected, ref)
 	if err := d.index(object); err != nil {
@@ -108,18 +108,18 @@
 func (d *Directory) index(object platform.Object) error {
 	switch object.Kind {
 	case record.KindService:
-		return put(d.services, object, record.DecodeService)
+		return decodeInto(d.services, object, record.DecodeService)
 	case record.KindServer:
-		return put(d.servers, object, record.DecodeServer)
+		return decodeInto(d.servers, object, record.DecodeServer)
 	case record.KindPage:
-		return put(d.pages, object, record.DecodePage)
+		return decodeInto(d.pages, object, record.DecodePage)
 	case record.KindLost:
-		return put(d.lost, object, record.DecodeLost)
+		return decodeInto(d.lost, object, record.DecodeLost)
 	}
 	return nil
 }
 
-func put[T any](values map[string]T, object platform.Object, decode func(record.Envelope) (T, error)) error {
+func decodeInto[T any](values map[string]T, object platform.Object, decode func(record.Envelope) (T, error)) error {
 	if object.Deleted {
 		delete(values, object.Name)
 		return nil
@@ -132,7 +132,7 @@
 	return nil
 }
 
-func (d *Directory) wake() {
+func (d *Directory) notifyChanged() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
@@ -153,7 +153,7 @@
 		d.hostsByName[host.Name] = host
 	}
 	d.hostsSeq = d.seq
-	d.wake()
+	d.notifyChanged()
 	return true
 }
 
@@ -168,7 +168,7 @@
 	d.seq++
 	d.dispatchers[page] = host
 	d.dispatchersSeq[page] = d.seq
-	d.wake()
+	d.notifyChanged()
 }
 
 // Dispatcher returns the host whose router was last known to dispatch the page,
@@ -186,12 +186,12 @@
 	return d.revision
 }
 
-// Config returns the highest version of any operator-written record that this
+// ConfigVersion returns the highest version of any operator-written record that this
 // directory has accepted.
-func (d *Directory) Config() uint64 {
+func (d *Directory) ConfigVersion() uint64 {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	return d.config
+	return d.configVersion
 }
 
 // Service returns a service's record.
@@ -206,7 +206,7 @@
 func (d *Directory) Services() []record.Service {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	return sorted(d.services)
+	return sortedByName(d.services)
 }
 
 // Server returns a backend server's record.
@@ -237,16 +237,16 @@
 	return found
 }
 
-// spreadKey identifies the servers of a service in a failure domain.
-type spreadKey struct{ service, domain string }
+// serviceDomain identifies the servers of a service in a failure domain.
+type serviceDomain struct{ service, domain string }
 
 // PageServers returns the backend servers of the service in the page's home
 // domain that are assigned to the page.
 func (d *Directory) PageServers(service record.Service, home string, index int) []record.Server {
-	key := spreadKey{service.Name, home}
+	key := serviceDomain{service.Name, home}
 	domainIndex := index / max(len(service.Domains), 1)
 	d.mu.RLock()
-	cached, known := d.spread[key]
+	cached, known := d.pageServers[key]
 	d.mu.RUnlock()
 	if known {
 		return cached[domainIndex]
@@ -256,16 +256,16 @@
 	// change of a server or service.
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	serversByPage := d.divide(service, home)
-	d.spread[key] = serversByPage
+	serversByPage := d.assignToPages(service, home)
+	d.pageServers[key] = serversByPage
 	return serversByPage[domainIndex]
 }
 
-// divide assigns a domain's servers to its pages. The caller holds d.mu.
-func (d *Directory) divide(service record.Service, home string) map[int][]record.Server {
+// assignToPages assigns a domain's servers to its pages. The caller holds d.mu.
+func (d *Directory) assignToPages(service record.Service, home string) map[int][]record.Server {
 	servers := d.serversOf(service.Name, home)
 	serversByPage := map[int][]record.Server{}
-	pageOfServer := record.Spread(servers, max(service.PagesPerDomain, 1))
+	pageOfServer := record.AssignToPages(servers, max(service.PagesPerDomain, 1))
 	for _, server := range servers {
 		serversByPage[pageOfServer[server.Name]] = append(serversByPage[pageOfServer[server.Name]], server)
 	}
@@ -285,7 +285,7 @@
 func (d *Directory) Pages() []record.Page {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	return sorted(d.pages)
+	return sortedByName(d.pages)
 }
 
 // Lost returns the targets of the scope that operators have declared lost.
@@ -293,7 +293,7 @@
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	var targets []string
-	for _, lost := range sorted(d.lost) {
+	for _, lost := range sortedByName(d.lost) {
 		if lost.Scope == scope {
 			targets = append(targets, lost.Target)
 		}
@@ -332,7 +332,7 @@
 	return found.object, ok
 }
 
-func sorted[T any](values map[string]T) []T {
+func sortedByName[T any](values map[string]T) []T {
 	names := slices.Sorted(maps.Keys(values))
 	list := make([]T, 0, len(names))
 	for _, name := range names {
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -52,9 +52,9 @@
 				highest = max(highest, version)
 			},
 			"feed": func(t *rapid.T) {
-				delta, _ := source.Since(seq, directory.ControllerRecords("h", "a"))
+				delta, _ := source.Since(seq, directory.ControllerFilter("h", "a"))
 				seq = delta.Seq
-				consumer.Take(directory.UpdateToLink(delta))
+				consumer.ApplyUpdate(directory.UpdateToLink(delta))
 				want, exists := source.Service("s")
 				got, ok := consumer.Service("s")
 				if ok != exists || ok && got.DeadlineMillis != want.DeadlineMillis {
--- a/directory/follow.go
+++ b/directory/follow.go
@@ -12,20 +12,20 @@
 // enough time to switch to another sender for a change to reach every process
 // within 4 s.
 const (
-	// HeartbeatEvery is the interval at which a sender sends an update if
+	// HeartbeatInterval is the interval at which a sender sends an update if
 	// nothing has changed.
-	HeartbeatEvery = time.Second
-	// silenceLimit is how long a follower waits for the next update before it
+	HeartbeatInterval = time.Second
+	// silenceTimeout is how long a follower waits for the next update before it
 	// drops the stream.
-	silenceLimit = 2500 * time.Millisecond
+	silenceTimeout = 2500 * time.Millisecond
 )
 
 // Follow passes the updates of a controller's record stream to handle until the
-// stream fails, no update arrives for silenceLimit, or the context ends.
+// stream fails, no update arrives for silenceTimeout, or the context ends.
 func Follow(ctx context.Context, client linkpb.ControlClient, request *linkpb.RecordsRequest, handle func(*linkpb.RecordsUpdate)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(silenceLimit, cancel)
+	silence := time.AfterFunc(silenceTimeout, cancel)
 	defer silence.Stop()
 	stream, err := client.Records(ctx, request)
 	if err != nil {
@@ -36,23 +36,23 @@
 		if err != nil {
 			return err
 		}
-		silence.Reset(silenceLimit)
+		silence.Reset(silenceTimeout)
 		handle(update)
 	}
 }
 
-// Take applies an update to the directory. Records that are older than the local
+// ApplyUpdate applies an update to the directory. Records that are older than the local
 // ones are ignored.
-func (d *Directory) Take(update *linkpb.RecordsUpdate) {
+func (d *Directory) ApplyUpdate(update *linkpb.RecordsUpdate) {
 	d.Apply(ObjectsFromLink(update.GetRecords()), update.GetRevision())
-	d.TakeHosts(update)
+	d.ApplyHosts(update)
 	for _, dispatcher := range update.GetDispatchers() {
 		d.SetDispatcher(dispatcher.GetPage(), dispatcher.GetHost())
 	}
 }
 
-// TakeHosts applies the host list of an update, if it contains one.
-func (d *Directory) TakeHosts(update *linkpb.RecordsUpdate) {
+// ApplyHosts applies the host list of an update, if it contains one.
+func (d *Directory) ApplyHosts(update *linkpb.RecordsUpdate) {
 	if update.GetHostsChanged() {
 		d.SetHosts(hostsFromLink(update.GetHosts()))
 	}
--- a/dispatch/dedup.go
+++ b/dispatch/dedup.go
@@ -115,7 +115,7 @@
 // dispatch router, would be in this memory. The birth time in the id is the
 // caller's; a time that is ahead of ours proves nothing and counts against.
 func (d *Dedup) firstWouldBeHere(wall time.Time, id uuid.UUID) bool {
-	birth := caller.BirthTime(id)
+	birth := caller.IDTime(id)
 	if birth.After(wall) {
 		return false
 	}
@@ -146,7 +146,7 @@
 	if reply.Outcome != caller.Done || len(reply.Body) <= d.policy.KeepBody {
 		return reply
 	}
-	return Reply{Outcome: caller.Unknown, Reason: caller.ReasonMaybeRunBefore, Server: reply.Server}
+	return Reply{Outcome: caller.Unknown, Reason: caller.ReasonEarlierAttemptMayHaveRun, Server: reply.Server}
 }
 
 // expire forgets what is older than the window or beyond the bounds, and no
--- a/dispatch/dedup_test.go
+++ b/dispatch/dedup_test.go
@@ -194,7 +194,7 @@
 	admission, reply, _ := d.Begin(now, id, 2)
 	assert.Equal(t, admission, dispatch.AdmitReplay)
 	assert.Equal(t, reply.Outcome, caller.Unknown)
-	assert.Equal(t, reply.Reason, caller.ReasonMaybeRunBefore)
+	assert.Equal(t, reply.Reason, caller.ReasonEarlierAttemptMayHaveRun)
 }
 
 // TestRefusalOfLastAttempt: a refusal proves only that its own attempt has not run.
--- a/domain/relay.go
+++ b/domain/relay.go
@@ -71,5 +71,5 @@
 
 func (c *Controller) takeRelayed(update *linkpb.RecordsUpdate) {
 	c.learn(directory.ObjectsFromLink(update.GetRecords()), update.GetRevision())
-	c.directory.TakeHosts(update)
+	c.directory.ApplyHosts(update)
 }
--- a/domain/reporting.go
+++ b/domain/reporting.go
@@ -106,10 +106,10 @@
 		Expected: 2 * len(live),
 		Reporter: c.identity.Host,
 	}
-	if total.GetRevision() < c.directory.Config() {
+	if total.GetRevision() < c.directory.ConfigVersion() {
 		enforced.Lagging = total.GetLagging()
 	}
-	if !c.reporter.isNews(now, enforced, c.directory.Config()) {
+	if !c.reporter.isNews(now, enforced, c.directory.ConfigVersion()) {
 		return
 	}
 	envelope, err := enforced.Encode()
--- a/domain/serve.go
+++ b/domain/serve.go
@@ -83,9 +83,9 @@
 
 // Records implements linkpb.ControlServer.
 func (s *LinkServer) Records(request *linkpb.RecordsRequest, stream grpc.ServerStreamingServer[linkpb.RecordsUpdate]) error {
-	filter := directory.RouterRecords(request.GetDomain())
+	filter := directory.RouterFilter(request.GetDomain())
 	if request.GetRelay() {
-		filter = directory.ControllerRecords(request.GetFrom(), request.GetDomain())
+		filter = directory.ControllerFilter(request.GetFrom(), request.GetDomain())
 	}
 	recheck := time.NewTicker(relayRecheck)
 	defer recheck.Stop()
@@ -96,7 +96,7 @@
 			return errStoreAway
 		}
 		delta, changed := s.c.directory.Since(seq, filter)
-		if delta.Seq > seq || time.Since(sentAt) >= directory.HeartbeatEvery {
+		if delta.Seq > seq || time.Since(sentAt) >= directory.HeartbeatInterval {
 			if err := stream.Send(directory.UpdateToLink(delta)); err != nil {
 				return err
 			}
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -148,7 +148,7 @@
 		metadata := g.codec.ReadAnswer(exchange.Response.StatusCode, exchange.Response.Header)
 		if metadata.RequestID == req.ID || metadata.RequestID == "" && metadata.NotRun {
 			if otherServer := metadata.Misdirected && metadata.Server != server.ID; !otherServer {
-				g.handleNotices(receivedNotices{from: server.Incarnation(), call: callRequest, requestID: req.ID, sentAt: sent, ran: metadata.Proven, Notice: metadata.Notice})
+				g.handleNotices(receivedNotices{from: server.Incarnation(), call: callRequest, requestID: req.ID, sentAt: sent, ran: metadata.HasSignature, Notice: metadata.Notice})
 			}
 			return g.responseResult(ctx, req, server, exchange.Response, metadata)
 		}
@@ -203,7 +203,7 @@
 		result.reply = &reply{outcome: "server-refused", status: http.StatusServiceUnavailable, retryAfter: max(req.service.meanSlotTime(), metadata.Rest)}
 		return result, response
 	}
-	if response.StatusCode < http.StatusMultipleChoices && !metadata.Proven {
+	if response.StatusCode < http.StatusMultipleChoices && !metadata.HasSignature {
 		// Corrupted bytes may still parse as a response.
 		return g.noResponseResult(ctx, errUnsigned), nil
 	}
--- a/gateway/calls.go
+++ b/gateway/calls.go
@@ -92,7 +92,7 @@
 		return
 	}
 	var stale *adapter.StaleTokenError
-	var other *adapter.OtherServerError
+	var other *adapter.WrongServerError
 	switch {
 	case e.err == nil:
 		e.result = keyspace.CallDone
--- a/gateway/cold.go
+++ b/gateway/cold.go
@@ -85,12 +85,12 @@
 		checkCtx, cancel := context.WithTimeout(context.Background(), coldCheckTimeout)
 		defer cancel()
 		health, err := g.checkHealth(checkCtx, backend)
-		if err == nil && health.TellsCold {
+		if err == nil && health.ReportsCold {
 			s.setColdFor(server, health.ColdFor)
 		}
 		if g.failureLogLimit.allow() {
 			g.log.Info("server may have restarted", "request", id, "server", server.Incarnation().String(),
-				"tells-cold", health.TellsCold, "cold-ms", health.ColdFor.Milliseconds(), "error", errorText(err))
+				"tells-cold", health.ReportsCold, "cold-ms", health.ColdFor.Milliseconds(), "error", errorText(err))
 		}
 	}()
 }
--- a/gateway/evacuations.go
+++ b/gateway/evacuations.go
@@ -10,7 +10,7 @@
 
 // followEvacuations keeps the evacuations in step with the store.
 func (g *Gateway) followEvacuations(ctx context.Context) {
-	g.follow(ctx, follower{kind: g.registry.Evacuations(), onListing: g.replaceEvacuations, onChanges: g.changeEvacuations, onError: func(error) {}})
+	g.follow(ctx, follower{kind: g.registry.EvacuationKind(), onListing: g.replaceEvacuations, onChanges: g.changeEvacuations, onError: func(error) {}})
 }
 
 // replaceEvacuations applies a complete list of the evacuations.
@@ -56,7 +56,7 @@
 // evacuatedDomain returns the failure domain that an evacuation names. ok is false if the
 // object can't be decoded.
 func (g *Gateway) evacuatedDomain(object objects.Object) (domain string, ok bool) {
-	domain, err := g.registry.Evacuation(object)
+	domain, err := g.registry.DecodeEvacuation(object)
 	if err != nil {
 		g.log.Error("evacuation ignored: it can't be decoded", "name", object.Name, "revision", object.Revision, "error", err.Error())
 		return "", false
--- a/gateway/firstservers.go
+++ b/gateway/firstservers.go
@@ -92,7 +92,7 @@
 // listServersFrom lists the servers from a host. It fails if that host's view of the store is
 // too old.
 func (g *Gateway) listServersFrom(ctx context.Context, source string) (objects.Listing, error) {
-	listing, age, err := g.listFromPeer(ctx, source, g.registry.Servers())
+	listing, age, err := g.listFromPeer(ctx, source, g.registry.ServerKind())
 	if err == nil && age >= g.freshness.validFor() {
 		err = errStaleList
 	}
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -163,7 +163,7 @@
 // reject every request until the store is back, although its servers work. A watch of the
 // store brings later changes as soon as one succeeds.
 func (g *Gateway) listAtStartup(ctx context.Context, kind string) (objects.Listing, error) {
-	if kind == g.registry.Servers() {
+	if kind == g.registry.ServerKind() {
 		if listing, ok := g.listServersAtStartup(ctx); ok {
 			return listing, nil
 		}
@@ -222,10 +222,10 @@
 func (g *Gateway) followConfiguration(ctx context.Context) {
 	apply := func(listing objects.Listing) {
 		for _, object := range listing.Objects {
-			if object.Name != g.registry.Current() || object.Deleted {
+			if object.Name != g.registry.ConfigurationName() || object.Deleted {
 				continue
 			}
-			offered, err := g.registry.Configuration(object)
+			offered, err := g.registry.DecodeConfiguration(object)
 			if err != nil {
 				g.log.Error("invalid configuration ignored", "revision", object.Revision, "error", err.Error())
 				continue
@@ -235,7 +235,7 @@
 	}
 	// The configuration's follower is the prober: of all kinds, it has the shortest time to
 	// take effect.
-	g.follow(ctx, follower{prober: true, kind: g.registry.Configurations(), onListing: apply, onChanges: apply, onError: g.noteRegistryUnavailable})
+	g.follow(ctx, follower{prober: true, kind: g.registry.ConfigurationKind(), onListing: apply, onChanges: apply, onError: g.noteRegistryUnavailable})
 }
 
 // followAssignments follows which servers own which keys.
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -60,17 +60,17 @@
 // kindNames is a registry that has only the names of its kinds.
 type kindNames struct{}
 
-func (kindNames) Servers() string        { return "servers" }
-func (kindNames) Configurations() string { return "configurations" }
-func (kindNames) Current() string        { return "main" }
-func (kindNames) Evacuations() string    { return "evacuations" }
-func (kindNames) Evacuation(object objects.Object) (string, error) {
+func (kindNames) ServerKind() string        { return "servers" }
+func (kindNames) ConfigurationKind() string { return "configurations" }
+func (kindNames) ConfigurationName() string { return "main" }
+func (kindNames) EvacuationKind() string    { return "evacuations" }
+func (kindNames) DecodeEvacuation(object objects.Object) (string, error) {
 	return object.Name, nil
 }
-func (kindNames) Server(objects.Object) (fleet.Server, error) {
+func (kindNames) DecodeServer(objects.Object) (fleet.Server, error) {
 	return fleet.Server{}, nil
 }
-func (kindNames) Configuration(objects.Object) (*routing.Configuration, error) {
+func (kindNames) DecodeConfiguration(objects.Object) (*routing.Configuration, error) {
 	return &routing.Configuration{}, nil
 }
 
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -223,7 +223,7 @@
 // that follow the store itself decode a server's entry from the registry's format.
 func (g *Gateway) peerListing(kind string, listing objects.Listing) objects.Listing {
 	listing = canonicalListing(listing)
-	if kind == g.registry.Servers() {
+	if kind == g.registry.ServerKind() {
 		for i := range listing.Objects {
 			listing.Objects[i] = g.canonicalEntry(listing.Objects[i])
 		}
@@ -238,7 +238,7 @@
 	if object.Deleted {
 		return object
 	}
-	server, err := g.registry.Server(object)
+	server, err := g.registry.DecodeServer(object)
 	if err != nil {
 		if isEntryText(object) {
 			object.Spec = slices.Concat([]byte("["), object.Spec, []byte("]"))
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -115,7 +115,7 @@
 	if req.route == nil {
 		return errorReply(http.StatusNotFound, "no-route", nil)
 	}
-	req.deadline = req.arrivedAt + requestTimeout(metadata.Patience, req.route.Timeout)
+	req.deadline = req.arrivedAt + requestTimeout(metadata.Timeout, req.route.Timeout)
 	if rejected := g.bufferBody(w, r, req); rejected != nil {
 		return rejected
 	}
@@ -205,7 +205,7 @@
 func (g *Gateway) forward(ctx context.Context, req *request) *reply {
 	for {
 		waiter := &balance.Waiter{Keyed: req.service.view != nil, Key: req.Key, Priority: req.route.Priority,
-			Arrived: req.arrivedAt, Deadline: req.deadline, Objective: req.route.TargetLatency, Timeout: req.Patience, Tried: req.triedServers, Ready: make(chan struct{})}
+			Arrived: req.arrivedAt, Deadline: req.deadline, Objective: req.route.TargetLatency, Timeout: req.Timeout, Tried: req.triedServers, Ready: make(chan struct{})}
 		server, link, err := req.service.acquireServer(ctx, waiter)
 		if err != nil {
 			return g.replyWithoutServer(req, err)
@@ -323,7 +323,7 @@
 	default:
 		out.ContentLength = 0
 	}
-	g.codec.WriteDispatch(out.Header, adapter.Dispatch{Server: server.ID, Patience: req.deadline - g.now()})
+	g.codec.WriteDispatch(out.Header, adapter.Dispatch{Server: server.ID, Timeout: req.deadline - g.now()})
 	return out
 }
 
--- a/gateway/servers.go
+++ b/gateway/servers.go
@@ -12,7 +12,7 @@
 func (g *Gateway) followServers(ctx context.Context) {
 	reader := &entryReader{gateway: g, reported: map[string]uint64{}}
 	g.follow(ctx, follower{
-		kind: g.registry.Servers(), batchDelay: batchDelay,
+		kind: g.registry.ServerKind(), batchDelay: batchDelay,
 		onListing: func(listing objects.Listing) {
 			versions := make([]fleet.Version, 0, len(listing.Objects))
 			for _, object := range listing.Objects {
@@ -120,7 +120,7 @@
 // decode decodes an entry in the registry's format or in the text form that hosts exchange.
 func (e *entryReader) decode(object objects.Object) (fleet.Server, error) {
 	if !isEntryText(object) {
-		return e.gateway.registry.Server(object)
+		return e.gateway.registry.DecodeServer(object)
 	}
 	var text string
 	if err := json.Unmarshal(object.Spec, &text); err != nil {
--- a/operator/check.go
+++ b/operator/check.go
@@ -20,13 +20,13 @@
 	}
 	found.duplicates(documents)
 	if len(found.fields) > 0 {
-		return nil, &record.CheckError{Fields: found.fields}
+		return nil, &record.ValidationError{Fields: found.fields}
 	}
 	world := worldAfter(documents, existing)
 	found.servers(world)
 	found.immutable(documents, existing)
 	if len(found.fields) > 0 {
-		return nil, &record.CheckError{Fields: found.fields}
+		return nil, &record.ValidationError{Fields: found.fields}
 	}
 	return found.warnings(world), nil
 }
@@ -66,7 +66,7 @@
 
 func (f *findings) add(err error) {
 	var field *record.FieldError
-	var check *record.CheckError
+	var check *record.ValidationError
 	switch {
 	case errors.As(err, &check):
 		f.fields = append(f.fields, check.Fields...)
--- a/operator/client.go
+++ b/operator/client.go
@@ -145,7 +145,7 @@
 	case err == nil:
 		return version, nil
 	case errors.As(err, &conflict):
-		return 0, &RaceError{Ref: conflict.Ref, Base: conflict.Given, Current: conflict.Current.Version,
+		return 0, &RaceError{Ref: conflict.Ref, Base: conflict.Expected, Current: conflict.Current.Version,
 			Diff: Diff(conflict.Current.Envelope, s.document.Envelope)}
 	case errors.Is(err, platform.ErrUnavailable):
 		return c.settle(ctx, envelope, attempt, err)
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -56,7 +56,7 @@
 		t.Run(row.name, func(t *testing.T) {
 			store := memstore.New()
 			_, _, err := operator.NewClient(store).Apply(context.Background(), read(t, row.texts...), operator.Options{})
-			var check *record.CheckError
+			var check *record.ValidationError
 			assert.Assert(t, errors.As(err, &check), "got %v", err)
 			assert.Assert(t, slices.ContainsFunc(check.Fields, func(f *record.FieldError) bool { return f.Field == row.field }), err)
 			snapshot, _ := store.List(context.Background())
--- a/operator/status.go
+++ b/operator/status.go
@@ -35,7 +35,7 @@
 	}
 	var status Status
 	for _, object := range snapshot.Objects {
-		if object.Kind.Operators() {
+		if object.Kind.WrittenByOperators() {
 			status.Config = max(status.Config, object.Version)
 		}
 	}
--- a/record/enforced.go
+++ b/record/enforced.go
@@ -22,9 +22,9 @@
 // from, by failure domain and service.
 const KindBurn Kind = "burn"
 
-// Operators reports whether records of the kind are configuration that operators
+// WrittenByOperators reports whether records of the kind are configuration that operators
 // write.
-func (k Kind) Operators() bool {
+func (k Kind) WrittenByOperators() bool {
 	return k == KindService || k == KindServer || k == KindLost
 }
 
--- a/record/page.go
+++ b/record/page.go
@@ -128,7 +128,7 @@
 	if err := json.Unmarshal(e.Spec, &page); err != nil {
 		return Page{}, specError(e, err)
 	}
-	c := checker{ref: e.Ref()}
+	c := validator{ref: e.Ref()}
 	c.require(len(page.Shards) > 0 && page.Shards[0].Low == page.Low, "shards", fmt.Sprint(len(page.Shards)), "the first shard must begin with the page")
 	ordered := slices.IsSortedFunc(page.Shards, func(a, b Shard) int {
 		if a.Low < b.Low {
--- a/record/record.go
+++ b/record/record.go
@@ -68,12 +68,12 @@
 	return fmt.Sprintf("%s: field %q has value %q: %s", e.Record, e.Field, e.Value, e.Fix)
 }
 
-// CheckError collects every FieldError of one check, so that an operator can
+// ValidationError collects every FieldError of one check, so that an operator can
 // correct all of them at once.
-type CheckError struct{ Fields []*FieldError }
+type ValidationError struct{ Fields []*FieldError }
 
 // Error implements error.
-func (e *CheckError) Error() string {
+func (e *ValidationError) Error() string {
 	lines := make([]string, len(e.Fields))
 	for i, field := range e.Fields {
 		lines[i] = field.Error()
@@ -81,34 +81,34 @@
 	return strings.Join(lines, "; ")
 }
 
-// checker collects the FieldErrors of one record.
-type checker struct {
+// validator collects the FieldErrors of one record.
+type validator struct {
 	ref    Ref
 	fields []*FieldError
 }
 
-func (c *checker) require(ok bool, field, value, fix string) {
+func (c *validator) require(ok bool, field, value, fix string) {
 	if ok {
 		return
 	}
 	c.fields = append(c.fields, &FieldError{Record: c.ref, Field: field, Value: value, Fix: fix})
 }
 
-func (c *checker) err() error {
+func (c *validator) err() error {
 	if len(c.fields) == 0 {
 		return nil
 	}
-	return &CheckError{Fields: c.fields}
+	return &ValidationError{Fields: c.fields}
 }
 
-// nameMaxLength limits record names in bytes, because names are used as path
+// maxNameLength limits record names in bytes, because names are used as path
 // segments and metric labels.
-const nameMaxLength = 63
+const maxNameLength = 63
 
 // ValidName reports whether a name contains only lower-case letters, digits, '-'
 // and '.', starts with a letter or digit, and has 1 to 63 bytes.
 func ValidName(name string) bool {
-	if name == "" || len(name) > nameMaxLength {
+	if name == "" || len(name) > maxNameLength {
 		return false
 	}
 	for i, r := range name {
--- a/record/record_test.go
+++ b/record/record_test.go
@@ -92,7 +92,7 @@
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			_, err := record.DecodeService(service(record.SchemaV2, row.spec))
-			var check *record.CheckError
+			var check *record.ValidationError
 			var field *record.FieldError
 			if errors.As(err, &check) {
 				field = check.Fields[0]
@@ -137,7 +137,7 @@
 			servers = append(servers, record.Server{Name: fmt.Sprintf("s-%d", i)})
 		}
 		serverCounts := make([]int, pages)
-		for _, page := range record.Spread(servers, pages) {
+		for _, page := range record.AssignToPages(servers, pages) {
 			serverCounts[page]++
 		}
 		fewest, most := slices.Min(serverCounts), slices.Max(serverCounts)
@@ -156,10 +156,10 @@
 		servers = append(servers, record.Server{Name: fmt.Sprintf("s-%d", i)})
 	}
 	displaced := 0
-	before := record.Spread(servers, pages)
+	before := record.AssignToPages(servers, pages)
 	for range leaving {
 		servers = servers[1:]
-		after := record.Spread(servers, pages)
+		after := record.AssignToPages(servers, pages)
 		for name, page := range after {
 			if before[name] != page {
 				displaced++
@@ -192,7 +192,7 @@
 		_, err = record.DecodeLost(e)
 		errs = append(errs, err)
 		for _, err := range errs {
-			var check *record.CheckError
+			var check *record.ValidationError
 			var field *record.FieldError
 			if err != nil && !errors.As(err, &check) && !errors.As(err, &field) {
 				t.Fatalf("untyped error: %T %v", err, err)
--- a/record/server.go
+++ b/record/server.go
@@ -53,7 +53,7 @@
 }
 
 func (s Server) check() error {
-	c := checker{ref: Ref{Kind: KindServer, Name: s.Name}}
+	c := validator{ref: Ref{Kind: KindServer, Name: s.Name}}
 	c.require(ValidName(s.Name), "name", s.Name, nameFix)
 	c.require(ValidName(s.Service), "service", s.Service, "name the service record that this server belongs to")
 	c.require(ValidName(s.Domain), "domain", s.Domain, "name the failure domain that this server runs in")
@@ -90,7 +90,7 @@
 	if _, err := decodeSpec(e, &lost); err != nil {
 		return Lost{}, err
 	}
-	c := checker{ref: e.Ref()}
+	c := validator{ref: e.Ref()}
 	validScope := lost.Scope == LostDomain || lost.Scope == LostHost || lost.Scope == LostServer
 	c.require(validScope, "scope", string(lost.Scope), "use domain, host or server")
 	c.require(ValidName(lost.Target), "target", lost.Target, "use the name of the lost domain, host or server")
--- a/record/service.go
+++ b/record/service.go
@@ -106,19 +106,19 @@
 
 // Defaults of optional fields of a service.
 const (
-	defaultPages         = 1
-	defaultShards        = 8
-	defaultDeadline      = 3000
-	defaultAvailability  = 0.999
-	defaultLatencyMillis = 15
-	defaultLatencyShare  = 0.99
+	defaultPagesPerDomain  = 1
+	defaultShardsPerServer = 8
+	defaultDeadlineMillis  = 3000
+	defaultAvailability    = 0.999
+	defaultLatencyMillis   = 15
+	defaultLatencyShare    = 0.99
 )
 
 // Limits of service fields.
 const (
-	maxPages          = 4096
-	maxShards         = 256
-	maxDeadlineMillis = 60_000
+	maxPagesPerDomain  = 4096
+	maxShardsPerServer = 256
+	maxDeadlineMillis  = 60_000
 )
 
 // DecodeService decodes a service of either schema and checks it.
@@ -136,7 +136,7 @@
 	if err != nil {
 		return Service{}, err
 	}
-	service.fillDefaults()
+	service.applyDefaults()
 	return service, service.check()
 }
 
@@ -226,20 +226,20 @@
 	return encodeSpec(old, extra)
 }
 
-func (s *Service) fillDefaults() {
-	s.PagesPerDomain = orDefault(s.PagesPerDomain, defaultPages)
-	s.ShardsPerServer = orDefault(s.ShardsPerServer, defaultShards)
+func (s *Service) applyDefaults() {
+	s.PagesPerDomain = orDefault(s.PagesPerDomain, defaultPagesPerDomain)
+	s.ShardsPerServer = orDefault(s.ShardsPerServer, defaultShardsPerServer)
 	s.WhenCutOff = orDefault(s.WhenCutOff, CutOffStay)
 	s.Weigh = orDefault(s.Weigh, WeighUnavailability)
 	s.Fencing = orDefault(s.Fencing, FencingChecked)
-	s.DeadlineMillis = orDefault(s.DeadlineMillis, defaultDeadline)
+	s.DeadlineMillis = orDefault(s.DeadlineMillis, defaultDeadlineMillis)
 	s.Objectives.Availability = orDefault(s.Objectives.Availability, defaultAvailability)
 	s.Objectives.LatencyMillis = orDefault(s.Objectives.LatencyMillis, defaultLatencyMillis)
 	s.Objectives.LatencyShare = orDefault(s.Objectives.LatencyShare, defaultLatencyShare)
 }
 
 func (s Service) check() error {
-	c := checker{ref: Ref{Kind: KindService, Name: s.Name}}
+	c := validator{ref: Ref{Kind: KindService, Name: s.Name}}
 	c.require(ValidName(s.Name), "name", s.Name, nameFix)
 	c.require(len(s.Domains) > 0, "domains", "[]", "name at least one failure domain")
 	for _, domain := range s.Domains {
@@ -247,14 +247,14 @@
 	}
 	unique := slices.Compact(slices.Sorted(slices.Values(s.Domains)))
 	c.require(len(unique) == len(s.Domains), "domains", fmt.Sprint(s.Domains), "name each failure domain once")
-	c.require(within(s.PagesPerDomain, maxPages), "pagesPerDomain", fmt.Sprint(s.PagesPerDomain), "use 1 to 4096")
-	c.require(within(s.ShardsPerServer, maxShards), "shardsPerServer", fmt.Sprint(s.ShardsPerServer), "use 1 to 256")
-	c.require(within(s.DeadlineMillis, maxDeadlineMillis), "deadlineMillis", fmt.Sprint(s.DeadlineMillis), "use 1 to 60000")
+	c.require(inRange(s.PagesPerDomain, maxPagesPerDomain), "pagesPerDomain", fmt.Sprint(s.PagesPerDomain), "use 1 to 4096")
+	c.require(inRange(s.ShardsPerServer, maxShardsPerServer), "shardsPerServer", fmt.Sprint(s.ShardsPerServer), "use 1 to 256")
+	c.require(inRange(s.DeadlineMillis, maxDeadlineMillis), "deadlineMillis", fmt.Sprint(s.DeadlineMillis), "use 1 to 60000")
 	c.require(s.WhenCutOff == CutOffStay || s.WhenCutOff == CutOffMove, "whenCutOff", string(s.WhenCutOff), "use stay or move")
 	c.require(s.Weigh == WeighUnavailability || s.Weigh == WeighChurn, "weigh", string(s.Weigh), "use unavailability or churn")
 	c.require(s.Fencing == FencingChecked || s.Fencing == FencingUnchecked, "fencing", string(s.Fencing), "use checked or unchecked")
-	c.require(share(s.Objectives.Availability), "objectives.availability", fmt.Sprint(s.Objectives.Availability), "use a fraction above 0 and below 1, such as 0.999")
-	c.require(share(s.Objectives.LatencyShare), "objectives.latencyShare", fmt.Sprint(s.Objectives.LatencyShare), "use a fraction above 0 and below 1, such as 0.99")
+	c.require(isFraction(s.Objectives.Availability), "objectives.availability", fmt.Sprint(s.Objectives.Availability), "use a fraction above 0 and below 1, such as 0.999")
+	c.require(isFraction(s.Objectives.LatencyShare), "objectives.latencyShare", fmt.Sprint(s.Objectives.LatencyShare), "use a fraction above 0 and below 1, such as 0.99")
 	c.require(s.Objectives.LatencyMillis > 0, "objectives.latencyMillis", fmt.Sprint(s.Objectives.LatencyMillis), "use at least 1")
 	return c.err()
 }
@@ -264,9 +264,9 @@
 	return time.Duration(s.DeadlineMillis) * time.Millisecond
 }
 
-func within(value, limit int) bool { return value >= 1 && value <= limit }
+func inRange(value, limit int) bool { return value >= 1 && value <= limit }
 
-func share(value float64) bool { return value > 0 && value < 1 }
+func isFraction(value float64) bool { return value > 0 && value < 1 }
 
 func pick[T any](condition bool, yes, no T) T {
 	if condition {
--- a/record/spec.go
+++ b/record/spec.go
@@ -32,16 +32,16 @@
 	if typed, ok := err.(*json.UnmarshalTypeError); ok && typed.Field != "" {
 		field = typed.Field
 	}
-	return &FieldError{Record: e.Ref(), Field: field, Value: shorten(string(e.Spec)), Fix: err.Error()}
+	return &FieldError{Record: e.Ref(), Field: field, Value: truncate(string(e.Spec)), Fix: err.Error()}
 }
 
-const shownValueLength = 120
+const maxQuotedValueLength = 120
 
-func shorten(value string) string {
-	if len(value) <= shownValueLength {
+func truncate(value string) string {
+	if len(value) <= maxQuotedValueLength {
 		return value
 	}
-	return value[:shownValueLength] + "..."
+	return value[:maxQuotedValueLength] + "..."
 }
 
 // encodeSpec encodes the fields of value together with the extra fields. On a name
--- a/router/fault_test.go
+++ b/router/fault_test.go
@@ -267,7 +267,7 @@
 	id := uuid.Must(uuid.NewV7()).String()
 	got := s.ask(t, http.MethodPost, map[string]string{caller.HeaderRequestID: id, caller.HeaderAttempt: "2"})
 	assert.Equal(t, got.outcome, caller.Unknown)
-	assert.Equal(t, got.reason, caller.ReasonMaybeRunBefore)
+	assert.Equal(t, got.reason, caller.ReasonEarlierAttemptMayHaveRun)
 	assert.Equal(t, fake.requests.Load(), int64(0))
 }
 
@@ -357,7 +357,7 @@
 		header.Set(caller.HeaderAttempt, attempt)
 		header.Set(caller.HeaderIdempotent, idempotent)
 		header.Set(caller.HeaderDeadlineMs, deadline)
-		meta, err := caller.ParseMeta(method, header)
+		meta, err := caller.ParseMetadata(method, header)
 		if err != nil {
 			var typed *caller.HeaderError
 			if !asHeaderError(err, &typed) {
--- a/router/feed.go
+++ b/router/feed.go
@@ -22,7 +22,7 @@
 		addresses := controllers(dir, identity.Domain, seeds)
 		address := addresses[turn%len(addresses)]
 		request := &linkpb.RecordsRequest{From: identity.Host, Domain: identity.Domain}
-		_ = directory.Follow(ctx, links.Control(address), request, dir.Take)
+		_ = directory.Follow(ctx, links.Control(address), request, dir.ApplyUpdate)
 		clock.Sleep(ctx, feedRetry)
 	}
 }
--- a/router/front.go
+++ b/router/front.go
@@ -76,7 +76,7 @@
 	if !ok || !known {
 		return nil, &problem{http.StatusNotFound, caller.ReasonUnknownService, "no service " + strconv.Quote(name) + "; use /s/SERVICE/PATH"}
 	}
-	meta, err := caller.ParseMeta(in.Method, in.Header)
+	meta, err := caller.ParseMetadata(in.Method, in.Header)
 	if err != nil {
 		return nil, &problem{http.StatusBadRequest, caller.ReasonBadRequest, err.Error()}
 	}
--- a/router/request.go
+++ b/router/request.go
@@ -16,7 +16,7 @@
 	service record.Service
 	page    string
 	hash    uint64
-	meta    caller.Meta
+	meta    caller.Metadata
 	method  string
 	path    string
 	headers []dispatch.Header
@@ -44,7 +44,7 @@
 		Headers:     headersToLink(r.headers),
 		Body:        r.body,
 		Hops:        r.hops + 1,
-		Minted:      r.meta.Minted,
+		Minted:      r.meta.IDGenerated,
 	}
 }
 
@@ -57,13 +57,13 @@
 		service: service,
 		page:    in.GetPage(),
 		hash:    in.GetHash(),
-		meta: caller.Meta{
-			Key:        in.GetKey(),
-			ID:         id,
-			Attempt:    int(in.GetAttempt()),
-			Idempotent: in.GetIdempotent(),
-			Caller:     in.GetCaller(),
-			Minted:     in.GetMinted(),
+		meta: caller.Metadata{
+			Key:         in.GetKey(),
+			ID:          id,
+			Attempt:     int(in.GetAttempt()),
+			Idempotent:  in.GetIdempotent(),
+			Caller:      in.GetCaller(),
+			IDGenerated: in.GetMinted(),
 		},
 		method:  in.GetMethod(),
 		path:    in.GetPath(),
--- a/router/run.go
+++ b/router/run.go
@@ -32,14 +32,14 @@
 		case dispatch.AdmitReplay:
 			return earlier
 		case dispatch.AdmitUnknown:
-			return unknown(caller.ReasonMaybeRunBefore)
+			return unknown(caller.ReasonEarlierAttemptMayHaveRun)
 		case dispatch.AdmitRun:
 			return p.runOnce(ctx, req)
 		}
 		select {
 		case <-done:
 		case <-ctx.Done():
-			return unknown(caller.ReasonRunning)
+			return unknown(caller.ReasonEarlierAttemptRunning)
 		}
 	}
 }
--- a/router/try.go
+++ b/router/try.go
@@ -237,7 +237,7 @@
 	echoed := answer.Header.Get(backend.HeaderRequestID)
 	if echoed != "" && echoed != req.meta.ID.String() {
 		p.router.log.Error("server answered another request", "server", chosen.server, "wanted", req.meta.ID, "found", echoed)
-		return unknown(caller.ReasonForeignResponse), final
+		return unknown(caller.ReasonMismatchedResponse), final
 	}
 	return dispatch.Reply{
 		Outcome: caller.Done,
