--- a/contract/caller/caller.go
+++ b/contract/caller/caller.go
@@ -1,7 +1,7 @@
-// Package caller is the contract with callers: the headers of a request and
-// what an answer promises.
+// Package caller defines the interface to callers: the headers of a request and
+// the meaning of the headers of its response.
 //
-// A caller sends its request over HTTP to any entry host, at /s/SERVICE/PATH.
+// A caller sends its request over HTTP to any host, at /s/SERVICE/PATH.
 package caller
 
 import (
@@ -15,68 +15,70 @@
 
 // Headers of a caller's request.
 const (
-	// HeaderKey names the key, for services that are divided by key.
+	// HeaderKey contains the key, for services whose requests are routed by key.
 	HeaderKey = "Cicada-Key"
-	// HeaderRequestID is a UUID of version 7, minted once for a request and
-	// sent again unchanged with each further attempt at it.
+	// HeaderRequestID is a version 7 UUID. The caller generates it once for a
+	// request and sends the same value with each retry.
 	HeaderRequestID = "Cicada-Request-Id"
-	// HeaderAttempt counts attempts at the same request from 1.
+	// HeaderAttempt is the number of the attempt at the request, starting at 1.
 	HeaderAttempt = "Cicada-Attempt"
-	// HeaderIdempotent is "true" or "false". Without it, requests by GET and
-	// HEAD are idempotent and others are not.
+	// HeaderIdempotent is "true" or "false". Without it, GET and HEAD requests
+	// are treated as idempotent and others are not.
 	HeaderIdempotent = "Cicada-Idempotent"
-	// HeaderDeadlineMs is the time in milliseconds that the caller will wait.
+	// HeaderDeadlineMs is the time in milliseconds for which the caller waits.
 	HeaderDeadlineMs = "Cicada-Deadline-Ms"
-	// HeaderCaller names the caller that shares are counted for.
+	// HeaderCaller names the caller to whose share of the capacity the request
+	// counts.
 	HeaderCaller = "Cicada-Caller"
 )
 
-// Headers of an answer.
+// Headers of a response.
 const (
-	// HeaderOutcome is set on every answer.
+	// HeaderOutcome contains the Outcome. Every response has it.
 	HeaderOutcome = "Cicada-Outcome"
-	// HeaderReason says why a request was not done.
+	// HeaderReason contains the Reason of an outcome other than Done.
 	HeaderReason = "Cicada-Reason"
 	// HeaderServer names the backend server that ran the request.
 	HeaderServer = "Cicada-Server"
 )
 
-// Outcome is what an answer says about the request.
+// Outcome tells the caller whether the request was executed.
 type Outcome string
 
 // The outcomes.
 const (
-	// Done: the answer is the whole answer of the server that ran the request.
+	// Done means that this is the complete response of the server that ran the
+	// request.
 	Done Outcome = "done"
-	// NotRun: the request has not run and will not run.
+	// NotRun means that the request has not run and will not run.
 	NotRun Outcome = "not-run"
-	// Unknown: the request may have run.
+	// Unknown means that the request may have run.
 	Unknown Outcome = "unknown"
 )
 
-// Reason refines an outcome other than Done.
+// Reason is the cause of an outcome other than Done.
 type Reason string
 
 // The reasons.
 const (
-	ReasonBadRequest      Reason = "bad-request"
-	ReasonUnknownService  Reason = "unknown-service"
-	ReasonOverload        Reason = "overload"
-	ReasonDeadline        Reason = "deadline"
-	ReasonNoOwner         Reason = "no-owner"
-	ReasonNoDispatcher    Reason = "no-dispatcher"
-	ReasonUnreachable     Reason = "unreachable"
-	ReasonShed            Reason = "shed"
-	ReasonStopping        Reason = "stopping"
-	ReasonConnectionLost  Reason = "connection-lost"
-	ReasonAnswerTooLarge  Reason = "answer-too-large"
-	ReasonMaybeRunBefore  Reason = "earlier-attempt-may-have-run"
-	ReasonRunning         Reason = "earlier-attempt-running"
-	ReasonCancelled       Reason = "cancelled"
-	ReasonForeignResponse Reason = "answer-to-another-request"
+	ReasonBadRequest               Reason = "bad-request"
+	ReasonUnknownService           Reason = "unknown-service"
+	ReasonOverload                 Reason = "overload"
+	ReasonDeadline                 Reason = "deadline"
+	ReasonNoOwner                  Reason = "no-owner"
+	ReasonNoDispatcher             Reason = "no-dispatcher"
+	ReasonUnreachable              Reason = "unreachable"
+	ReasonShed                     Reason = "shed"
+	ReasonStopping                 Reason = "stopping"
+	ReasonConnectionLost           Reason = "connection-lost"
+	ReasonAnswerTooLarge           Reason = "answer-too-large"
+	ReasonEarlierAttemptMayHaveRun Reason = "earlier-attempt-may-have-run"
+	ReasonEarlierAttemptRunning    Reason = "earlier-attempt-running"
+	ReasonCancelled                Reason = "cancelled"
+	ReasonMismatchedResponse       Reason = "answer-to-another-request"
 )
 
-// HeaderError is a caller's mistake in one header.
+// HeaderError reports an invalid header of a caller's request.
 type HeaderError struct {
 	Header string
 	Value  string
@@ -88,67 +90,68 @@
 	return fmt.Sprintf("header %s has value %q: %s", e.Header, e.Value, e.Fix)
 }
 
-// Limits of what a caller may send.
+// Limits of header values. Lengths are in bytes; maxQuotedValueLength limits the
+// part of a value that an error message quotes.
 const (
-	MaxKeyLength = 512
-	MaxAttempt   = 1000
-	maxShown     = 64
+	MaxKeyLength         = 512
+	MaxAttempt           = 1000
+	maxQuotedValueLength = 64
 )
 
-// Meta is what a caller says about its request.
-type Meta struct {
+// Metadata holds the parsed headers of a caller's request.
+type Metadata struct {
 	Key        string
 	ID         uuid.UUID
 	Attempt    int
 	Idempotent bool
-	// Deadline is the time left, or 0 where the caller does not say.
+	// Deadline is the remaining time, or 0 if the caller does not set it.
 	Deadline time.Duration
 	Caller   string
-	// Minted is set when the id was made here because the caller sent none.
-	Minted bool
+	// IDGenerated is set if the ID was generated here because the caller sent none.
+	IDGenerated bool
 }
 
-// ParseMeta reads a request's headers or returns a *HeaderError.
-func ParseMeta(method string, header http.Header) (Meta, error) {
-	meta := Meta{Key: header.Get(HeaderKey), Caller: header.Get(HeaderCaller), Attempt: 1}
+// ParseMetadata parses a request's headers. It returns a *HeaderError if one is invalid.
+func ParseMetadata(method string, header http.Header) (Metadata, error) {
+	meta := Metadata{Key: header.Get(HeaderKey), Caller: header.Get(HeaderCaller), Attempt: 1}
 	if len(meta.Key) > MaxKeyLength {
-		return Meta{}, headerError(HeaderKey, meta.Key, "use at most 512 bytes")
+		return Metadata{}, headerError(HeaderKey, meta.Key, "use at most 512 bytes")
 	}
 	if len(meta.Caller) > MaxKeyLength {
-		return Meta{}, headerError(HeaderCaller, meta.Caller, "use at most 512 bytes")
+		return Metadata{}, headerError(HeaderCaller, meta.Caller, "use at most 512 bytes")
 	}
-	for _, parse := range []func(*Meta, string, http.Header) error{parseID, parseAttempt, parseIdempotent, parseDeadline} {
+	for _, parse := range []func(*Metadata, string, http.Header) error{parseID, parseAttempt, parseIdempotent, parseDeadline} {
 		if err := parse(&meta, method, header); err != nil {
-			return Meta{}, err
+			return Metadata{}, err
 		}
 	}
 	return meta, nil
 }
 
 func headerError(name, value, fix string) error {
-	if len(value) > maxShown {
-		value = value[:maxShown] + "..."
+	if len(value) > maxQuotedValueLength {
+		value = value[:maxQuotedValueLength] + "..."
 	}
 	return &HeaderError{Header: name, Value: value, Fix: fix}
 }
 
-func parseID(meta *Meta, _ string, header http.Header) error {
+func parseID(meta *Metadata, _ string, header http.Header) error {
 	text := header.Get(HeaderRequestID)
 	if text == "" {
-		meta.Minted = true
+		meta.IDGenerated = true
 		meta.ID = uuid.Must(uuid.NewV7())
 		return nil
 	}
-	const versionWithTime = 7
+	const timeOrderedVersion = 7
 	id, err := uuid.Parse(text)
-	if err != nil || id.Version() != versionWithTime {
+	if err != nil || id.Version() != timeOrderedVersion {
 		return headerError(HeaderRequestID, text, "use a UUID of version 7, or leave the header out")
 	}
 	meta.ID = id
 	return nil
 }
 
-func parseAttempt(meta *Meta, _ string, header http.Header) error {
+func parseAttempt(meta *Metadata, _ string, header http.Header) error {
 	text := header.Get(HeaderAttempt)
 	if text == "" {
 		return nil
@@ -157,14 +160,14 @@
 	if err != nil || attempt < 1 || attempt > MaxAttempt {
 		return headerError(HeaderAttempt, text, "use a whole number from 1 to 1000")
 	}
-	if attempt > 1 && meta.Minted {
-		return headerError(HeaderAttempt, text, "send the "+HeaderRequestID+" of the first attempt with each further one")
+	if attempt > 1 && meta.IDGenerated {
+		return headerError(HeaderAttempt, text, "send the "+HeaderRequestID+" of the first attempt with each retry")
 	}
 	meta.Attempt = attempt
 	return nil
 }
 
-func parseIdempotent(meta *Meta, method string, header http.Header) error {
+func parseIdempotent(meta *Metadata, method string, header http.Header) error {
 	switch text := header.Get(HeaderIdempotent); text {
 	case "":
 		meta.Idempotent = method == http.MethodGet || method == http.MethodHead
@@ -178,26 +181,26 @@
 	return nil
 }
 
-func parseDeadline(meta *Meta, _ string, header http.Header) error {
+func parseDeadline(meta *Metadata, _ string, header http.Header) error {
 	text := header.Get(HeaderDeadlineMs)
 	if text == "" {
 		return nil
 	}
-	const mostMillis = 60_000
+	const maxMillis = 60_000
 	millis, err := strconv.Atoi(text)
-	if err != nil || millis < 1 || millis > mostMillis {
+	if err != nil || millis < 1 || millis > maxMillis {
 		return headerError(HeaderDeadlineMs, text, "use milliseconds from 1 to 60000")
 	}
 	meta.Deadline = time.Duration(millis) * time.Millisecond
 	return nil
 }
 
-// BirthTime returns the time at which an id of version 7 was minted, by the
-// clock of whoever minted it.
-func BirthTime(id uuid.UUID) time.Time {
+// IDTime returns the timestamp of a version 7 UUID, which is the time at which
+// it was generated by the clock of its generator.
+func IDTime(id uuid.UUID) time.Time {
 	var millis int64
-	const timeBytes = 6
-	for _, part := range id[:timeBytes] {
+	const timestampBytes = 6
+	for _, part := range id[:timestampBytes] {
 		millis = millis<<8 | int64(part)
 	}
 	return time.UnixMilli(millis)
--- a/contract/platform/httpstore/httpstore.go
+++ b/contract/platform/httpstore/httpstore.go
@@ -1,4 +1,4 @@
-// Package httpstore reaches the platform's store by its HTTP interface.
+// Package httpstore is a client of the platform's store over HTTP.
 package httpstore
 
 import (
@@ -18,16 +18,17 @@
 	"cicadarouter/record"
 )
 
-// DomainHeader tells the platform which failure domain a call comes from.
+// DomainHeader carries the failure domain of the process that makes a call.
 const DomainHeader = "X-Failure-Domain"
 
-// callTimeout bounds every call but a watch. The store answers in milliseconds.
+// callTimeout limits every call except Watch. The store normally responds within
+// milliseconds.
 const callTimeout = 2 * time.Second
 
-// watchSlack is what a watch may take beyond the time it was asked to wait.
-const watchSlack = time.Second
+// watchMargin is the time allowed for a watch in addition to its wait.
+const watchMargin = time.Second
 
-// StatusError reports an answer of the store that the protocol does not know.
+// StatusError reports a response status that the protocol does not define.
 type StatusError struct {
 	Method, Path string
 	Status       int
@@ -36,10 +37,10 @@
 
 // Error implements error.
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("store answered %s %s with status %d: %s", e.Method, e.Path, e.Status, e.Body)
+	return fmt.Sprintf("store responded to %s %s with status %d: %s", e.Method, e.Path, e.Status, e.Body)
 }
 
-// Is makes a failure of the store itself count as platform.ErrUnavailable.
+// Is makes server errors (5xx) match platform.ErrUnavailable.
 func (e *StatusError) Is(target error) bool {
 	return target == platform.ErrUnavailable && e.Status >= http.StatusInternalServerError
 }
@@ -53,8 +54,8 @@
 
 var _ platform.Store = (*Client)(nil)
 
-// New returns a client for the store at address, an IP number and port. domain
-// is the caller's failure domain.
+// New returns a client for the store at address, an IP address and port. domain
+// is the failure domain of this process.
 func New(address, domain string) *Client {
 	return &Client{base: "http://" + address, domain: domain, http: &http.Client{}}
 }
@@ -77,20 +78,20 @@
 func (c *Client) Update(ctx context.Context, envelope record.Envelope, version uint64) (uint64, error) {
 	var object platform.Object
 	ref := envelope.Ref()
-	err := c.call(ctx, callTimeout, http.MethodPut, versioned(ref, version), envelope, &object, ref, version)
+	err := c.call(ctx, callTimeout, http.MethodPut, versionedPath(ref, version), envelope, &object, ref, version)
 	return object.Version, err
 }
 
 // Delete implements platform.Store.
 func (c *Client) Delete(ctx context.Context, ref record.Ref, version uint64) error {
-	return c.call(ctx, callTimeout, http.MethodDelete, versioned(ref, version), nil, nil, ref, version)
+	return c.call(ctx, callTimeout, http.MethodDelete, versionedPath(ref, version), nil, nil, ref, version)
 }
 
 // Watch implements platform.Store.
 func (c *Client) Watch(ctx context.Context, revision uint64, wait time.Duration) (platform.Snapshot, error) {
 	var snapshot platform.Snapshot
 	path := fmt.Sprintf("/v1/watch?revision=%d&wait=%d", revision, wait.Milliseconds())
-	err := c.call(ctx, wait+watchSlack, http.MethodGet, path, nil, &snapshot, record.Ref{}, 0)
+	err := c.call(ctx, wait+watchMargin, http.MethodGet, path, nil, &snapshot, record.Ref{}, 0)
 	return snapshot, err
 }
 
@@ -105,14 +106,14 @@
 	return "/v1/records/" + url.PathEscape(string(ref.Kind)) + "/" + url.PathEscape(ref.Name)
 }
 
-func versioned(ref record.Ref, version uint64) string {
+func versionedPath(ref record.Ref, version uint64) string {
 	return recordPath(ref) + "?version=" + strconv.FormatUint(version, 10)
 }
 
-// call sends one request. Whatever keeps the reply from being read whole is
-// ErrUnavailable, since the store may have acted on the request.
-func (c *Client) call(ctx context.Context, limit time.Duration, method, path string, in, out any, ref record.Ref, version uint64) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// call sends one request. It returns an error that matches ErrUnavailable if no
+// complete response arrives, because the store may have executed the request.
+func (c *Client) call(ctx context.Context, timeout time.Duration, method, path string, in, out any, ref record.Ref, version uint64) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	request, err := c.request(ctx, method, path, in)
 	if err != nil {
@@ -120,14 +121,14 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return unavailable(err)
+		return unavailableError(err)
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return unavailable(err)
+		return unavailableError(err)
 	}
-	return decode(response.StatusCode, body, out, request, ref, version)
+	return decodeResponse(response.StatusCode, body, out, request, ref, version)
 }
 
 func (c *Client) request(ctx context.Context, method, path string, in any) (*http.Request, error) {
@@ -148,11 +149,11 @@
 	return request, nil
 }
 
-func unavailable(cause error) error {
+func unavailableError(cause error) error {
 	return &UnavailableError{Cause: cause}
 }
 
-// UnavailableError wraps the reason why the store's answer is not known.
+// UnavailableError wraps the error that prevented a valid response of the store.
 type UnavailableError struct{ Cause error }
 
 // Error implements error.
@@ -163,14 +164,14 @@
 // Unwrap makes the error match platform.ErrUnavailable and its cause.
 func (e *UnavailableError) Unwrap() []error { return []error{platform.ErrUnavailable, e.Cause} }
 
-func decode(status int, body []byte, out any, request *http.Request, ref record.Ref, version uint64) error {
+func decodeResponse(status int, body []byte, out any, request *http.Request, ref record.Ref, version uint64) error {
 	switch status {
 	case http.StatusOK:
 		if out == nil {
 			return nil
 		}
 		if err := json.Unmarshal(body, out); err != nil {
-			return unavailable(err)
+			return unavailableError(err)
 		}
 		return nil
 	case http.StatusNotFound:
@@ -178,9 +179,9 @@
 	case http.StatusGone:
 		return platform.ErrCompacted
 	case http.StatusConflict:
-		conflict := &platform.ConflictError{Ref: ref, Given: version}
+		conflict := &platform.ConflictError{Ref: ref, Expected: version}
 		if err := json.Unmarshal(body, &conflict.Current); err != nil {
-			return unavailable(err)
+			return unavailableError(err)
 		}
 		return conflict
 	}
--- a/contract/platform/memstore/memstore.go
+++ b/contract/platform/memstore/memstore.go
@@ -1,5 +1,5 @@
-// Package memstore is an in-memory platform.Store. The stand-in of the platform
-// serves it over HTTP; tests use it directly.
+// Package memstore is an in-memory platform.Store. The simulated platform serves
+// it over HTTP; tests use it directly.
 package memstore
 
 import (
@@ -13,7 +13,7 @@
 	"cicadarouter/record"
 )
 
-// historyLimit is how many changes a watch may lie behind.
+// historyLimit is the number of changes that are kept for watches.
 const historyLimit = 4096
 
 // Store is an in-memory object store. It is safe for concurrent use.
@@ -34,7 +34,7 @@
 	return &Store{objects: map[record.Ref]platform.Object{}, changed: make(chan struct{})}
 }
 
-// Copy returns a store that holds what this one holds now, with its history.
+// Copy returns an independent copy of the store with its history.
 func (s *Store) Copy() *Store {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,11 +73,11 @@
 	defer s.mu.Unlock()
 	current := s.objects[envelope.Ref()]
 	if current.Version != version {
-		return 0, &platform.ConflictError{Ref: envelope.Ref(), Given: version, Current: current}
+		return 0, &platform.ConflictError{Ref: envelope.Ref(), Expected: version, Current: current}
 	}
 	object := platform.Object{Envelope: envelope, Version: s.revision + 1}
 	s.objects[envelope.Ref()] = object
-	s.note(object)
+	s.recordChange(object)
 	return object.Version, nil
 }
 
@@ -90,23 +90,23 @@
 		return &platform.NotFoundError{Ref: ref}
 	}
 	if current.Version != version {
-		return &platform.ConflictError{Ref: ref, Given: version, Current: current}
+		return &platform.ConflictError{Ref: ref, Expected: version, Current: current}
 	}
 	delete(s.objects, ref)
 	current.Version = s.revision + 1
 	current.Deleted = true
-	s.note(current)
+	s.recordChange(current)
 	return nil
 }
 
-// note appends a change and wakes the watchers.
-func (s *Store) note(object platform.Object) {
+// recordChange appends a change to the history and wakes the watchers.
+func (s *Store) recordChange(object platform.Object) {
 	s.revision = object.Version
 	s.history = append(s.history, object)
 	if len(s.history) > historyLimit {
-		cut := len(s.history) - historyLimit
-		s.compacted = s.history[cut-1].Version
-		s.history = slices.Clone(s.history[cut:])
+		excess := len(s.history) - historyLimit
+		s.compacted = s.history[excess-1].Version
+		s.history = slices.Clone(s.history[excess:])
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -117,7 +117,7 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		snapshot, changed, err := s.since(revision)
+		snapshot, changed, err := s.changesSince(revision)
 		if err != nil || len(snapshot.Objects) > 0 {
 			return snapshot, err
 		}
@@ -131,7 +131,7 @@
 	}
 }
 
-func (s *Store) since(revision uint64) (platform.Snapshot, <-chan struct{}, error) {
+func (s *Store) changesSince(revision uint64) (platform.Snapshot, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if revision < s.compacted || revision > s.revision {
--- a/dispatch/dedup.go
+++ b/dispatch/dedup.go
@@ -121,7 +121,7 @@
 // had reached any dispatch router. The creation time in the id is from the caller's
 // clock; a time ahead of the local clock proves nothing and counts as not covered.
 func (d *Deduplicator) firstAttemptCovered(wall time.Time, id uuid.UUID) bool {
-	createdAt := caller.BirthTime(id)
+	createdAt := caller.IDTime(id)
 	if createdAt.After(wall) {
 		return false
 	}
@@ -152,7 +152,7 @@
 	if reply.Outcome != caller.Done || len(reply.Body) <= d.policy.MaxReplayBodyBytes {
 		return reply
 	}
-	return Reply{Outcome: caller.Unknown, Reason: caller.ReasonMaybeRunBefore, Server: reply.Server}
+	return Reply{Outcome: caller.Unknown, Reason: caller.ReasonEarlierAttemptMayHaveRun, Server: reply.Server}
 }
 
 // expire removes the oldest requests that are past the window or exceed the limits,
--- a/record/spec.go
+++ b/record/spec.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// decodeSpec fills target from the envelope's spec and returns the fields that
-// target has no place for.
+// decodeSpec decodes the envelope's spec into target and returns the fields that
+// target does not define.
 func decodeSpec(e Envelope, target any) (map[string]json.RawMessage, error) {
 	spec := e.Spec
 	if len(bytes.TrimSpace(spec)) == 0 {
@@ -32,19 +32,20 @@
 	if typed, ok := err.(*json.UnmarshalTypeError); ok && typed.Field != "" {
 		field = typed.Field
 	}
-	return &FieldError{Record: e.Ref(), Field: field, Value: shorten(string(e.Spec)), Fix: err.Error()}
+	return &FieldError{Record: e.Ref(), Field: field, Value: truncate(string(e.Spec)), Fix: err.Error()}
 }
 
-const shownValueLength = 120
+const maxQuotedValueLength = 120
 
-func shorten(value string) string {
-	if len(value) <= shownValueLength {
+func truncate(value string) string {
+	if len(value) <= maxQuotedValueLength {
 		return value
 	}
-	return value[:shownValueLength] + "..."
+	return value[:maxQuotedValueLength] + "..."
 }
 
-// encodeSpec writes the known fields of value together with the extra ones.
+// encodeSpec encodes the fields of value together with the extra fields. On a name
+// clash the field of value wins.
 func encodeSpec(value any, extra map[string]json.RawMessage) (json.RawMessage, error) {
 	known, err := json.Marshal(value)
 	if err != nil {
@@ -58,7 +59,7 @@
 		return nil, err
 	}
 	for name, raw := range extra {
-		if _, taken := all[name]; !taken {
+		if _, exists := all[name]; !exists {
 			all[name] = raw
 		}
 	}
--- a/router/front.go
+++ b/router/front.go
@@ -75,7 +75,7 @@
 	if !ok || !known {
 		return nil, &requestError{http.StatusNotFound, caller.ReasonUnknownService, "no service " + strconv.Quote(name) + "; use /s/SERVICE/PATH"}
 	}
-	meta, err := caller.ParseMeta(in.Method, in.Header)
+	meta, err := caller.ParseMetadata(in.Method, in.Header)
 	if err != nil {
 		return nil, &requestError{http.StatusBadRequest, caller.ReasonBadRequest, err.Error()}
 	}
--- a/router/run.go
+++ b/router/run.go
@@ -32,14 +32,14 @@
 		case dispatch.AdmitReplay:
 			return earlier
 		case dispatch.AdmitUnknown:
-			return unknown(caller.ReasonMaybeRunBefore)
+			return unknown(caller.ReasonEarlierAttemptMayHaveRun)
 		case dispatch.AdmitRun:
 			return p.runAndRecord(ctx, req)
 		}
 		select {
 		case <-done:
 		case <-ctx.Done():
-			return unknown(caller.ReasonRunning)
+			return unknown(caller.ReasonEarlierAttemptRunning)
 		}
 	}
 }
--- a/router/try.go
+++ b/router/try.go
@@ -239,7 +239,7 @@
 	echoed := answer.Header.Get(backend.HeaderRequestID)
 	if echoed != "" && echoed != req.meta.ID.String() {
 		p.router.log.Error("server returned the answer to another request", "server", chosen.server, "wanted", req.meta.ID, "found", echoed)
-		return unknown(caller.ReasonForeignResponse), final
+		return unknown(caller.ReasonMismatchedResponse), final
 	}
 	return dispatch.Reply{
 		Outcome: caller.Done,
