--- a/domain/controller.go
+++ b/domain/controller.go
@@ -20,24 +20,24 @@
 	"cicadarouter/record"
 )
 
-// Seeds are the link addresses of controllers that records may be learned from
-// when the store does not answer at start.
+// Seeds are the link addresses of controllers from which records can be read if
+// the store does not answer at startup.
 type Seeds []string
 
 // ServerDialer returns the control interface of a backend server.
 type ServerDialer func(server record.Server) backend.Control
 
-// Timing sets the pace of a controller.
+// Timing holds the intervals of a controller.
 type Timing struct {
-	// Tick is the time between two renewals.
+	// Tick is the interval between lease renewals.
 	Tick time.Duration
-	// WatchWait is how long one watch waits at the store.
+	// WatchWait is how long the store may hold a watch call without changes.
 	WatchWait time.Duration
-	// HostsEvery is how often the host list is read.
+	// HostsEvery is the interval between reads of the host list.
 	HostsEvery time.Duration
 }
 
-// DefaultTiming suits ownership.DefaultTerms.
+// DefaultTiming returns intervals that fit ownership.DefaultTerms.
 func DefaultTiming() Timing {
 	const (
 		tick       = 150 * time.Millisecond
@@ -48,7 +48,7 @@
 }
 
 // Controller renews leases and moves shards for one failure domain, together
-// with the controllers of the domain's other entry hosts.
+// with the controllers on the domain's other hosts.
 type Controller struct {
 	identity  link.Identity
 	terms     ownership.Terms
@@ -65,25 +65,26 @@
 
 	events *ring.Ring[event]
 	voter  lockedVoter
-	// peers notes when each peer last asked for each page.
+	// heard holds the time of each peer's last renewal request for each page.
 	heard heardAsks
-	// storeAnswers is set while this controller's own calls reach the store.
+	// storeAnswers is set while the store answers this controller's own calls.
 	storeAnswers atomic.Bool
-	// takenOver names the lost domains of which nothing is left to take.
+	// takenOver names the lost domains that have no page left for this domain to
+	// take over.
 	takenOver atomic.Value
-	// relayed is set while the records come from another controller.
+	// relayed is set while the records are read from another controller.
 	relayed atomic.Bool
 
 	callsMu sync.Mutex
-	calls   map[string]int // outstanding calls by target
+	calls   map[string]int // calls in flight by target
 	working sync.WaitGroup
 }
 
-// eventRingSize bounds what may wait for the loop. Answers that find it full
-// are dropped, which is the same as a lost message.
+// eventRingSize is the capacity of the loop's event queue. Answers that arrive
+// while it is full are dropped, as if the message had been lost.
 const eventRingSize = 4096
 
-// NewController returns a controller that has not started.
+// NewController returns a controller that does nothing until Run is called.
 func NewController(identity link.Identity, terms ownership.Terms, timing Timing, store platform.Store,
 	dir *directory.Directory, links link.Peers, dial ServerDialer, seeds Seeds, clk clock.Clock, logger *log.Logger) *Controller {
 	c := &Controller{
@@ -108,7 +109,8 @@
 	return c
 }
 
-// Run works until the context ends, then waits for its duties to end.
+// Run runs the controller until the context is cancelled, then waits for its
+// goroutines to return.
 func (c *Controller) Run(ctx context.Context) {
 	c.duty(func() { c.watchStore(ctx) })
 	c.duty(func() { c.watchHosts(ctx) })
@@ -127,11 +129,11 @@
 	}()
 }
 
-// maxCallsPerTarget bounds the calls that wait for one silent process.
+// maxCallsPerTarget bounds the calls in flight to a process that does not answer.
 const maxCallsPerTarget = 3
 
-// call runs work beside the loop unless too many calls to the target wait. It
-// reports whether the work was started.
+// call runs work in a goroutine, unless maxCallsPerTarget calls to the target are
+// in flight. It reports whether the work was started.
 func (c *Controller) call(target string, work func()) bool {
 	c.callsMu.Lock()
 	full := c.calls[target] >= maxCallsPerTarget
@@ -158,15 +160,16 @@
 	}
 }
 
-// post hands an event to the loop. One that finds the ring full is dropped, as a
-// message that the network lost; the next tick asks again.
+// post queues an event for the loop. If the queue is full, the event is dropped
+// as if the network had lost the message; the next tick sends the request again.
 func (c *Controller) post(happened event) {
 	if !c.events.Offer(happened) {
 		c.meters.dropped.Inc()
 	}
 }
 
-// learn takes objects into the directory and tells voter and loop of new pages.
+// learn applies objects to the directory and passes new versions of pages to the
+// voter and the loop.
 func (c *Controller) learn(objects []platform.Object, revision uint64) {
 	wanted := slices.DeleteFunc(slices.Clone(objects), func(object platform.Object) bool {
 		return !c.concerns(object)
@@ -174,7 +177,7 @@
 	accepted := c.directory.Apply(wanted, revision)
 	for _, ref := range accepted {
 		if ref.Kind == record.KindService || ref.Kind == record.KindLost {
-			c.post(rescanWanted{}) // pages may have to be made or taken over
+			c.post(rescanWanted{}) // pages may have to be created or taken over
 		}
 		if ref.Kind != record.KindPage {
 			continue
@@ -193,13 +196,15 @@
 
 func (c *Controller) tellRejected() {
 	for ref, err := range c.directory.Rejected() {
-		c.log.Warn("record does not decode, its last good version stays in force", "record", ref.String(), "error", err)
+		c.log.Warn("cannot decode record; keeping its last valid version", "record", ref.String(), "error", err)
 	}
 }
 
-// concerns reports whether an object is worth keeping: not the reports, which
-// only operators read, and of the pages and servers only those of this failure
-// domain, or those that were. All domains' together would not fit a small host.
+// concerns reports whether an object is kept in the directory. Reports are not,
+// since only operators read them. Pages and servers are kept only if they belong
+// to this failure domain, and pages also if they did: those of all domains would
+// not fit in the memory of a small host. Records that do not decode and deletions
+// of servers are passed on in any case.
 func (c *Controller) concerns(object platform.Object) bool {
 	switch object.Kind {
 	case record.KindPage:
@@ -217,10 +222,10 @@
 	return true
 }
 
-// newAttempt mints the id of a write.
+// newAttempt returns a new ID for a write.
 func newAttempt() string { return uuid.Must(uuid.NewV7()).String() }
 
-// lockedVoter shares the voter between the loop and the link's handlers.
+// lockedVoter makes a voter safe for use by the loop and the RPC handlers.
 type lockedVoter struct {
 	mu    sync.Mutex
 	voter *ownership.Voter
@@ -258,8 +263,8 @@
 
 type heardKey struct{ page, host string }
 
-// heardAsks remembers when each peer last asked for a page, so that a member
-// that stands later in a group knows whether an earlier one is at work.
+// heardAsks holds the time of each peer's last renewal request for a page. From
+// it, a later member of a group tells whether an earlier one is active.
 type heardAsks struct {
 	mu sync.Mutex
 	at map[heardKey]time.Duration
@@ -271,7 +276,7 @@
 	h.at[heardKey{page, host}] = now
 }
 
-// last returns when the host last asked for the page.
+// last returns the time of the host's last renewal request for the page.
 func (h *heardAsks) last(page, host string) (time.Duration, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -279,7 +284,7 @@
 	return at, ok
 }
 
-// forget drops what was heard from hosts that are gone.
+// forget removes the entries of hosts for which gone reports true.
 func (h *heardAsks) forget(gone func(host string) bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/domain/create.go
+++ b/domain/create.go
@@ -12,9 +12,10 @@
 	"cicadarouter/record"
 )
 
-// Pages are made and taken over by the domain's watchers, which know all of its
-// pages. The first acts at once; each other one waits longer, in case that those
-// before it are gone. The conditional update settles races.
+// Pages are created and taken over by the domain's watchers, which know all of its
+// pages. The first watcher acts at once. Each later one waits watcherStep longer
+// and acts only if those before it did not. If two act, the store's conditional
+// update lets only one succeed.
 const (
 	createRetry   = time.Second
 	watcherStep   = 3 * time.Second
@@ -22,13 +23,14 @@
 	pagesPerRound = 64
 )
 
-// watcherRank returns this controller's place among its domain's watchers.
+// watcherRank returns this controller's index in the list of its domain's
+// watchers, or notAWatcher.
 func (l *loop) watcherRank() int {
 	return slices.Index(l.c.watchers(), l.c.identity.Host)
 }
 
-// myTurn reports whether this controller, with its place among the watchers,
-// should act on something that waits for them.
+// myTurn reports whether this controller, the watcher with the given rank, should
+// perform a pending task now.
 func (l *loop) myTurn(now time.Duration, rank int, what string) bool {
 	if rank == notAWatcher {
 		return false
@@ -48,11 +50,11 @@
 	return true
 }
 
-// createPages makes the pages of this domain that do not exist yet.
+// createPages creates this domain's missing pages, at most pagesPerRound at a time.
 func (l *loop) createPages(now time.Duration) {
 	rank := l.watcherRank()
 	if !l.c.voter.established() || rank == notAWatcher {
-		return // pages may exist that this process has not seen
+		return // until the store has been read, existing pages may be unknown
 	}
 	made := 0
 	for _, service := range l.c.directory.Services() {
@@ -63,11 +65,11 @@
 		}
 	}
 	if made == pagesPerRound {
-		l.rescanDue = now // more wait
+		l.rescanDue = now // more pages may be missing
 	}
 }
 
-// createPage makes a page if it is missing, and reports whether it tried.
+// createPage creates a page if it is missing, and reports whether it started to.
 func (l *loop) createPage(now time.Duration, rank int, service record.Service, index int) bool {
 	name := record.PageName(service.Name, index)
 	if _, _, exists := l.c.directory.Page(name); exists {
@@ -86,7 +88,7 @@
 	return true
 }
 
-// newPage lays a page out in shards of equal width.
+// newPage returns the first generation of a page, split into shards of equal width.
 func newPage(service record.Service, index int, group []string, servers int) record.Page {
 	low, high := record.PageRange(index, service.PageCount())
 	page := record.Page{
@@ -125,13 +127,13 @@
 		}
 		version, err := c.store.Update(ctx, envelope, 0)
 		if err == nil {
-			c.log.Info("page made", "page", page.Name, "group", page.Group)
+			c.log.Info("created page", "page", page.Name, "group", page.Group)
 			c.learn([]platform.Object{{Envelope: envelope, Version: version}}, 0)
 		}
 	})
 }
 
-// takeOverLost takes pages of domains that operators declared lost.
+// takeOverLost takes over pages of domains that operators declared lost.
 func (l *loop) takeOverLost(now time.Duration) {
 	lost := l.c.directory.Lost(record.LostDomain)
 	if len(lost) == 0 || l.c.isTakenOver(lost) || !l.myTurn(now, l.watcherRank(), "lost domains") {
@@ -141,8 +143,8 @@
 	l.c.duty(func() { l.c.takeOver(lost, hosts) })
 }
 
-// takeOver reads all pages from the store, since only the own domain's are kept,
-// and writes those that this domain inherits.
+// takeOver reads all pages from the store, since the directory holds only those of
+// this domain, and takes over the pages that Heir assigns to this domain.
 func (c *Controller) takeOver(lost []string, hosts []platform.Host) {
 	ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 	defer cancel()
@@ -168,9 +170,9 @@
 	}
 }
 
-// noteTakenOver remembers that nothing of the lost domains is left for this one
-// to take. The record of a loss may stand for weeks, and each look costs the
-// store a list of everything.
+// noteTakenOver records that the lost domains have no page left for this domain to
+// take over. The record of a loss may exist for weeks, and each check lists the
+// whole store.
 func (c *Controller) noteTakenOver(lost []string) {
 	c.takenOver.Store(strings.Join(lost, ","))
 }
@@ -188,14 +190,14 @@
 		return
 	}
 	version, err := c.store.Update(ctx, envelope, object.Version)
-	c.log.Warn("taking a page over from a lost domain", "page", page.Name, "from", page.Home, "error", err)
+	c.log.Warn("taking over page of a lost domain", "page", page.Name, "from", page.Home, "error", err)
 	if err == nil {
 		c.learn([]platform.Object{{Envelope: envelope, Version: version}}, 0)
 	}
 }
 
-// Heir returns the failure domain that takes a page whose home is lost, or ""
-// if no domain of the service is left.
+// Heir returns the failure domain that takes over a page whose home domain is
+// lost, or "" if all domains of the service are lost.
 func Heir(page string, service record.Service, lost []string) string {
 	heirs := slices.DeleteFunc(slices.Clone(service.Domains), func(domain string) bool {
 		return slices.Contains(lost, domain)
--- a/domain/doc.go
+++ b/domain/doc.go
@@ -1,8 +1,8 @@
-// Package domain is the controller's work in one failure domain: it watches the
-// store, renews the pages whose groups it is a member of, judges the health of
-// backend servers, moves shards, and feeds the routers.
+// Package domain implements the controller of one failure domain. A controller
+// watches the store, renews the leases of the pages whose groups it is a member of,
+// checks the health of backend servers, moves shards and sends records to routers.
 //
-// The duties are goroutines joined by one bounded ring: a loop owns all state
-// machines and is the only one to step them; a store duty watches; calls to
-// peers, backend servers and routers run beside the loop and post their answers.
+// One goroutine, the loop, owns all state machines and reads a bounded queue of
+// events. Another goroutine watches the store. Calls to peers, backend servers and
+// routers run in goroutines of their own, which post the answers to the queue.
 package domain
--- a/domain/events.go
+++ b/domain/events.go
@@ -14,7 +14,7 @@
 
 func (e pageLearned) apply(l *loop, now time.Duration) { l.takePage(now, e.page) }
 
-// rescanWanted has the next tick look through all known pages and services.
+// rescanWanted makes the next tick scan all known pages and services.
 type rescanWanted struct{}
 
 func (rescanWanted) apply(l *loop, now time.Duration) { l.rescanDue = now }
@@ -115,7 +115,7 @@
 		})
 		l.noteSigns(now, status)
 		if e.reply.GetLeaving() {
-			l.tickPage(now, state) // a successor should not wait for the next tick
+			l.tickPage(now, state) // choose another dispatcher without waiting for the next tick
 		}
 		if status.GetMeasured() {
 			state.planner.Observe(now, shardLoads(status))
@@ -167,7 +167,7 @@
 	}
 }
 
-// askPeers asks another observer about a silent server.
+// askPeers queues probes of a silent server by other hosts of the domain.
 func (l *loop) askPeers(now time.Duration, server string) {
 	health := l.server(server)
 	if !health.shouldAskPeers(now) {
--- a/domain/grouping.go
+++ b/domain/grouping.go
@@ -9,15 +9,15 @@
 	"cicadarouter/contract/platform"
 )
 
-// Sizes of a renewal group. An odd size tolerates as many losses as the next
-// even one.
+// Sizes of a renewal group. An odd size tolerates as many failed members as the
+// next larger even size.
 const (
 	smallGroup = 3
 	largeGroup = 5
 )
 
-// ranked orders names by a hash over the purpose and each name (rendezvous
-// hashing), so that a name that comes or goes moves little.
+// ranked orders names by a hash of the purpose and the name (rendezvous hashing).
+// Adding or removing a name does not reorder the others.
 func ranked(purpose string, names []string) []string {
 	type scored struct {
 		name  string
@@ -46,8 +46,8 @@
 	return names
 }
 
-// groupFor returns the renewal group that a page should have; the first member
-// is its assigner.
+// groupFor returns the renewal group that a page should have. The first member is
+// the assigner, which renews and assigns the page unless it fails; see loop.active.
 func groupFor(page string, hosts []platform.Host, domain string) []string {
 	ordered := ranked("renew\x00"+page, liveHosts(hosts, domain))
 	size := len(ordered)
@@ -60,15 +60,17 @@
 	return ordered[:size]
 }
 
-// DispatchOrder returns the hosts of a failure domain in the order in which
-// their routers are preferred to dispatch the page.
+// DispatchOrder returns the hosts of a failure domain in order of preference for
+// dispatching the page.
 func DispatchOrder(page string, hosts []platform.Host, domain string) []string {
 	return ranked("dispatch\x00"+page, liveHosts(hosts, domain))
 }
 
-// replaceGone returns the group with members that left the host list replaced
-// by the best hosts outside it, or nil if no change is worth a change of group.
-// Members that are only out of order stay: each change of group costs a lapse.
+// replaceGone returns the group with the members that are not live replaced by the
+// first wanted hosts outside it, and filled up to the wanted size. It returns nil if
+// the group should not change, or would shrink to fewer than smallGroup members. A
+// group of the wanted size that differs only in order or by live members is kept,
+// since after each change of group the old leases must expire first.
 func replaceGone(group, wanted, live []string) []string {
 	next := make([]string, 0, len(group))
 	for _, member := range group {
--- a/domain/health.go
+++ b/domain/health.go
@@ -2,38 +2,39 @@
 
 import "time"
 
-// Times of the judgement of health. Detection, the lapse of a lease, two writes
-// and a grant together stay under 2 s.
+// Limits for the health of backend servers. Failure detection, the expiry of a
+// lease, two writes and a grant together must take less than 2 s.
 const (
-	// silenceToAsk is how long a server may be silent before others are asked.
+	// silenceToAsk is the silence of a server after which peers are asked to probe it.
 	silenceToAsk = 250 * time.Millisecond
-	// silenceToSuspect is how long a server may be silent before it is suspected,
-	// if nobody else has heard from it.
+	// silenceToSuspect is the silence after which a server is suspected if no other
+	// observer has had an answer from it.
 	silenceToSuspect = 450 * time.Millisecond
-	// silenceToGiveUp is how long others' word keeps a silent server trusted. A
-	// server that only this controller cannot reach gets no leases all the same.
+	// silenceToGiveUp is the silence after which a server is suspected even if other
+	// observers reach it: without answers to this controller it gets no leases.
 	silenceToGiveUp = 2 * time.Second
-	// signFreshness is how long another observer's word counts. It is shorter
-	// than the silence, since that word was on its way for up to a tick.
+	// signFreshness is how long an observation by another host counts. It is shorter
+	// than silenceToSuspect, since the observation is up to a tick old on arrival.
 	signFreshness = 300 * time.Millisecond
-	// silenceOfStranger is how long a server may be silent that has never
-	// answered this controller, which has just taken the page over from a
-	// silent member: two losses at once must not add up.
+	// silenceOfStranger is the silence after which a server is suspected that has not
+	// answered since this controller began to contact it. The controller may just
+	// have taken over the page from a failed member; if the server failed at the same
+	// time, the two detection times must not add up.
 	silenceOfStranger = 300 * time.Millisecond
 )
 
-// serverHealth gathers the signs about one backend server. Reports lag and
-// mislead, so that no single sign decides.
+// serverHealth holds the observations of one backend server. Each kind of
+// observation can be late or wrong, so several are combined.
 type serverHealth struct {
 	firstAsked  time.Duration
 	asked       bool
 	lastAnswer  time.Duration // to this controller
-	lastSign    time.Duration // to a dispatch router's request, or to a peer's probe
+	lastSign    time.Duration // to a dispatcher's request or a peer's probe
 	heardSign   bool
 	askedPeers  time.Duration
 	draining    bool
 	incarnation uint64
-	// told is the judgement that was last logged.
+	// told is the result of suspected that was last logged.
 	told bool
 }
 
@@ -64,7 +65,7 @@
 	return now - h.lastAnswer
 }
 
-// shouldAskPeers reports whether another observer's word is wanted.
+// shouldAskPeers reports whether peers should probe the server now.
 func (h *serverHealth) shouldAskPeers(now time.Duration) bool {
 	return h.silence(now) >= silenceToAsk && now-h.askedPeers >= silenceToAsk
 }
@@ -83,14 +84,14 @@
 	return !contradicted || silent >= silenceToGiveUp
 }
 
-// routerHealth is what a controller knows of one router.
+// routerHealth holds the observations of one router.
 type routerHealth struct {
 	asked      bool
 	lastAnswer time.Duration
 	avoidUntil time.Duration
 }
 
-// Times of the choice of a dispatch router.
+// Limits for the choice of a dispatcher.
 const (
 	routerSilence = 450 * time.Millisecond
 	routerAvoid   = 3 * time.Second
@@ -104,9 +105,9 @@
 	h.lastAnswer = now
 }
 
-// noteAnswer takes an answer. A router that leaves is left out for a while, not
-// for good: nobody asks a router that is left out, so nobody would learn that
-// another run of it has come back.
+// noteAnswer records an answer. A router that is shutting down is avoided for
+// routerAvoid only: an avoided router is not contacted, so the controller would
+// never learn that it has restarted.
 func (h *routerHealth) noteAnswer(now time.Duration, leaving bool) {
 	h.lastAnswer = now
 	if leaving {
@@ -115,8 +116,8 @@
 	}
 }
 
-// usable reports whether the router may be chosen. A silent one is left out for
-// a while, then tried again.
+// usable reports whether the router may be chosen as dispatcher. One that does not
+// answer is avoided for routerAvoid, then tried again.
 func (h *routerHealth) usable(now time.Duration) bool {
 	if now < h.avoidUntil {
 		return false
--- a/domain/health_test.go
+++ b/domain/health_test.go
@@ -7,11 +7,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom: after a rolling restart of all routers, a page has no dispatch router
-// although all of them run.
-// Sequence: each router tells once that it leaves, and starts again.
-// Cause: a router that left was never asked again, and so never seen to be back.
-func TestRouterThatLeftIsTriedAgain(t *testing.T) {
+// Guards against a page without a dispatcher after a rolling restart of all routers:
+// each router reported once that it was shutting down, and was never contacted again
+// after its restart.
+func TestRouterThatShutDownIsTriedAgain(t *testing.T) {
 	var h routerHealth
 	h.noteAsked(0)
 	h.noteAnswer(0, true)
@@ -19,7 +18,7 @@
 	assert.Assert(t, h.usable(routerAvoid))
 }
 
-func TestSilentRouterIsLeftOutForAWhile(t *testing.T) {
+func TestSilentRouterIsAvoidedTemporarily(t *testing.T) {
 	var h routerHealth
 	h.noteAsked(0)
 	assert.Assert(t, h.usable(routerSilence-1))
@@ -27,30 +26,30 @@
 	assert.Assert(t, h.usable(routerSilence+routerAvoid))
 }
 
-// TestSuspicion has one row for each combination of signs about a server that
-// was last heard from at time 0.
+// TestSuspicion has one row for each combination of observations of a server that
+// was last contacted successfully at time 0.
 func TestSuspicion(t *testing.T) {
 	const ms = time.Millisecond
 	rows := []struct {
-		name    string
-		signAt  time.Duration // another observer's word, 0 for none
-		strange bool          // it has never answered this controller
-		at      time.Duration
-		want    bool
+		name          string
+		signAt        time.Duration // last observation by another host, 0 for none
+		neverAnswered bool          // it has never answered this controller
+		at            time.Duration
+		want          bool
 	}{
-		{"answered a moment ago", 0, false, 300 * ms, false},
+		{"answered recently", 0, false, 300 * ms, false},
 		{"silent", 0, false, silenceToSuspect, true},
-		{"silent, but another heard from it", 400 * ms, false, silenceToSuspect, false},
-		{"silent, another heard from it long ago", 100 * ms, false, silenceToSuspect, true},
-		{"silent for so long that others' word does not count", 1900 * ms, false, silenceToGiveUp, true},
+		{"silent, but another host had an answer", 400 * ms, false, silenceToSuspect, false},
+		{"silent, another host had an answer long ago", 100 * ms, false, silenceToSuspect, true},
+		{"silent too long for other hosts' observations to count", 1900 * ms, false, silenceToGiveUp, true},
 		{"never answered", 0, true, silenceOfStranger, true},
-		{"never answered, but another heard from it", 200 * ms, true, silenceOfStranger, false},
+		{"never answered, but another host had an answer", 200 * ms, true, silenceOfStranger, false},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			var h serverHealth
 			h.noteAsked(0)
-			if !row.strange {
+			if !row.neverAnswered {
 				h.noteAnswer(1, 7, false)
 			}
 			if row.signAt > 0 {
--- a/domain/loop.go
+++ b/domain/loop.go
@@ -10,7 +10,7 @@
 	"cicadarouter/record"
 )
 
-// event is something that happened outside the loop.
+// event is an input of the loop: an answer, or a change of the records.
 type event interface {
 	apply(l *loop, now time.Duration)
 }
@@ -19,12 +19,13 @@
 type pageState struct {
 	machine *ownership.Machine
 	planner *placement.Planner
-	// groupDue is when a change of group that seems needed may be proposed.
+	// groupDue is the earliest time to propose a pending change of the group; 0 if none is pending.
 	groupDue time.Duration
-	reading  bool
+	// reading is set while the page is being reread from the store.
+	reading bool
 }
 
-// loop owns the state machines of a controller. Only its goroutine touches it.
+// loop owns the state machines of a controller. Only its own goroutine accesses it.
 type loop struct {
 	c       *Controller
 	pages   map[string]*pageState
@@ -32,12 +33,12 @@
 	routers map[string]*routerHealth
 	out     outbox
 	started time.Duration
-	// tried is when this controller last acted on what waits for the watchers.
+	// tried holds the time of the last attempt at each task of the watchers.
 	tried map[string]time.Duration
-	// rescanDue is when all known pages are looked through again.
+	// rescanDue is the time of the next scan of all known pages.
 	rescanDue time.Duration
-	// noticed is when this controller first saw that something waits for the
-	// watchers of its domain.
+	// noticed holds the time at which this controller first saw each pending task
+	// of the watchers.
 	noticed map[string]time.Duration
 }
 
@@ -70,14 +71,14 @@
 	}
 }
 
-// eventBatch bounds the events that are taken before the answers go out.
+// eventBatch bounds the events that are handled before the outgoing messages are sent.
 const eventBatch = 64
 
-// handle takes an event and those already waiting, so that their answers leave
-// together in one message for each peer. Each event has its own reading of the
-// clock: one that came while this process was paused must not be dated before
-// the pause. A promise dated too early would be taken for lapsed while leases
-// that it accounts for still run, and two servers would own a key.
+// handle applies an event and those already queued, so that the resulting
+// messages are sent in one batch per peer. The clock is read for each event: an
+// event that arrived while this process was paused must not get a time before the
+// pause. The time that remains on a promise would then seem to be over while
+// leases that it covers are still valid, and two servers would own a key.
 func (l *loop) handle(first event) {
 	first.apply(l, l.c.clock.Now())
 	for range eventBatch {
@@ -90,16 +91,16 @@
 	}
 }
 
-// rescanEvery is how often all known pages are looked through, in case that the
-// ring was full when one was learned.
+// rescanEvery is the interval between scans of all known pages, which find those
+// whose event was dropped because the queue was full.
 const rescanEvery = 2 * time.Second
 
 func (l *loop) tick(now time.Duration) {
 	if now >= l.rescanDue {
 		l.rescanDue = now + rescanEvery
 		for _, page := range l.c.directory.Pages() {
-			// Read after the page: a takeover's wait counts from here, and must
-			// not begin before the takeover.
+			// The clock is read after the page: the wait after a takeover starts
+			// at this time, which must not be before the takeover.
 			l.takePage(l.c.clock.Now(), page)
 		}
 		l.createPages(now)
@@ -111,8 +112,8 @@
 	}
 }
 
-// forgetGone drops what is known of servers and hosts whose records are gone, so
-// that a domain's daily replacements do not add up.
+// forgetGone removes the state of servers and hosts whose records are gone.
+// Otherwise it would grow with every replaced server and host.
 func (l *loop) forgetGone() {
 	for name := range l.servers {
 		if _, listed := l.c.directory.Server(name); !listed {
@@ -130,7 +131,8 @@
 	})
 }
 
-// takePage begins or ends this controller's part in a page, as its group says.
+// takePage passes a page to its state machine, or drops the machine if this
+// controller is not a member of the page's group.
 func (l *loop) takePage(now time.Duration, page record.Page) {
 	if !slices.Contains(page.Voters(), l.c.identity.Host) {
 		delete(l.pages, page.Name)
@@ -141,7 +143,7 @@
 	l.pump(now, state)
 }
 
-// page returns the state of a page of whose group this controller is a member.
+// page returns the state of a page, and creates it if there is none.
 func (l *loop) page(page record.Page) *pageState {
 	state, known := l.pages[page.Name]
 	if !known {
@@ -162,7 +164,8 @@
 		return
 	}
 	view := l.view(now, state)
-	// Read after the view: what operators declared lost is counted from here.
+	// The clock is read after the view: waits for losses that operators declared
+	// start at this time.
 	now = l.c.clock.Now()
 	state.machine.Tick(now, view)
 	l.propose(now, state, view)
@@ -170,8 +173,8 @@
 	l.pump(now, state)
 }
 
-// stopAsking ends the count of the silence of servers that this controller asks
-// no more: another member does, and what is not asked does not answer.
+// stopAsking stops measuring the silence of the page's servers. Another member of
+// the group contacts them now, so that they send this controller no answers.
 func (l *loop) stopAsking(page record.Page) {
 	service, _ := l.c.directory.Service(page.Service)
 	for _, server := range l.pageServers(page, service) {
@@ -179,7 +182,7 @@
 	}
 }
 
-// pump carries out what a machine wants, until it wants nothing more.
+// pump processes the output of a state machine until there is no more.
 func (l *loop) pump(now time.Duration, state *pageState) {
 	for {
 		ready := state.machine.Ready()
@@ -189,7 +192,8 @@
 	}
 }
 
-// route passes a machine's wishes on and reports whether there were any.
+// route adds the output of a state machine to the outbox, and reports whether it
+// contained messages. Messages to this controller's own voter are answered here.
 func (l *loop) route(now time.Duration, state *pageState, ready ownership.Ready) bool {
 	for _, ask := range ready.Asks {
 		l.routeAsk(now, state, ask)
--- a/domain/loop_test.go
+++ b/domain/loop_test.go
@@ -17,7 +17,7 @@
 	"cicadarouter/record"
 )
 
-// pausedClock is the clock of a process that is paused after every reading.
+// pausedClock simulates a process that is paused for pauseLength before every reading.
 type pausedClock struct {
 	mu  sync.Mutex
 	now time.Duration
@@ -32,17 +32,15 @@
 	return c.now
 }
 
-// datedEvent notes the time that it was given.
+// datedEvent records the time that is passed to apply.
 type datedEvent struct{ dated *[]time.Duration }
 
 func (e datedEvent) apply(_ *loop, now time.Duration) { *e.dated = append(*e.dated, now) }
 
-// Symptom: two servers own a key after a controller was paused.
-// Sequence: the controller reads its clock for the first of several events and is
-// paused; a voter's promise arrives; the controller goes on and counts the
-// promise's remaining time from its old reading.
-// Cause: one reading of the clock for events that came at different times.
-func TestEachEventHasItsOwnTime(t *testing.T) {
+// Guards against two owners of a key after a controller was paused: with one reading
+// of the clock for a batch of events, the remaining time of a promise that arrived
+// during the pause would be counted from a time before the pause.
+func TestClockIsReadForEachEvent(t *testing.T) {
 	clk := &pausedClock{}
 	dial := func(server record.Server) backend.Control {
 		return backend.NewClient(server.Name, server.Address, http.DefaultTransport)
--- a/domain/meters.go
+++ b/domain/meters.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// noteWrite counts a write of a page, and the shards that it gave a new owner.
+// noteWrite counts a write of a page and, if it succeeded, the shards that got a new
+// owner.
 func (m *meters) noteWrite(page record.Page, result ownership.WriteResult) {
 	m.writes.Inc()
 	if result != ownership.WriteDone {
@@ -40,7 +41,8 @@
 	}
 }
 
-// watchStoreMetric shows whether the controller's own calls reach the store.
+// watchStoreMetric adds a gauge that is 1 while the store answers the controller's
+// own calls.
 func (m *meters) watchStoreMetric(up func() bool) {
 	m.set.NewGauge("cicada_store_up", func() float64 {
 		if up() {
--- a/domain/outbox.go
+++ b/domain/outbox.go
@@ -14,7 +14,8 @@
 	"cicadarouter/record"
 )
 
-// Limits of calls to others. A call that takes longer counts as lost.
+// Timeouts of calls, and the pause after rereading a page. A call that times out
+// counts as a lost message.
 const (
 	peerTimeout   = 300 * time.Millisecond
 	serverTimeout = 300 * time.Millisecond
@@ -23,8 +24,8 @@
 	rereadPause   = 50 * time.Millisecond
 )
 
-// outbox gathers what the loop wants sent, so that one message for each peer
-// and router carries all pages.
+// outbox holds the loop's outgoing messages and calls, so that each peer and
+// router gets one message for all pages.
 type outbox struct {
 	asks    map[string][]ownership.AskOut
 	stops   map[string][]ownership.StopOut
@@ -35,7 +36,7 @@
 	probes  []probe
 }
 
-// probe asks a peer whether it reaches a server.
+// probe is a request to a peer to check whether it reaches a server.
 type probe struct{ server, peer string }
 
 func newOutbox() outbox {
@@ -126,8 +127,8 @@
 	})
 }
 
-// sendLeases offers or renews a router's leases. The page itself goes along
-// until the router has acknowledged its generation.
+// sendLeases grants or renews a router's leases. The page itself is included until
+// the router has acknowledged its generation.
 func (l *loop) sendLeases(ctx context.Context, host string, grants []ownership.GrantOut) {
 	router, ok := l.c.directory.Host(host)
 	if !ok {
@@ -205,8 +206,8 @@
 	})
 }
 
-// write puts a generation of a page on top of the version that is known to
-// hold the generation before it.
+// write stores a generation of a page, provided that the stored version is the one
+// known to hold the previous generation.
 func (c *Controller) write(ctx context.Context, page record.Page) ownership.WriteResult {
 	known, version, ok := c.directory.Page(page.Name)
 	if !ok || known.Generation != page.Generation-1 {
@@ -229,8 +230,8 @@
 	return ownership.WriteDone
 }
 
-// reread gets a page from the store, to settle what became of a write or
-// because a peer knows a newer generation.
+// reread reads a page from the store, either to find out whether a write succeeded
+// or because a peer knows a newer generation.
 func (c *Controller) reread(ctx context.Context, page string) {
 	c.duty(func() {
 		defer func() { _ = c.events.Put(ctx, rereadFinished{page: page}) }()
--- a/domain/relay.go
+++ b/domain/relay.go
@@ -11,26 +11,27 @@
 	"cicadarouter/link/linkpb"
 )
 
-// watchersPerDomain is how many controllers of a failure domain watch the store
-// themselves. Any one of them is enough; more stand ready for its loss.
+// watchersPerDomain is the number of controllers in a failure domain that watch the
+// store directly. One is enough; the others are spares in case it fails.
 const watchersPerDomain = 3
 
-// directEvery has a relayed controller go to the store itself once in so many
-// turns, in case that no watcher can be followed.
+// directEvery is the number of turns after which a controller that follows a relay
+// calls the store itself once, in case no watcher can be followed.
 const directEvery = watchersPerDomain + 1
 
-// errStoreAway ends a relay whose sender has lost the store, so that its
-// followers look for one that has not.
+// errStoreAway ends a relay stream whose sender cannot reach the store, so that its
+// followers switch to another watcher.
 var errStoreAway = errors.New("this watcher does not reach the store")
 
-// watchers lists the controllers of this domain that watch the store.
+// watchers returns the hosts of this domain whose controllers watch the store.
 func (c *Controller) watchers() []string {
 	live := liveHosts(c.directory.Hosts(), c.identity.Domain)
 	ordered := ranked("watch\x00"+c.identity.Domain, live)
 	return ordered[:min(watchersPerDomain, len(ordered))]
 }
 
-// relays reports whether this turn should follow another controller.
+// relays reports whether the controller should follow a watcher in this turn, and
+// sets relayed accordingly.
 func (c *Controller) relays(turn int) bool {
 	watchers := c.watchers()
 	relayed := len(watchers) == watchersPerDomain &&
@@ -41,9 +42,9 @@
 	return relayed
 }
 
-// bounded reports whether this controller votes on a page whose renewal is
-// bounded by the last contact to the store. Such a voter needs a contact of its
-// own: a relay says nothing of how old its news is.
+// bounded reports whether this controller votes on a page that is renewed only for
+// a limited time after the last contact with the store. Such a voter must contact
+// the store itself, since a relay does not tell how old its records are.
 func (c *Controller) bounded() bool {
 	for _, page := range c.directory.Pages() {
 		if page.Bounded && slices.Contains(page.Voters(), c.identity.Host) {
@@ -53,10 +54,10 @@
 	return false
 }
 
-// relayPause is the wait before another watcher is tried.
+// relayPause is the delay before the next watcher is tried.
 const relayPause = 50 * time.Millisecond
 
-// followRelay takes records from one watcher until its stream breaks.
+// followRelay applies records from one watcher until its stream ends.
 func (c *Controller) followRelay(ctx context.Context, turn int) {
 	watchers := c.watchers()
 	host, ok := c.directory.Host(watchers[turn%len(watchers)])
--- a/domain/reporter.go
+++ b/domain/reporter.go
@@ -10,18 +10,18 @@
 	"cicadarouter/record"
 )
 
-// childReport is the last report of a child, and when it came.
+// childReport is the last report of a child in the tree, with its time of arrival.
 type childReport struct {
 	report *linkpb.DomainReport
 	at     time.Duration
 }
 
-// reporter gathers the reports of one controller's part of the tree.
+// reporter combines the reports of one controller's subtree.
 type reporter struct {
 	mu       sync.Mutex
 	children map[string]childReport
 	counts   map[string]*linkpb.ServiceCount // since the last report
-	// last is what the own router had counted at the last reading.
+	// last holds the counters of this host's router when they were last read.
 	last        map[string]*linkpb.ServiceCount
 	incarnation uint64
 	revision    uint64
@@ -39,7 +39,8 @@
 	}
 }
 
-// takeRouter adds what a router has counted since the last reading.
+// takeRouter adds the increase of a router's counters since they were last read. The
+// counters of a new incarnation start at 0.
 func (r *reporter) takeRouter(now time.Duration, reply *linkpb.CountsReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,7 +72,7 @@
 	return grown
 }
 
-// add adds counts to those that the next report carries. The caller holds r.mu.
+// add adds a count to those of the next report. The caller holds r.mu.
 func (r *reporter) add(count *linkpb.ServiceCount) {
 	sum, known := r.counts[count.GetService()]
 	if !known {
@@ -86,7 +87,7 @@
 	}
 }
 
-// takeChild notes a child's report.
+// takeChild stores a child's report and adds its counts.
 func (r *reporter) takeChild(now time.Duration, child *linkpb.DomainReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -96,8 +97,9 @@
 	}
 }
 
-// sum makes this controller's report: its own two daemons and its children. The
-// report takes the counts along; restore gives back what cannot be passed on.
+// sum returns the report on the controller, on its host's router if that was read
+// within reportAge, and on the children. It resets the counts; if the report cannot
+// be delivered, restore adds them back.
 func (r *reporter) sum(now time.Duration, host string, revision uint64) *linkpb.DomainReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,7 +121,7 @@
 	return total
 }
 
-// restore takes counts back that a report could not carry away.
+// restore adds back the counts of a report that was not delivered.
 func (r *reporter) restore(services []*linkpb.ServiceCount) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -128,8 +130,8 @@
 	}
 }
 
-// join adds a report to a total: the lowest revision counts, and those who are at
-// it are named.
+// join adds a report to a total. The total has the lowest revision of all reports
+// and names daemons that are at that revision, at most mostLagging.
 func join(total, part *linkpb.DomainReport) {
 	total.Daemons += part.GetDaemons()
 	switch {
@@ -142,9 +144,10 @@
 	total.Lagging = total.Lagging[:min(len(total.Lagging), mostLagging)]
 }
 
-// isNews reports whether a report should be written: it counts other daemons or
-// laggards than the last one, or a change that concerns this domain has come
-// into force since. Every write moves the revision, so that this alone is no news.
+// isNews reports whether a report should be written now: the number of daemons or
+// the lagging daemons differ from those last written, or the revision has risen and
+// the last one written was below config, the newest change that concerns this domain.
+// Any other rise waits until enforcedDue, since every write raises the revision.
 func (r *reporter) isNews(now time.Duration, fresh record.Enforced, config uint64) bool {
 	last := r.written
 	switch {
--- a/domain/reporter_test.go
+++ b/domain/reporter_test.go
@@ -13,9 +13,9 @@
 	return []*linkpb.ServiceCount{{Service: "s", Total: total, Bad: bad, Causes: map[string]uint64{"overload": bad}}}
 }
 
-// TestCountsClimbOnce: what routers count reaches the top once, through restarts
-// of a router and reports that do not arrive.
-func TestCountsClimbOnce(t *testing.T) {
+// Guards against counts that are lost or added twice when a router restarts or a
+// report is not delivered.
+func TestCountsAreReportedOnce(t *testing.T) {
 	r := newReporter()
 	r.takeRouter(1, &linkpb.CountsReply{Incarnation: 1, Revision: 5, Services: counted(10, 1)})
 	r.takeRouter(2, &linkpb.CountsReply{Incarnation: 1, Revision: 5, Services: counted(15, 1)})
@@ -30,9 +30,9 @@
 	assert.Equal(t, len(r.sum(7, "me", 6).GetServices()), 0)
 }
 
-// TestOldestRevisionCounts: the report names the daemons that are furthest behind,
-// and forgets children that have fallen silent.
-func TestOldestRevisionCounts(t *testing.T) {
+// The report has the lowest revision and names the daemons at it. Children that have
+// stopped reporting are removed.
+func TestReportHasLowestRevision(t *testing.T) {
 	r := newReporter()
 	r.takeRouter(1, &linkpb.CountsReply{Revision: 9})
 	r.takeChild(1, &linkpb.DomainReport{From: "child", Daemons: 2, Revision: 4, Lagging: []string{"child router"}})
--- a/domain/reporting.go
+++ b/domain/reporting.go
@@ -16,20 +16,20 @@
 	"cicadarouter/report"
 )
 
-// Reports climb a tree over the hosts of the failure domain, so that neither the
-// store nor any one daemon hears from every other. The root writes two kinds of
-// records: which configuration is in force, and the counts for the burn report.
+// Reports are aggregated along a tree of the failure domain's hosts, so that neither
+// the store nor any daemon receives one from every host. The root writes two kinds
+// of records: the configuration in force, and the counts for the burn report.
 const (
 	reportFanIn = 32
 	reportEvery = 2 * time.Second
 	burnEvery   = 10 * time.Second
-	// reportAge is how long a child's report counts.
+	// reportAge is how long the report of a child or of the router is valid.
 	reportAge    = 10 * time.Second
 	mostLagging  = 5
 	countTimeout = 500 * time.Millisecond
 )
 
-// reportOften sends or writes this controller's report from time to time.
+// reportOften sends or writes this controller's report every reportEvery.
 func (c *Controller) reportOften(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, reportEvery)
@@ -38,7 +38,7 @@
 	}
 }
 
-// readRouter takes the counts of the router on the same host.
+// readRouter reads the counters of the router on the same host.
 func (c *Controller) readRouter(ctx context.Context) {
 	self, ok := c.directory.Host(c.identity.Host)
 	if !ok {
@@ -76,8 +76,8 @@
 	}
 }
 
-// sendReport passes a report on and reports whether it arrived. One whose reply
-// is lost is counted twice, which a burn rate bears.
+// sendReport sends a report to the parent and reports whether it was acknowledged.
+// If only the reply is lost, the counts are added twice; a burn rate tolerates that.
 func (c *Controller) sendReport(ctx context.Context, parent string, total *linkpb.DomainReport) bool {
 	host, ok := c.directory.Host(parent)
 	if !ok {
@@ -89,11 +89,11 @@
 	return err == nil
 }
 
-// enforcedEvery is how often a report is renewed that says nothing new but that
-// the store's revision has moved on, by changes that do not concern this domain.
+// enforcedEvery is the interval between writes of reports in which only the store's
+// revision has changed, by writes that do not concern this domain.
 const enforcedEvery = 10 * time.Second
 
-// writeEnforced writes which configuration is in force, if there is news.
+// writeEnforced writes the configuration in force if it is due; see reporter.isNews.
 func (c *Controller) writeEnforced(ctx context.Context, now time.Duration, total *linkpb.DomainReport) {
 	live := liveHosts(c.directory.Hosts(), c.identity.Domain)
 	if len(live) == 0 {
@@ -119,8 +119,8 @@
 	}
 }
 
-// replace writes a record that only this controller means to write, over
-// whatever version is there. It reports whether it did.
+// replace overwrites the stored version of a record that has no other writer, and
+// reports whether it succeeded.
 func (c *Controller) replace(ctx context.Context, envelope record.Envelope) bool {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
@@ -132,7 +132,7 @@
 	return err == nil
 }
 
-// current reads a record; one that does not exist has version 0.
+// current reads a record. A record that does not exist has version 0.
 func (c *Controller) current(ctx context.Context, ref record.Ref) (platform.Object, error) {
 	object, err := c.store.Get(ctx, ref)
 	var missing *platform.NotFoundError
@@ -142,8 +142,8 @@
 	return object, err
 }
 
-// writeBurn adds the counts to the burn records, and keeps those that it is not
-// time for or that could not be written.
+// writeBurn adds the counts to the burn records every burnEvery. Counts that are not
+// due yet or could not be written are kept for the next call.
 func (c *Controller) writeBurn(ctx context.Context, now time.Duration, total *linkpb.DomainReport) {
 	if now < c.reporter.burnDue || len(total.GetServices()) == 0 {
 		c.reporter.restore(total.GetServices())
@@ -155,7 +155,7 @@
 			continue
 		}
 		if err := c.addBurn(ctx, count); err != nil {
-			c.log.Warn("burn record could not be written, its counts are kept", "service", count.GetService(), "error", err)
+			c.log.Warn("cannot write burn record; keeping its counts for the next write", "service", count.GetService(), "error", err)
 			c.reporter.restore([]*linkpb.ServiceCount{count})
 		}
 	}
@@ -175,7 +175,7 @@
 	var series report.Series
 	if current.Version != 0 {
 		if err := json.Unmarshal(current.Spec, &series); err != nil {
-			c.log.Warn("burn record does not decode and is begun anew", "record", ref.String(), "error", err)
+			c.log.Warn("cannot decode burn record; replacing it with an empty one", "record", ref.String(), "error", err)
 			series = report.Series{}
 		}
 	}
--- a/domain/serve.go
+++ b/domain/serve.go
@@ -11,13 +11,13 @@
 	"cicadarouter/ownership"
 )
 
-// LinkServer serves a controller's link.
+// LinkServer serves the RPC interface of a controller.
 type LinkServer struct {
 	linkpb.UnimplementedControlServer
 	c *Controller
 }
 
-// NewLinkServer returns the link server of a controller.
+// NewLinkServer returns a server of the controller's RPC interface.
 func NewLinkServer(c *Controller) *LinkServer { return &LinkServer{c: c} }
 
 var _ linkpb.ControlServer = (*LinkServer)(nil)
@@ -48,7 +48,8 @@
 	return reply, nil
 }
 
-// noteDispatcher lets this controller's routers know who dispatches the page.
+// noteDispatcher records the dispatcher of a page in the directory, from which
+// routers get it.
 func (s *LinkServer) noteDispatcher(ask *linkpb.Ask, answer ownership.Answer) {
 	if answer.Verdict == ownership.Agreed {
 		s.c.directory.SetDispatcher(ask.GetPage(), ask.GetDispatcher())
@@ -78,7 +79,8 @@
 	return &linkpb.ProbeReply{Reached: err == nil}, nil
 }
 
-// relayRecheck is how often a relay makes sure that its sender still reaches the store.
+// relayRecheck is the interval at which a relay checks that its sender still reaches
+// the store.
 const relayRecheck = 500 * time.Millisecond
 
 // Records implements linkpb.ControlServer.
--- a/domain/status.go
+++ b/domain/status.go
@@ -2,7 +2,7 @@
 
 import "io"
 
-// Status describes a controller to operators.
+// Status is the state of a controller as shown to operators.
 type Status struct {
 	Host     string   `json:"host"`
 	Domain   string   `json:"domain"`
@@ -25,5 +25,5 @@
 	return status
 }
 
-// WriteMetrics writes the metrics in the exposition format.
+// WriteMetrics writes the metrics in the Prometheus text format.
 func (c *Controller) WriteMetrics(out io.Writer) { c.meters.set.WritePrometheus(out) }
--- a/domain/view.go
+++ b/domain/view.go
@@ -9,14 +9,15 @@
 	"cicadarouter/record"
 )
 
-// Times after which a later member of a group takes over from a silent earlier one.
+// A member of a group takes over when all earlier members have been silent for
+// takeOverAfter plus takeOverStep for each of them.
 const (
 	takeOverAfter = 300 * time.Millisecond
 	takeOverStep  = 150 * time.Millisecond
 )
 
-// view gathers what the machine of a page that this controller works on needs
-// to know of the world.
+// view returns the input of a page's state machine for a page on which this
+// controller is active.
 func (l *loop) view(now time.Duration, state *pageState) ownership.View {
 	page := state.machine.Page()
 	service, _ := l.c.directory.Service(page.Service)
@@ -39,9 +40,9 @@
 	return view
 }
 
-// active reports whether this controller should work on the page. The first
-// member of the group does; each later one takes over when all earlier ones
-// have been silent. Two at work at once cost messages, never safety.
+// active reports whether this controller should renew and assign the page. The
+// first member of the group does; a later one takes over when all earlier ones
+// have been silent. Two active members send more messages but are safe.
 func (l *loop) active(now time.Duration, page record.Page) bool {
 	rank := slices.Index(page.Group, l.c.identity.Host)
 	if rank < 0 {
@@ -65,9 +66,9 @@
 	return l.c.directory.PageServers(service, page.Home, page.Index)
 }
 
-// judged reports whether owners may be chosen: at once on a page that has owners,
-// and on a new one when every server has answered or is suspected. Otherwise the
-// servers that answer first would get all shards, and most would move again.
+// judged reports whether owners may be chosen: always on a page that has an owner,
+// and on a new page once every server has answered or is suspected. Otherwise the
+// first servers to answer would get all shards, and most shards would move again.
 func (l *loop) judged(now time.Duration, page record.Page, servers []record.Server) bool {
 	for _, shard := range page.Shards {
 		if shard.Owner != "" {
@@ -80,7 +81,7 @@
 	})
 }
 
-// eligible returns the servers that may become owners, the least loaded first.
+// eligible returns the servers that may become owners, least loaded first.
 func (l *loop) eligible(now time.Duration, state *pageState, servers []record.Server) []string {
 	var names []string
 	for _, server := range servers {
@@ -114,8 +115,8 @@
 	l.c.log.Info("backend server answers again", "server", name)
 }
 
-// chooseDispatcher keeps the router that has the lease while it answers, and
-// else takes the first of the page's order that does.
+// chooseDispatcher returns the page's current dispatcher while it is usable, and
+// otherwise the first usable router in the page's order, or "" if there is none.
 func (l *loop) chooseDispatcher(now time.Duration, state *pageState, page record.Page) string {
 	order := DispatchOrder(page.Name, l.c.directory.Hosts(), page.Home)
 	current := state.machine.Dispatcher()
@@ -130,11 +131,12 @@
 	return ""
 }
 
-// groupPatience is how long a host must be gone from the list before its seat is
-// given to another. The list lags and flaps; a change of group costs a lapse.
+// groupPatience is how long a change of group must be needed before it is proposed.
+// The host list lags and flaps, and after a change the old leases must expire first.
 const groupPatience = 3 * time.Second
 
-// propose hands the machine what placement and membership want changed.
+// propose passes the changes that placement and group membership require to the
+// page's state machine.
 func (l *loop) propose(now time.Duration, state *pageState, view ownership.View) {
 	page := state.machine.Page()
 	proposal := ownership.Proposal{Group: l.proposeGroup(now, state, page)}
--- a/domain/watch.go
+++ b/domain/watch.go
@@ -14,7 +14,7 @@
 	"cicadarouter/link/linkpb"
 )
 
-// Delays between attempts to reach the store.
+// Limits of the delay between attempts to reach the store.
 const (
 	storeRetryFirst = 50 * time.Millisecond
 	storeRetryMost  = time.Second
@@ -27,9 +27,9 @@
 	return policy
 }
 
-// watchStore keeps the directory at the store's state: by a watch of its own if
-// this controller is one of its domain's watchers, and else by relay from one of
-// them, so that the store's load grows with domains and not with hosts.
+// watchStore keeps the directory up to date. A controller that is one of its
+// domain's watchers watches the store itself; the others follow a relay from one of
+// them, so that the store's load grows with the number of domains, not of hosts.
 func (c *Controller) watchStore(ctx context.Context) {
 	retry := storeBackoff()
 	listed := false
@@ -45,7 +45,7 @@
 			err = c.listOnce(ctx)
 		}
 		if answers := err == nil || errors.Is(err, platform.ErrCompacted); c.storeAnswers.Swap(answers) != answers {
-			c.log.Warn("contact to the store changed", "answers", answers)
+			c.log.Warn("contact with the store changed", "answers", answers)
 		}
 		switch {
 		case err == nil:
@@ -60,10 +60,10 @@
 	}
 }
 
-// bridgeOutage spends the wait until the store is tried again. A controller that
-// started during the outage spends it learning what its peers know: it then can
-// renew their pages with them, although its own voice counts only once it has
-// read the store.
+// bridgeOutage waits until the next attempt to reach the store. A controller that
+// started during the outage meanwhile reads records from a peer. It can then renew
+// pages together with its peers, although its own vote counts only after it has read
+// the store.
 func (c *Controller) bridgeOutage(ctx context.Context, listed bool, turn int, wait time.Duration) {
 	peers := c.knownPeers()
 	if listed || len(peers) == 0 {
@@ -74,15 +74,16 @@
 	defer cancel()
 	request := &linkpb.RecordsRequest{From: c.identity.Host, Domain: c.identity.Domain, Relay: true, Cached: true}
 	err := directory.Follow(ctx, c.links.Control(peers[turn%len(peers)]), request, c.takeRelayed)
-	c.log.Debug("learning from a peer ended", "error", err)
+	c.log.Debug("reading records from a peer ended", "error", err)
 	clock.Sleep(ctx, storeRetryFirst)
 }
 
-// bridgeFor is how long a peer is followed before the store is tried again.
+// bridgeFor is the least time limit for following a peer before the next attempt to
+// reach the store.
 const bridgeFor = 2 * time.Second
 
-// knownPeers lists other controllers' links: those of the settings and those of
-// this domain's hosts.
+// knownPeers returns the link addresses of other controllers: the seeds and the
+// other hosts of this domain.
 func (c *Controller) knownPeers() []string {
 	peers := slices.Clone([]string(c.seeds))
 	for _, host := range c.directory.Hosts() {
@@ -100,8 +101,8 @@
 		return err
 	}
 	c.learn(snapshot.Objects, snapshot.Revision)
-	// Only now has the voter seen every generation that a predecessor at this
-	// address may have promised to stop.
+	// Only now does the voter know every generation that a previous incarnation at
+	// this address may have promised to stop renewing.
 	c.voter.storeRead(began)
 	return nil
 }
@@ -117,8 +118,8 @@
 	return nil
 }
 
-// watchHosts reads the platform's host list from time to time, unless it comes
-// by relay.
+// watchHosts reads the platform's host list every timing.HostsEvery, and more often
+// while the list is empty. While a relay is followed, the list comes from the relay.
 func (c *Controller) watchHosts(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait := c.timing.HostsEvery
--- a/tools/mutants/path.go
+++ b/tools/mutants/path.go
@@ -40,7 +40,7 @@
 			"int(p.maxAnswer))\n	if err != nil {\n", "int(p.maxAnswer))\n	if false {\n"),
 		in("router", "router/page.go", "wait for an owner that has lost the key",
 			"			running.moved = true\n			running.cancel()\n", "			running.moved = true\n"),
-		in("domain", "domain/loop.go", "date all events of a batch alike",
+		in("domain", "domain/loop.go", "use an earlier time for later events of a batch",
 			"			next.apply(l, l.c.clock.Now())\n", "			next.apply(l, l.c.clock.Now()-time.Second)\n"),
 		in("placement", "placement/placement.go", "balance what nobody waits for",
 			"	if ledger.perSlot(ledger.heaviest()) < p.policy.LeastLoad {", "	if p.policy.LeastLoad < 0 {"),
