--- a/domain/controller.go
+++ b/domain/controller.go
@@ -29,12 +29,12 @@
 
 // Timing holds the intervals of a controller.
 type Timing struct {
-	// Tick is the interval between lease renewals.
-	Tick time.Duration
-	// WatchWait is how long the store may hold a watch call without changes.
-	WatchWait time.Duration
-	// HostsEvery is the interval between reads of the host list.
-	HostsEvery time.Duration
+	// TickInterval is the interval between lease renewals.
+	TickInterval time.Duration
+	// WatchTimeout is how long the store may hold a watch call without changes.
+	WatchTimeout time.Duration
+	// HostsInterval is the interval between reads of the host list.
+	HostsInterval time.Duration
 }
 
 // DefaultTiming returns intervals that fit ownership.DefaultTerms.
@@ -44,7 +44,7 @@
 		watchWait  = 3 * time.Second
 		hostsEvery = 2 * time.Second
 	)
-	return Timing{Tick: tick, WatchWait: watchWait, HostsEvery: hostsEvery}
+	return Timing{TickInterval: tick, WatchTimeout: watchWait, HostsInterval: hostsEvery}
 }
 
 // Controller renews leases and moves shards for one failure domain, together
@@ -65,66 +65,66 @@
 
 	events *ring.Ring[event]
 	voter  lockedVoter
-	// heard holds the time of each peer's last renewal request for each page.
-	heard heardAsks
-	// storeAnswers is set while the store answers this controller's own calls.
-	storeAnswers atomic.Bool
-	// takenOver names the lost domains that have no page left for this domain to
+	// lastRenewals holds the time of each peer's last renewal request for each page.
+	lastRenewals renewalTimes
+	// storeReachable is set while the store answers this controller's own calls.
+	storeReachable atomic.Bool
+	// finishedTakeovers names the lost domains that have no page left for this domain to
 	// take over.
-	takenOver atomic.Value
-	// relayed is set while the records are read from another controller.
-	relayed atomic.Bool
+	finishedTakeovers atomic.Value
+	// followingRelay is set while the records are read from another controller.
+	followingRelay atomic.Bool
 
-	callsMu sync.Mutex
-	calls   map[string]int // calls in flight by target
-	working sync.WaitGroup
+	callsMu       sync.Mutex
+	callsInFlight map[string]int // calls in flight by target
+	goroutines    sync.WaitGroup
 }
 
-// eventRingSize is the capacity of the loop's event queue. Answers that arrive
+// eventQueueSize is the capacity of the loop's event queue. Answers that arrive
 // while it is full are dropped, as if the message had been lost.
-const eventRingSize = 4096
+const eventQueueSize = 4096
 
 // NewController returns a controller that does nothing until Run is called.
 func NewController(identity link.Identity, terms ownership.Terms, timing Timing, store platform.Store,
 	dir *directory.Directory, links link.Peers, dial ServerDialer, seeds Seeds, clk clock.Clock, logger *log.Logger) *Controller {
 	c := &Controller{
-		identity:  identity,
-		terms:     terms,
-		timing:    timing,
-		store:     store,
-		directory: dir,
-		links:     links,
-		dial:      dial,
-		seeds:     seeds,
-		clock:     clk,
-		log:       logger,
-		meters:    newMeters(),
-		reporter:  newReporter(),
-		events:    ring.New[event](eventRingSize),
-		calls:     map[string]int{},
+		identity:      identity,
+		terms:         terms,
+		timing:        timing,
+		store:         store,
+		directory:     dir,
+		links:         links,
+		dial:          dial,
+		seeds:         seeds,
+		clock:         clk,
+		log:           logger,
+		meters:        newMeters(),
+		reporter:      newReporter(),
+		events:        ring.New[event](eventQueueSize),
+		callsInFlight: map[string]int{},
 	}
 	c.voter.voter = ownership.NewVoter(terms, clk.Now())
-	c.meters.watchStoreMetric(c.storeAnswers.Load)
-	c.heard.at = map[heardKey]time.Duration{}
+	c.meters.addStoreGauge(c.storeReachable.Load)
+	c.lastRenewals.at = map[renewalKey]time.Duration{}
 	return c
 }
 
 // Run runs the controller until the context is cancelled, then waits for its
 // goroutines to return.
 func (c *Controller) Run(ctx context.Context) {
-	c.duty(func() { c.watchStore(ctx) })
-	c.duty(func() { c.watchHosts(ctx) })
-	c.duty(func() { c.reportOften(ctx) })
+	c.spawn(func() { c.watchStore(ctx) })
+	c.spawn(func() { c.watchHosts(ctx) })
+	c.spawn(func() { c.reportPeriodically(ctx) })
 	loop := newLoop(c)
 	loop.run(ctx)
-	c.working.Wait()
+	c.goroutines.Wait()
 }
 
-// duty runs work in a goroutine that Run waits for.
-func (c *Controller) duty(work func()) {
-	c.working.Add(1)
+// spawn runs work in a goroutine that Run waits for.
+func (c *Controller) spawn(work func()) {
+	c.goroutines.Add(1)
 	go func() {
-		defer c.working.Done()
+		defer c.goroutines.Done()
 		work()
 	}()
 }
@@ -132,52 +132,52 @@
 // maxCallsPerTarget bounds the calls in flight to a process that does not answer.
 const maxCallsPerTarget = 3
 
-// call runs work in a goroutine, unless maxCallsPerTarget calls to the target are
+// startCall runs work in a goroutine, unless maxCallsPerTarget calls to the target are
 // in flight. It reports whether the work was started.
-func (c *Controller) call(target string, work func()) bool {
+func (c *Controller) startCall(target string, work func()) bool {
 	c.callsMu.Lock()
-	full := c.calls[target] >= maxCallsPerTarget
+	full := c.callsInFlight[target] >= maxCallsPerTarget
 	if !full {
-		c.calls[target]++
+		c.callsInFlight[target]++
 	}
 	c.callsMu.Unlock()
 	if full {
 		return false
 	}
-	c.duty(func() {
-		defer c.callEnded(target)
+	c.spawn(func() {
+		defer c.endCall(target)
 		work()
 	})
 	return true
 }
 
-func (c *Controller) callEnded(target string) {
+func (c *Controller) endCall(target string) {
 	c.callsMu.Lock()
 	defer c.callsMu.Unlock()
-	c.calls[target]--
-	if c.calls[target] == 0 {
-		delete(c.calls, target)
+	c.callsInFlight[target]--
+	if c.callsInFlight[target] == 0 {
+		delete(c.callsInFlight, target)
 	}
 }
 
-// post queues an event for the loop. If the queue is full, the event is dropped
+// enqueue queues an event for the loop. If the queue is full, the event is dropped
 // as if the network had lost the message; the next tick sends the request again.
-func (c *Controller) post(happened event) {
+func (c *Controller) enqueue(happened event) {
 	if !c.events.Offer(happened) {
 		c.meters.dropped.Inc()
 	}
 }
 
-// learn applies objects to the directory and passes new versions of pages to the
+// applyRecords applies objects to the directory and passes new versions of pages to the
 // voter and the loop.
-func (c *Controller) learn(objects []platform.Object, revision uint64) {
+func (c *Controller) applyRecords(objects []platform.Object, revision uint64) {
 	wanted := slices.DeleteFunc(slices.Clone(objects), func(object platform.Object) bool {
-		return !c.concerns(object)
+		return !c.isRelevant(object)
 	})
 	accepted := c.directory.Apply(wanted, revision)
 	for _, ref := range accepted {
 		if ref.Kind == record.KindService || ref.Kind == record.KindLost {
-			c.post(rescanWanted{}) // pages may have to be created or taken over
+			c.enqueue(rescanRequested{}) // pages may have to be created or taken over
 		}
 		if ref.Kind != record.KindPage {
 			continue
@@ -187,25 +187,25 @@
 			continue
 		}
 		c.voter.learn(page.Name, page.Generation)
-		c.post(pageLearned{page: page})
+		c.enqueue(pageChanged{page: page})
 	}
 	if len(accepted) > 0 {
-		c.tellRejected()
+		c.logRejected()
 	}
 }
 
-func (c *Controller) tellRejected() {
+func (c *Controller) logRejected() {
 	for ref, err := range c.directory.Rejected() {
 		c.log.Warn("cannot decode record; keeping its last valid version", "record", ref.String(), "error", err)
 	}
 }
 
-// concerns reports whether an object is kept in the directory. Reports are not,
+// isRelevant reports whether an object is kept in the directory. Reports are not,
 // since only operators read them. Pages and servers are kept only if they belong
 // to this failure domain, and pages also if they did: those of all domains would
 // not fit in the memory of a small host. Records that do not decode and deletions
 // of servers are passed on in any case.
-func (c *Controller) concerns(object platform.Object) bool {
+func (c *Controller) isRelevant(object platform.Object) bool {
 	switch object.Kind {
 	case record.KindPage:
 		if _, _, known := c.directory.Page(object.Name); known {
@@ -243,7 +243,7 @@
 	v.voter.StoreRead(began)
 }
 
-func (v *lockedVoter) established() bool {
+func (v *lockedVoter) hasReadStore() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.voter.Established()
@@ -261,31 +261,31 @@
 	return v.voter.Stop(now, page, generation)
 }
 
-type heardKey struct{ page, host string }
+type renewalKey struct{ page, host string }
 
-// heardAsks holds the time of each peer's last renewal request for a page. From
+// renewalTimes holds the time of each peer's last renewal request for a page. From
 // it, a later member of a group tells whether an earlier one is active.
-type heardAsks struct {
+type renewalTimes struct {
 	mu sync.Mutex
-	at map[heardKey]time.Duration
+	at map[renewalKey]time.Duration
 }
 
-func (h *heardAsks) note(page, host string, now time.Duration) {
+func (h *renewalTimes) record(page, host string, now time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.at[heardKey{page, host}] = now
+	h.at[renewalKey{page, host}] = now
 }
 
 // last returns the time of the host's last renewal request for the page.
-func (h *heardAsks) last(page, host string) (time.Duration, bool) {
+func (h *renewalTimes) last(page, host string) (time.Duration, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	at, ok := h.at[heardKey{page, host}]
+	at, ok := h.at[renewalKey{page, host}]
 	return at, ok
 }
 
-// forget removes the entries of hosts for which gone reports true.
-func (h *heardAsks) forget(gone func(host string) bool) {
+// removeHosts removes the entries of hosts for which gone reports true.
+func (h *renewalTimes) removeHosts(gone func(host string) bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for key := range h.at {
--- a/domain/create.go
+++ b/domain/create.go
@@ -17,10 +17,10 @@
 // and acts only if those before it did not. If two act, the store's conditional
 // update lets only one succeed.
 const (
-	createRetry   = time.Second
-	watcherStep   = 3 * time.Second
-	notAWatcher   = -1
-	pagesPerRound = 64
+	createRetryInterval = time.Second
+	watcherDelay        = 3 * time.Second
+	notAWatcher         = -1
+	maxPagesPerScan     = 64
 )
 
 // watcherRank returns this controller's index in the list of its domain's
@@ -29,43 +29,43 @@
 	return slices.Index(l.c.watchers(), l.c.identity.Host)
 }
 
-// myTurn reports whether this controller, the watcher with the given rank, should
+// shouldAttempt reports whether this controller, the watcher with the given rank, should
 // perform a pending task now.
-func (l *loop) myTurn(now time.Duration, rank int, what string) bool {
+func (l *loop) shouldAttempt(now time.Duration, rank int, what string) bool {
 	if rank == notAWatcher {
 		return false
 	}
-	since, known := l.noticed[what]
+	since, known := l.pendingSince[what]
 	if !known {
-		l.noticed[what] = now
+		l.pendingSince[what] = now
 		since = now
 	}
-	if now-since < time.Duration(rank)*watcherStep {
+	if now-since < time.Duration(rank)*watcherDelay {
 		return false
 	}
-	if tried, ok := l.tried[what]; ok && now-tried < createRetry {
+	if tried, ok := l.lastAttempt[what]; ok && now-tried < createRetryInterval {
 		return false
 	}
-	l.tried[what] = now
+	l.lastAttempt[what] = now
 	return true
 }
 
 // createPages creates this domain's missing pages, at most pagesPerRound at a time.
 func (l *loop) createPages(now time.Duration) {
 	rank := l.watcherRank()
-	if !l.c.voter.established() || rank == notAWatcher {
+	if !l.c.voter.hasReadStore() || rank == notAWatcher {
 		return // until the store has been read, existing pages may be unknown
 	}
 	made := 0
 	for _, service := range l.c.directory.Services() {
 		for index := range service.PageCount() {
-			if service.PageHome(index) == l.c.identity.Domain && made < pagesPerRound && l.createPage(now, rank, service, index) {
+			if service.PageHome(index) == l.c.identity.Domain && made < maxPagesPerScan && l.createPage(now, rank, service, index) {
 				made++
 			}
 		}
 	}
-	if made == pagesPerRound {
-		l.rescanDue = now // more pages may be missing
+	if made == maxPagesPerScan {
+		l.nextRescan = now // more pages may be missing
 	}
 }
 
@@ -73,18 +73,18 @@
 func (l *loop) createPage(now time.Duration, rank int, service record.Service, index int) bool {
 	name := record.PageName(service.Name, index)
 	if _, _, exists := l.c.directory.Page(name); exists {
-		delete(l.noticed, name)
+		delete(l.pendingSince, name)
 		return false
 	}
-	if !l.myTurn(now, rank, name) {
+	if !l.shouldAttempt(now, rank, name) {
 		return false
 	}
-	group := groupFor(name, l.c.directory.Hosts(), l.c.identity.Domain)
+	group := renewalGroup(name, l.c.directory.Hosts(), l.c.identity.Domain)
 	if len(group) == 0 {
 		return false
 	}
 	servers := len(l.c.directory.PageServers(service, l.c.identity.Domain, index))
-	l.c.createPage(newPage(service, index, group, max(servers, 1)))
+	l.c.writeNewPage(newPage(service, index, group, max(servers, 1)))
 	return true
 }
 
@@ -117,8 +117,8 @@
 	}
 }
 
-func (c *Controller) createPage(page record.Page) {
-	c.duty(func() {
+func (c *Controller) writeNewPage(page record.Page) {
+	c.spawn(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 		defer cancel()
 		envelope, err := page.Encode()
@@ -128,7 +128,7 @@
 		version, err := c.store.Update(ctx, envelope, 0)
 		if err == nil {
 			c.log.Info("created page", "page", page.Name, "group", page.Group)
-			c.learn([]platform.Object{{Envelope: envelope, Version: version}}, 0)
+			c.applyRecords([]platform.Object{{Envelope: envelope, Version: version}}, 0)
 		}
 	})
 }
@@ -136,11 +136,11 @@
 // takeOverLost takes over pages of domains that operators declared lost.
 func (l *loop) takeOverLost(now time.Duration) {
 	lost := l.c.directory.Lost(record.LostDomain)
-	if len(lost) == 0 || l.c.isTakenOver(lost) || !l.myTurn(now, l.watcherRank(), "lost domains") {
+	if len(lost) == 0 || l.c.takeoversFinished(lost) || !l.shouldAttempt(now, l.watcherRank(), "lost domains") {
 		return
 	}
 	hosts := l.c.directory.Hosts()
-	l.c.duty(func() { l.c.takeOver(lost, hosts) })
+	l.c.spawn(func() { l.c.takeOver(lost, hosts) })
 }
 
 // takeOver reads all pages from the store, since the directory holds only those of
@@ -159,31 +159,31 @@
 			continue
 		}
 		service, ok := c.directory.Service(page.Service)
-		if !ok || Heir(page.Name, service, lost) != c.identity.Domain {
+		if !ok || TakeoverDomain(page.Name, service, lost) != c.identity.Domain {
 			continue
 		}
 		left++
 		c.takeOverPage(ctx, object, page, hosts)
 	}
 	if left == 0 {
-		c.noteTakenOver(lost)
+		c.recordFinishedTakeovers(lost)
 	}
 }
 
-// noteTakenOver records that the lost domains have no page left for this domain to
+// recordFinishedTakeovers records that the lost domains have no page left for this domain to
 // take over. The record of a loss may exist for weeks, and each check lists the
 // whole store.
-func (c *Controller) noteTakenOver(lost []string) {
-	c.takenOver.Store(strings.Join(lost, ","))
+func (c *Controller) recordFinishedTakeovers(lost []string) {
+	c.finishedTakeovers.Store(strings.Join(lost, ","))
 }
 
-func (c *Controller) isTakenOver(lost []string) bool {
-	done, _ := c.takenOver.Load().(string)
+func (c *Controller) takeoversFinished(lost []string) bool {
+	done, _ := c.finishedTakeovers.Load().(string)
 	return done == strings.Join(lost, ",")
 }
 
 func (c *Controller) takeOverPage(ctx context.Context, object platform.Object, page record.Page, hosts []platform.Host) {
-	group := groupFor(page.Name, hosts, c.identity.Domain)
+	group := renewalGroup(page.Name, hosts, c.identity.Domain)
 	next := ownership.TakeOver(page, c.identity.Domain, group, newAttempt())
 	envelope, err := next.Encode()
 	if err != nil || len(group) == 0 {
@@ -192,17 +192,17 @@
 	version, err := c.store.Update(ctx, envelope, object.Version)
 	c.log.Warn("taking over page of a lost domain", "page", page.Name, "from", page.Home, "error", err)
 	if err == nil {
-		c.learn([]platform.Object{{Envelope: envelope, Version: version}}, 0)
+		c.applyRecords([]platform.Object{{Envelope: envelope, Version: version}}, 0)
 	}
 }
 
-// Heir returns the failure domain that takes over a page whose home domain is
+// TakeoverDomain returns the failure domain that takes over a page whose home domain is
 // lost, or "" if all domains of the service are lost.
-func Heir(page string, service record.Service, lost []string) string {
+func TakeoverDomain(page string, service record.Service, lost []string) string {
 	heirs := slices.DeleteFunc(slices.Clone(service.Domains), func(domain string) bool {
 		return slices.Contains(lost, domain)
 	})
-	order := ranked("heir\x00"+page, heirs)
+	order := rendezvousOrder("heir\x00"+page, heirs)
 	if len(order) == 0 {
 		return ""
 	}
--- a/domain/events.go
+++ b/domain/events.go
@@ -10,35 +10,35 @@
 	"cicadarouter/record"
 )
 
-type pageLearned struct{ page record.Page }
+type pageChanged struct{ page record.Page }
 
-func (e pageLearned) apply(l *loop, now time.Duration) { l.takePage(now, e.page) }
+func (e pageChanged) apply(l *loop, now time.Duration) { l.updatePage(now, e.page) }
 
-// rescanWanted makes the next tick scan all known pages and services.
-type rescanWanted struct{}
+// rescanRequested makes the next tick scan all known pages and services.
+type rescanRequested struct{}
 
-func (rescanWanted) apply(l *loop, now time.Duration) { l.rescanDue = now }
+func (rescanRequested) apply(l *loop, now time.Duration) { l.nextRescan = now }
 
-type asksAnswered struct {
-	host    string
-	asks    []ownership.AskOut
-	answers []*linkpb.Answer
+type renewalsAnswered struct {
+	host      string
+	renewals  []ownership.AskOut
+	responses []*linkpb.Answer
 }
 
-func (e asksAnswered) apply(l *loop, now time.Duration) {
-	for i, ask := range e.asks {
+func (e renewalsAnswered) apply(l *loop, now time.Duration) {
+	for i, ask := range e.renewals {
 		state, known := l.pages[ask.Ask.Page]
 		if !known {
 			continue
 		}
 		answer := ownership.Answer{
-			Verdict:    ownership.Verdict(e.answers[i].GetVerdict()),
-			Known:      e.answers[i].GetKnown(),
-			Dispatcher: e.answers[i].GetDispatcher(),
-			BusyFor:    time.Duration(e.answers[i].GetBusyForNanos()),
+			Verdict:    ownership.Verdict(e.responses[i].GetVerdict()),
+			Known:      e.responses[i].GetKnown(),
+			Dispatcher: e.responses[i].GetDispatcher(),
+			BusyFor:    time.Duration(e.responses[i].GetBusyForNanos()),
 		}
 		state.machine.Answer(now, ask.Round, e.host, answer)
-		l.pump(now, state)
+		l.processOutput(now, state)
 	}
 }
 
@@ -56,41 +56,41 @@
 		}
 		promise := ownership.Promise{Remaining: time.Duration(e.remaining[i])}
 		state.machine.Promised(now, stop.Generation, e.host, promise)
-		l.pump(now, state)
+		l.processOutput(now, state)
 	}
 }
 
 type serverAnswered struct {
-	out    ownership.GrantOut
-	report backend.Report
+	message ownership.GrantOut
+	report  backend.Report
 }
 
 func (e serverAnswered) apply(l *loop, now time.Duration) {
-	health := l.server(e.out.Holder.Name)
-	health.noteAnswer(now, e.report.Incarnation, e.report.Draining)
-	state, known := l.pages[e.out.Page]
+	health := l.server(e.message.Holder.Name)
+	health.recordAnswer(now, e.report.Incarnation, e.report.Draining)
+	state, known := l.pages[e.message.Page]
 	if !known {
 		return
 	}
-	state.machine.Ack(now, e.out.Holder, ownership.HolderAck{
-		SentAt:      e.out.SentAt,
+	state.machine.Ack(now, e.message.Holder, ownership.HolderAck{
+		SentAt:      e.message.SentAt,
 		Stamp:       e.report.Clock,
 		Incarnation: e.report.Incarnation,
 		Generation:  e.report.Generation,
 		Busy:        e.report.Busy,
 	})
-	l.pump(now, state)
+	l.processOutput(now, state)
 }
 
-type serverFailed struct{ server string }
+type serverCallFailed struct{ server string }
 
-func (e serverFailed) apply(l *loop, now time.Duration) {
-	l.askPeers(now, e.server)
+func (e serverCallFailed) apply(l *loop, now time.Duration) {
+	l.probeFromPeers(now, e.server)
 }
 
-type peerReached struct{ server string }
+type probeSucceeded struct{ server string }
 
-func (e peerReached) apply(l *loop, now time.Duration) { l.server(e.server).noteSign(now) }
+func (e probeSucceeded) apply(l *loop, now time.Duration) { l.server(e.server).recordObservation(now) }
 
 type leaseAnswered struct {
 	host   string
@@ -99,7 +99,7 @@
 }
 
 func (e leaseAnswered) apply(l *loop, now time.Duration) {
-	l.router(e.host).noteAnswer(now, e.reply.GetLeaving())
+	l.router(e.host).recordAnswer(now, e.reply.GetLeaving())
 	for _, status := range e.reply.GetPages() {
 		state, known := l.pages[status.GetPage()]
 		if !known {
@@ -113,21 +113,21 @@
 			Generation:  status.GetGeneration(),
 			Leaving:     e.reply.GetLeaving(),
 		})
-		l.noteSigns(now, status)
+		l.recordObservations(now, status)
 		if e.reply.GetLeaving() {
 			l.tickPage(now, state) // choose another dispatcher without waiting for the next tick
 		}
 		if status.GetMeasured() {
 			state.planner.Observe(now, shardLoads(status))
 		}
-		l.pump(now, state)
+		l.processOutput(now, state)
 	}
 }
 
-func (l *loop) noteSigns(now time.Duration, status *linkpb.PageStatus) {
+func (l *loop) recordObservations(now time.Duration, status *linkpb.PageStatus) {
 	for _, sign := range status.GetSigns() {
 		if sign.GetAnswered() {
-			l.server(sign.GetServer()).noteSign(now)
+			l.server(sign.GetServer()).recordObservation(now)
 		}
 	}
 }
@@ -156,32 +156,32 @@
 		return
 	}
 	state.machine.WriteResult(now, e.attempt, e.result)
-	l.pump(now, state)
+	l.processOutput(now, state)
 }
 
 type rereadFinished struct{ page string }
 
 func (e rereadFinished) apply(l *loop, _ time.Duration) {
 	if state, known := l.pages[e.page]; known {
-		state.reading = false
+		state.rereading = false
 	}
 }
 
-// askPeers queues probes of a silent server by other hosts of the domain.
-func (l *loop) askPeers(now time.Duration, server string) {
+// probeFromPeers queues probes of a silent server by other hosts of the domain.
+func (l *loop) probeFromPeers(now time.Duration, server string) {
 	health := l.server(server)
-	if !health.shouldAskPeers(now) {
+	if !health.shouldProbeFromPeers(now) {
 		return
 	}
-	health.askedPeers = now
+	health.lastPeerProbe = now
 	hosts := liveHosts(l.c.directory.Hosts(), l.c.identity.Domain)
 	const observers = 2
 	asked := 0
-	for _, host := range ranked("observe\x00"+server, hosts) {
+	for _, host := range rendezvousOrder("observe\x00"+server, hosts) {
 		if host == l.c.identity.Host || asked == observers {
 			continue
 		}
 		asked++
-		l.out.probes = append(l.out.probes, probe{server: server, peer: host})
+		l.out.probes = append(l.out.probes, peerProbe{server: server, peer: host})
 	}
 }
--- a/domain/grouping.go
+++ b/domain/grouping.go
@@ -12,13 +12,13 @@
 // Sizes of a renewal group. An odd size tolerates as many failed members as the
 // next larger even size.
 const (
-	smallGroup = 3
-	largeGroup = 5
+	smallGroupSize = 3
+	largeGroupSize = 5
 )
 
-// ranked orders names by a hash of the purpose and the name (rendezvous hashing).
+// rendezvousOrder orders names by a hash of the purpose and the name (rendezvous hashing).
 // Adding or removing a name does not reorder the others.
-func ranked(purpose string, names []string) []string {
+func rendezvousOrder(purpose string, names []string) []string {
 	type scored struct {
 		name  string
 		score uint64
@@ -46,16 +46,16 @@
 	return names
 }
 
-// groupFor returns the renewal group that a page should have. The first member is
+// renewalGroup returns the renewal group that a page should have. The first member is
 // the assigner, which renews and assigns the page unless it fails; see loop.active.
-func groupFor(page string, hosts []platform.Host, domain string) []string {
-	ordered := ranked("renew\x00"+page, liveHosts(hosts, domain))
+func renewalGroup(page string, hosts []platform.Host, domain string) []string {
+	ordered := rendezvousOrder("renew\x00"+page, liveHosts(hosts, domain))
 	size := len(ordered)
 	switch {
-	case size >= largeGroup:
-		size = largeGroup
-	case size >= smallGroup:
-		size = smallGroup
+	case size >= largeGroupSize:
+		size = largeGroupSize
+	case size >= smallGroupSize:
+		size = smallGroupSize
 	}
 	return ordered[:size]
 }
@@ -63,15 +63,15 @@
 // DispatchOrder returns the hosts of a failure domain in order of preference for
 // dispatching the page.
 func DispatchOrder(page string, hosts []platform.Host, domain string) []string {
-	return ranked("dispatch\x00"+page, liveHosts(hosts, domain))
+	return rendezvousOrder("dispatch\x00"+page, liveHosts(hosts, domain))
 }
 
-// replaceGone returns the group with the members that are not live replaced by the
+// replaceMissingMembers returns the group with the members that are not live replaced by the
 // first wanted hosts outside it, and filled up to the wanted size. It returns nil if
 // the group should not change, or would shrink to fewer than smallGroup members. A
 // group of the wanted size that differs only in order or by live members is kept,
 // since after each change of group the old leases must expire first.
-func replaceGone(group, wanted, live []string) []string {
+func replaceMissingMembers(group, wanted, live []string) []string {
 	next := make([]string, 0, len(group))
 	for _, member := range group {
 		if slices.Contains(live, member) {
@@ -86,7 +86,7 @@
 			next = append(next, candidate)
 		}
 	}
-	if len(next) < len(group) && len(next) < smallGroup || slices.Equal(next, group) {
+	if len(next) < len(group) && len(next) < smallGroupSize || slices.Equal(next, group) {
 		return nil
 	}
 	return next
--- a/domain/health_test.go
+++ b/domain/health_test.go
@@ -12,18 +12,18 @@
 // after its restart.
 func TestRouterThatShutDownIsTriedAgain(t *testing.T) {
 	var h routerHealth
-	h.noteAsked(0)
-	h.noteAnswer(0, true)
+	h.recordContact(0)
+	h.recordAnswer(0, true)
 	assert.Assert(t, !h.usable(0))
-	assert.Assert(t, h.usable(routerAvoid))
+	assert.Assert(t, h.usable(routerAvoidance))
 }
 
 func TestSilentRouterIsAvoidedTemporarily(t *testing.T) {
 	var h routerHealth
-	h.noteAsked(0)
-	assert.Assert(t, h.usable(routerSilence-1))
-	assert.Assert(t, !h.usable(routerSilence))
-	assert.Assert(t, h.usable(routerSilence+routerAvoid))
+	h.recordContact(0)
+	assert.Assert(t, h.usable(maxRouterSilence-1))
+	assert.Assert(t, !h.usable(maxRouterSilence))
+	assert.Assert(t, h.usable(maxRouterSilence+routerAvoidance))
 }
 
 // TestSuspicion has one row for each combination of observations of a server that
@@ -38,22 +38,22 @@
 		want          bool
 	}{
 		{"answered recently", 0, false, 300 * ms, false},
-		{"silent", 0, false, silenceToSuspect, true},
-		{"silent, but another host had an answer", 400 * ms, false, silenceToSuspect, false},
-		{"silent, another host had an answer long ago", 100 * ms, false, silenceToSuspect, true},
-		{"silent too long for other hosts' observations to count", 1900 * ms, false, silenceToGiveUp, true},
-		{"never answered", 0, true, silenceOfStranger, true},
-		{"never answered, but another host had an answer", 200 * ms, true, silenceOfStranger, false},
+		{"silent", 0, false, suspectAfter, true},
+		{"silent, but another host had an answer", 400 * ms, false, suspectAfter, false},
+		{"silent, another host had an answer long ago", 100 * ms, false, suspectAfter, true},
+		{"silent too long for other hosts' observations to count", 1900 * ms, false, suspectDespitePeersAfter, true},
+		{"never answered", 0, true, suspectUnansweredAfter, true},
+		{"never answered, but another host had an answer", 200 * ms, true, suspectUnansweredAfter, false},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			var h serverHealth
-			h.noteAsked(0)
+			h.recordContact(0)
 			if !row.neverAnswered {
-				h.noteAnswer(1, 7, false)
+				h.recordAnswer(1, 7, false)
 			}
 			if row.signAt > 0 {
-				h.noteSign(row.signAt)
+				h.recordObservation(row.signAt)
 			}
 			assert.Equal(t, h.suspected(row.at+1), row.want)
 		})
--- a/domain/loop.go
+++ b/domain/loop.go
@@ -19,10 +19,10 @@
 type pageState struct {
 	machine *ownership.Machine
 	planner *placement.Planner
-	// groupDue is the earliest time to propose a pending change of the group; 0 if none is pending.
-	groupDue time.Duration
-	// reading is set while the page is being reread from the store.
-	reading bool
+	// groupChangeDue is the earliest time to propose a pending change of the group; 0 if none is pending.
+	groupChangeDue time.Duration
+	// rereading is set while the page is being reread from the store.
+	rereading bool
 }
 
 // loop owns the state machines of a controller. Only its own goroutine accesses it.
@@ -33,30 +33,30 @@
 	routers map[string]*routerHealth
 	out     outbox
 	started time.Duration
-	// tried holds the time of the last attempt at each task of the watchers.
-	tried map[string]time.Duration
-	// rescanDue is the time of the next scan of all known pages.
-	rescanDue time.Duration
-	// noticed holds the time at which this controller first saw each pending task
+	// lastAttempt holds the time of the last attempt at each task of the watchers.
+	lastAttempt map[string]time.Duration
+	// nextRescan is the time of the next scan of all known pages.
+	nextRescan time.Duration
+	// pendingSince holds the time at which this controller first saw each pending task
 	// of the watchers.
-	noticed map[string]time.Duration
+	pendingSince map[string]time.Duration
 }
 
 func newLoop(c *Controller) *loop {
 	return &loop{
-		c:       c,
-		pages:   map[string]*pageState{},
-		servers: map[string]*serverHealth{},
-		routers: map[string]*routerHealth{},
-		tried:   map[string]time.Duration{},
-		noticed: map[string]time.Duration{},
-		started: c.clock.Now(),
-		out:     newOutbox(),
+		c:            c,
+		pages:        map[string]*pageState{},
+		servers:      map[string]*serverHealth{},
+		routers:      map[string]*routerHealth{},
+		lastAttempt:  map[string]time.Duration{},
+		pendingSince: map[string]time.Duration{},
+		started:      c.clock.Now(),
+		out:          newOutbox(),
 	}
 }
 
 func (l *loop) run(ctx context.Context) {
-	ticker := time.NewTicker(l.c.timing.Tick)
+	ticker := time.NewTicker(l.c.timing.TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -71,8 +71,8 @@
 	}
 }
 
-// eventBatch bounds the events that are handled before the outgoing messages are sent.
-const eventBatch = 64
+// maxEventBatch bounds the events that are handled before the outgoing messages are sent.
+const maxEventBatch = 64
 
 // handle applies an event and those already queued, so that the resulting
 // messages are sent in one batch per peer. The clock is read for each event: an
@@ -81,7 +81,7 @@
 // leases that it covers are still valid, and two servers would own a key.
 func (l *loop) handle(first event) {
 	first.apply(l, l.c.clock.Now())
-	for range eventBatch {
+	for range maxEventBatch {
 		select {
 		case next := <-l.c.events.Out():
 			next.apply(l, l.c.clock.Now())
@@ -91,30 +91,30 @@
 	}
 }
 
-// rescanEvery is the interval between scans of all known pages, which find those
+// rescanInterval is the interval between scans of all known pages, which find those
 // whose event was dropped because the queue was full.
-const rescanEvery = 2 * time.Second
+const rescanInterval = 2 * time.Second
 
 func (l *loop) tick(now time.Duration) {
-	if now >= l.rescanDue {
-		l.rescanDue = now + rescanEvery
+	if now >= l.nextRescan {
+		l.nextRescan = now + rescanInterval
 		for _, page := range l.c.directory.Pages() {
 			// The clock is read after the page: the wait after a takeover starts
 			// at this time, which must not be before the takeover.
-			l.takePage(l.c.clock.Now(), page)
+			l.updatePage(l.c.clock.Now(), page)
 		}
 		l.createPages(now)
 		l.takeOverLost(now)
-		l.forgetGone()
+		l.removeStale()
 	}
 	for _, state := range l.pages {
 		l.tickPage(now, state)
 	}
 }
 
-// forgetGone removes the state of servers and hosts whose records are gone.
+// removeStale removes the state of servers and hosts whose records are gone.
 // Otherwise it would grow with every replaced server and host.
-func (l *loop) forgetGone() {
+func (l *loop) removeStale() {
 	for name := range l.servers {
 		if _, listed := l.c.directory.Server(name); !listed {
 			delete(l.servers, name)
@@ -125,22 +125,22 @@
 			delete(l.routers, name)
 		}
 	}
-	l.c.heard.forget(func(host string) bool {
+	l.c.lastRenewals.removeHosts(func(host string) bool {
 		_, listed := l.c.directory.Host(host)
 		return !listed
 	})
 }
 
-// takePage passes a page to its state machine, or drops the machine if this
+// updatePage passes a page to its state machine, or drops the machine if this
 // controller is not a member of the page's group.
-func (l *loop) takePage(now time.Duration, page record.Page) {
+func (l *loop) updatePage(now time.Duration, page record.Page) {
 	if !slices.Contains(page.Voters(), l.c.identity.Host) {
 		delete(l.pages, page.Name)
 		return
 	}
 	state := l.page(page)
 	state.machine.Learn(now, page)
-	l.pump(now, state)
+	l.processOutput(now, state)
 }
 
 // page returns the state of a page, and creates it if there is none.
@@ -159,7 +159,7 @@
 func (l *loop) tickPage(now time.Duration, state *pageState) {
 	page := state.machine.Page()
 	if !l.active(now, page) {
-		l.stopAsking(page)
+		l.stopTrackingHealth(page)
 		state.machine.Tick(now, ownership.View{})
 		return
 	}
@@ -170,62 +170,62 @@
 	state.machine.Tick(now, view)
 	l.propose(now, state, view)
 	l.c.directory.SetDispatcher(page.Name, state.machine.Dispatcher())
-	l.pump(now, state)
+	l.processOutput(now, state)
 }
 
-// stopAsking stops measuring the silence of the page's servers. Another member of
+// stopTrackingHealth stops measuring the silence of the page's servers. Another member of
 // the group contacts them now, so that they send this controller no answers.
-func (l *loop) stopAsking(page record.Page) {
+func (l *loop) stopTrackingHealth(page record.Page) {
 	service, _ := l.c.directory.Service(page.Service)
 	for _, server := range l.pageServers(page, service) {
-		l.server(server.Name).asked = false
+		l.server(server.Name).contacted = false
 	}
 }
 
-// pump processes the output of a state machine until there is no more.
-func (l *loop) pump(now time.Duration, state *pageState) {
+// processOutput processes the output of a state machine until there is no more.
+func (l *loop) processOutput(now time.Duration, state *pageState) {
 	for {
 		ready := state.machine.Ready()
-		if !l.route(now, state, ready) {
+		if !l.queueOutput(now, state, ready) {
 			return
 		}
 	}
 }
 
-// route adds the output of a state machine to the outbox, and reports whether it
+// queueOutput adds the output of a state machine to the outbox, and reports whether it
 // contained messages. Messages to this controller's own voter are answered here.
-func (l *loop) route(now time.Duration, state *pageState, ready ownership.Ready) bool {
+func (l *loop) queueOutput(now time.Duration, state *pageState, ready ownership.Ready) bool {
 	for _, ask := range ready.Asks {
-		l.routeAsk(now, state, ask)
+		l.queueRenewal(now, state, ask)
 	}
 	for _, stop := range ready.Stops {
-		l.routeStop(now, state, stop)
+		l.queueStop(now, state, stop)
 	}
 	for _, grant := range ready.Grants {
-		l.routeGrant(now, grant)
+		l.queueGrant(now, grant)
 	}
 	if ready.Write != nil {
 		l.out.writes = append(l.out.writes, *ready.Write)
 	}
-	if ready.Reread && !state.reading {
-		state.reading = true
+	if ready.Reread && !state.rereading {
+		state.rereading = true
 		l.out.rereads = append(l.out.rereads, state.machine.Page().Name)
 	}
 	return len(ready.Asks)+len(ready.Stops)+len(ready.Grants) > 0
 }
 
-func (l *loop) routeAsk(now time.Duration, state *pageState, ask ownership.AskOut) {
+func (l *loop) queueRenewal(now time.Duration, state *pageState, ask ownership.AskOut) {
 	for _, host := range ask.Hosts {
 		if host == l.c.identity.Host {
 			answer := l.c.voter.agree(now, ask.Ask)
 			state.machine.Answer(now, ask.Round, host, answer)
 			continue
 		}
-		l.out.asks[host] = append(l.out.asks[host], ask)
+		l.out.renewals[host] = append(l.out.renewals[host], ask)
 	}
 }
 
-func (l *loop) routeStop(now time.Duration, state *pageState, stop ownership.StopOut) {
+func (l *loop) queueStop(now time.Duration, state *pageState, stop ownership.StopOut) {
 	for _, host := range stop.Hosts {
 		if host == l.c.identity.Host {
 			promise := l.c.voter.stop(now, stop.Page, stop.Generation)
@@ -236,13 +236,13 @@
 	}
 }
 
-func (l *loop) routeGrant(now time.Duration, grant ownership.GrantOut) {
+func (l *loop) queueGrant(now time.Duration, grant ownership.GrantOut) {
 	if grant.Holder.Kind == ownership.Router {
-		l.router(grant.Holder.Name).noteAsked(now)
+		l.router(grant.Holder.Name).recordContact(now)
 		l.out.leases[grant.Holder.Name] = append(l.out.leases[grant.Holder.Name], grant)
 		return
 	}
-	l.server(grant.Holder.Name).noteAsked(now)
+	l.server(grant.Holder.Name).recordContact(now)
 	l.out.grants = append(l.out.grants, grant)
 }
 
--- a/domain/loop_test.go
+++ b/domain/loop_test.go
@@ -23,19 +23,19 @@
 	now time.Duration
 }
 
-const pauseLength = time.Second
+const pauseDuration = time.Second
 
 func (c *pausedClock) Now() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.now += pauseLength
+	c.now += pauseDuration
 	return c.now
 }
 
-// datedEvent records the time that is passed to apply.
-type datedEvent struct{ dated *[]time.Duration }
+// timedEvent records the time that is passed to apply.
+type timedEvent struct{ times *[]time.Duration }
 
-func (e datedEvent) apply(_ *loop, now time.Duration) { *e.dated = append(*e.dated, now) }
+func (e timedEvent) apply(_ *loop, now time.Duration) { *e.times = append(*e.times, now) }
 
 // Guards against two owners of a key after a controller was paused: with one reading
 // of the clock for a batch of events, the remaining time of a promise that arrived
@@ -48,10 +48,10 @@
 	c := NewController(link.Identity{Host: "h", Domain: "a"}, ownership.DefaultTerms(), DefaultTiming(), memstore.New(),
 		directory.New(), nil, dial, nil, clk, logs.Discard())
 	var dated []time.Duration
-	c.post(datedEvent{&dated})
-	c.post(datedEvent{&dated})
-	newLoop(c).handle(datedEvent{&dated})
+	c.enqueue(timedEvent{&dated})
+	c.enqueue(timedEvent{&dated})
+	newLoop(c).handle(timedEvent{&dated})
 	assert.Equal(t, len(dated), 3)
-	assert.Equal(t, dated[1]-dated[0], pauseLength)
-	assert.Equal(t, dated[2]-dated[1], pauseLength)
+	assert.Equal(t, dated[1]-dated[0], pauseDuration)
+	assert.Equal(t, dated[2]-dated[1], pauseDuration)
 }
--- a/domain/meters.go
+++ b/domain/meters.go
@@ -9,27 +9,27 @@
 
 // meters are the controller's metrics.
 type meters struct {
-	set     *metrics.Set
-	dropped *metrics.Counter
-	writes  *metrics.Counter
-	moves   *metrics.Counter
-	suspect *metrics.Counter
+	set       *metrics.Set
+	dropped   *metrics.Counter
+	writes    *metrics.Counter
+	moves     *metrics.Counter
+	suspected *metrics.Counter
 }
 
 func newMeters() *meters {
 	set := metrics.NewSet()
 	return &meters{
-		set:     set,
-		dropped: set.NewCounter("cicada_events_dropped_total"),
-		writes:  set.NewCounter("cicada_page_writes_total"),
-		moves:   set.NewCounter("cicada_shard_moves_total"),
-		suspect: set.NewCounter("cicada_servers_suspected_total"),
+		set:       set,
+		dropped:   set.NewCounter("cicada_events_dropped_total"),
+		writes:    set.NewCounter("cicada_page_writes_total"),
+		moves:     set.NewCounter("cicada_shard_moves_total"),
+		suspected: set.NewCounter("cicada_servers_suspected_total"),
 	}
 }
 
-// noteWrite counts a write of a page and, if it succeeded, the shards that got a new
+// countWrite counts a write of a page and, if it succeeded, the shards that got a new
 // owner.
-func (m *meters) noteWrite(page record.Page, result ownership.WriteResult) {
+func (m *meters) countWrite(page record.Page, result ownership.WriteResult) {
 	m.writes.Inc()
 	if result != ownership.WriteDone {
 		return
@@ -41,9 +41,9 @@
 	}
 }
 
-// watchStoreMetric adds a gauge that is 1 while the store answers the controller's
+// addStoreGauge adds a gauge that is 1 while the store answers the controller's
 // own calls.
-func (m *meters) watchStoreMetric(up func() bool) {
+func (m *meters) addStoreGauge(up func() bool) {
 	m.set.NewGauge("cicada_store_up", func() float64 {
 		if up() {
 			return 1
--- a/domain/outbox.go
+++ b/domain/outbox.go
@@ -27,23 +27,23 @@
 // outbox holds the loop's outgoing messages and calls, so that each peer and
 // router gets one message for all pages.
 type outbox struct {
-	asks    map[string][]ownership.AskOut
-	stops   map[string][]ownership.StopOut
-	leases  map[string][]ownership.GrantOut
-	grants  []ownership.GrantOut
-	writes  []record.Page
-	rereads []string
-	probes  []probe
+	renewals map[string][]ownership.AskOut
+	stops    map[string][]ownership.StopOut
+	leases   map[string][]ownership.GrantOut
+	grants   []ownership.GrantOut
+	writes   []record.Page
+	rereads  []string
+	probes   []peerProbe
 }
 
-// probe is a request to a peer to check whether it reaches a server.
-type probe struct{ server, peer string }
+// peerProbe is a request to a peer to check whether it reaches a server.
+type peerProbe struct{ server, peer string }
 
 func newOutbox() outbox {
 	return outbox{
-		asks:   map[string][]ownership.AskOut{},
-		stops:  map[string][]ownership.StopOut{},
-		leases: map[string][]ownership.GrantOut{},
+		renewals: map[string][]ownership.AskOut{},
+		stops:    map[string][]ownership.StopOut{},
+		leases:   map[string][]ownership.GrantOut{},
 	}
 }
 
@@ -51,8 +51,8 @@
 func (l *loop) flush(ctx context.Context) {
 	out := l.out
 	l.out = newOutbox()
-	for host, asks := range out.asks {
-		l.c.sendAsks(ctx, host, asks)
+	for host, asks := range out.renewals {
+		l.c.sendRenewals(ctx, host, asks)
 	}
 	for host, stops := range out.stops {
 		l.c.sendStops(ctx, host, stops)
@@ -74,19 +74,19 @@
 	}
 }
 
-func (c *Controller) sendAsks(ctx context.Context, host string, asks []ownership.AskOut) {
+func (c *Controller) sendRenewals(ctx context.Context, host string, asks []ownership.AskOut) {
 	peer, ok := c.directory.Host(host)
 	if !ok {
 		return
 	}
-	c.call("agree/"+host, func() {
+	c.startCall("agree/"+host, func() {
 		ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 		defer cancel()
 		reply, err := c.links.Control(peer.Link).Agree(ctx, agreeRequest(c.identity.Host, asks))
 		if err != nil || len(reply.GetAnswers()) != len(asks) {
 			return
 		}
-		c.post(asksAnswered{host: host, asks: asks, answers: reply.GetAnswers()})
+		c.enqueue(renewalsAnswered{host: host, renewals: asks, responses: reply.GetAnswers()})
 	})
 }
 
@@ -112,7 +112,7 @@
 	if !ok {
 		return
 	}
-	c.call("stop/"+host, func() {
+	c.startCall("stop/"+host, func() {
 		ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 		defer cancel()
 		request := &linkpb.StopRequest{From: c.identity.Host}
@@ -123,7 +123,7 @@
 		if err != nil || len(reply.GetRemainingNanos()) != len(stops) {
 			return
 		}
-		c.post(stopsPromised{host: host, stops: stops, remaining: reply.GetRemainingNanos()})
+		c.enqueue(stopsPromised{host: host, stops: stops, remaining: reply.GetRemainingNanos()})
 	})
 }
 
@@ -142,14 +142,14 @@
 	for _, out := range grants {
 		sentAt = min(sentAt, out.SentAt)
 	}
-	l.c.call("lease/"+host, func() {
+	l.c.startCall("lease/"+host, func() {
 		ctx, cancel := context.WithTimeout(ctx, routerTimeout)
 		defer cancel()
 		reply, err := l.c.links.Dispatch(router.RouterLink).Lease(ctx, request)
 		if err != nil {
 			return
 		}
-		l.c.post(leaseAnswered{host: host, sentAt: sentAt, reply: reply})
+		l.c.enqueue(leaseAnswered{host: host, sentAt: sentAt, reply: reply})
 	})
 }
 
@@ -176,7 +176,7 @@
 	if !ok {
 		return
 	}
-	c.call("server/"+name, func() {
+	c.startCall("server/"+name, func() {
 		ctx, cancel := context.WithTimeout(ctx, serverTimeout)
 		defer cancel()
 		control := c.dial(server)
@@ -188,19 +188,19 @@
 			report, err = control.Grant(ctx, *out.Grant)
 		}
 		if err != nil {
-			c.post(serverFailed{server: name})
+			c.enqueue(serverCallFailed{server: name})
 			return
 		}
-		c.post(serverAnswered{out: out, report: report})
+		c.enqueue(serverAnswered{message: out, report: report})
 	})
 }
 
 func (c *Controller) sendWrite(ctx context.Context, page record.Page) {
-	c.duty(func() {
+	c.spawn(func() {
 		ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 		defer cancel()
 		result := c.write(ctx, page)
-		c.meters.noteWrite(page, result)
+		c.meters.countWrite(page, result)
 		c.log.Debug("page written", "page", page.Name, "generation", page.Generation, "result", int(result))
 		_ = c.events.Put(ctx, writeFinished{page: page.Name, attempt: page.Attempt, result: result})
 	})
@@ -221,41 +221,41 @@
 	var conflict *platform.ConflictError
 	switch {
 	case errors.As(err, &conflict):
-		c.learn([]platform.Object{conflict.Current}, 0)
+		c.applyRecords([]platform.Object{conflict.Current}, 0)
 		return ownership.WriteConflict
 	case err != nil:
 		return ownership.WriteUnknown
 	}
-	c.learn([]platform.Object{{Envelope: envelope, Version: written}}, 0)
+	c.applyRecords([]platform.Object{{Envelope: envelope, Version: written}}, 0)
 	return ownership.WriteDone
 }
 
 // reread reads a page from the store, either to find out whether a write succeeded
 // or because a peer knows a newer generation.
 func (c *Controller) reread(ctx context.Context, page string) {
-	c.duty(func() {
+	c.spawn(func() {
 		defer func() { _ = c.events.Put(ctx, rereadFinished{page: page}) }()
 		ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 		defer cancel()
 		object, err := c.store.Get(ctx, record.Ref{Kind: record.KindPage, Name: page})
 		if err == nil {
-			c.learn([]platform.Object{object}, 0)
+			c.applyRecords([]platform.Object{object}, 0)
 		}
 		clock.Sleep(ctx, rereadPause)
 	})
 }
 
-func (c *Controller) sendProbe(ctx context.Context, probe probe) {
+func (c *Controller) sendProbe(ctx context.Context, probe peerProbe) {
 	peer, ok := c.directory.Host(probe.peer)
 	if !ok {
 		return
 	}
-	c.call("probe/"+probe.peer, func() {
+	c.startCall("probe/"+probe.peer, func() {
 		ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 		defer cancel()
 		reply, err := c.links.Control(peer.Link).Probe(ctx, &linkpb.ProbeRequest{Server: probe.server})
 		if err == nil && reply.GetReached() {
-			c.post(peerReached{server: probe.server})
+			c.enqueue(probeSucceeded{server: probe.server})
 		}
 	})
 }
--- a/domain/relay.go
+++ b/domain/relay.go
@@ -15,37 +15,37 @@
 // store directly. One is enough; the others are spares in case it fails.
 const watchersPerDomain = 3
 
-// directEvery is the number of turns after which a controller that follows a relay
+// directStoreTurn is the number of turns after which a controller that follows a relay
 // calls the store itself once, in case no watcher can be followed.
-const directEvery = watchersPerDomain + 1
+const directStoreTurn = watchersPerDomain + 1
 
-// errStoreAway ends a relay stream whose sender cannot reach the store, so that its
+// errStoreUnreachable ends a relay stream whose sender cannot reach the store, so that its
 // followers switch to another watcher.
-var errStoreAway = errors.New("this watcher does not reach the store")
+var errStoreUnreachable = errors.New("this watcher does not reach the store")
 
 // watchers returns the hosts of this domain whose controllers watch the store.
 func (c *Controller) watchers() []string {
 	live := liveHosts(c.directory.Hosts(), c.identity.Domain)
-	ordered := ranked("watch\x00"+c.identity.Domain, live)
+	ordered := rendezvousOrder("watch\x00"+c.identity.Domain, live)
 	return ordered[:min(watchersPerDomain, len(ordered))]
 }
 
-// relays reports whether the controller should follow a watcher in this turn, and
+// shouldFollowRelay reports whether the controller should follow a watcher in this turn, and
 // sets relayed accordingly.
-func (c *Controller) relays(turn int) bool {
+func (c *Controller) shouldFollowRelay(turn int) bool {
 	watchers := c.watchers()
 	relayed := len(watchers) == watchersPerDomain &&
 		!slices.Contains(watchers, c.identity.Host) &&
-		!c.bounded() &&
-		turn%directEvery != directEvery-1
-	c.relayed.Store(relayed)
+		!c.needsStoreContact() &&
+		turn%directStoreTurn != directStoreTurn-1
+	c.followingRelay.Store(relayed)
 	return relayed
 }
 
-// bounded reports whether this controller votes on a page that is renewed only for
+// needsStoreContact reports whether this controller votes on a page that is renewed only for
 // a limited time after the last contact with the store. Such a voter must contact
 // the store itself, since a relay does not tell how old its records are.
-func (c *Controller) bounded() bool {
+func (c *Controller) needsStoreContact() bool {
 	for _, page := range c.directory.Pages() {
 		if page.Bounded && slices.Contains(page.Voters(), c.identity.Host) {
 			return true
@@ -54,8 +54,8 @@
 	return false
 }
 
-// relayPause is the delay before the next watcher is tried.
-const relayPause = 50 * time.Millisecond
+// relayRetryDelay is the delay before the next watcher is tried.
+const relayRetryDelay = 50 * time.Millisecond
 
 // followRelay applies records from one watcher until its stream ends.
 func (c *Controller) followRelay(ctx context.Context, turn int) {
@@ -65,12 +65,12 @@
 		return
 	}
 	request := &linkpb.RecordsRequest{From: c.identity.Host, Domain: c.identity.Domain, Relay: true}
-	err := directory.Follow(ctx, c.links.Control(host.Link), request, c.takeRelayed)
+	err := directory.Follow(ctx, c.links.Control(host.Link), request, c.applyRelayed)
 	c.log.Debug("relay ended", "from", host.Name, "error", err)
-	clock.Sleep(ctx, relayPause)
+	clock.Sleep(ctx, relayRetryDelay)
 }
 
-func (c *Controller) takeRelayed(update *linkpb.RecordsUpdate) {
-	c.learn(directory.ObjectsFromLink(update.GetRecords()), update.GetRevision())
+func (c *Controller) applyRelayed(update *linkpb.RecordsUpdate) {
+	c.applyRecords(directory.ObjectsFromLink(update.GetRecords()), update.GetRevision())
 	c.directory.TakeHosts(update)
 }
--- a/domain/reporter.go
+++ b/domain/reporter.go
@@ -12,8 +12,8 @@
 
 // childReport is the last report of a child in the tree, with its time of arrival.
 type childReport struct {
-	report *linkpb.DomainReport
-	at     time.Duration
+	report     *linkpb.DomainReport
+	receivedAt time.Duration
 }
 
 // reporter combines the reports of one controller's subtree.
@@ -21,42 +21,42 @@
 	mu       sync.Mutex
 	children map[string]childReport
 	counts   map[string]*linkpb.ServiceCount // since the last report
-	// last holds the counters of this host's router when they were last read.
-	last        map[string]*linkpb.ServiceCount
-	incarnation uint64
-	revision    uint64
-	routerHeard time.Duration
-	written     record.Enforced
-	enforcedDue time.Duration
-	burnDue     time.Duration
+	// lastRouterCounts holds the counters of this host's router when they were last read.
+	lastRouterCounts map[string]*linkpb.ServiceCount
+	incarnation      uint64
+	revision         uint64
+	routerReadAt     time.Duration
+	lastWritten      record.Enforced
+	enforcedDue      time.Duration
+	burnDue          time.Duration
 }
 
 func newReporter() *reporter {
 	return &reporter{
-		children: map[string]childReport{},
-		counts:   map[string]*linkpb.ServiceCount{},
-		last:     map[string]*linkpb.ServiceCount{},
+		children:         map[string]childReport{},
+		counts:           map[string]*linkpb.ServiceCount{},
+		lastRouterCounts: map[string]*linkpb.ServiceCount{},
 	}
 }
 
-// takeRouter adds the increase of a router's counters since they were last read. The
+// addRouterCounts adds the increase of a router's counters since they were last read. The
 // counters of a new incarnation start at 0.
-func (r *reporter) takeRouter(now time.Duration, reply *linkpb.CountsReply) {
+func (r *reporter) addRouterCounts(now time.Duration, reply *linkpb.CountsReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if reply.GetIncarnation() != r.incarnation {
 		r.incarnation = reply.GetIncarnation()
-		clear(r.last)
+		clear(r.lastRouterCounts)
 	}
 	r.revision = reply.GetRevision()
-	r.routerHeard = now
+	r.routerReadAt = now
 	for _, count := range reply.GetServices() {
-		r.add(difference(count, r.last[count.GetService()]))
-		r.last[count.GetService()] = count
+		r.add(countIncrease(count, r.lastRouterCounts[count.GetService()]))
+		r.lastRouterCounts[count.GetService()] = count
 	}
 }
 
-func difference(now, before *linkpb.ServiceCount) *linkpb.ServiceCount {
+func countIncrease(now, before *linkpb.ServiceCount) *linkpb.ServiceCount {
 	grown := &linkpb.ServiceCount{
 		Service: now.GetService(),
 		Total:   now.GetTotal() - before.GetTotal(),
@@ -87,32 +87,32 @@
 	}
 }
 
-// takeChild stores a child's report and adds its counts.
-func (r *reporter) takeChild(now time.Duration, child *linkpb.DomainReport) {
+// addChildReport stores a child's report and adds its counts.
+func (r *reporter) addChildReport(now time.Duration, child *linkpb.DomainReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.children[child.GetFrom()] = childReport{report: child, at: now}
+	r.children[child.GetFrom()] = childReport{report: child, receivedAt: now}
 	for _, count := range child.GetServices() {
 		r.add(count)
 	}
 }
 
-// sum returns the report on the controller, on its host's router if that was read
+// takeTotal returns the report on the controller, on its host's router if that was read
 // within reportAge, and on the children. It resets the counts; if the report cannot
 // be delivered, restore adds them back.
-func (r *reporter) sum(now time.Duration, host string, revision uint64) *linkpb.DomainReport {
+func (r *reporter) takeTotal(now time.Duration, host string, revision uint64) *linkpb.DomainReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	total := &linkpb.DomainReport{From: host, Daemons: 1, Revision: revision, Lagging: []string{host + " controller"}}
-	if now-r.routerHeard < reportAge && r.routerHeard != 0 {
-		join(total, &linkpb.DomainReport{Daemons: 1, Revision: r.revision, Lagging: []string{host + " router"}})
+	if now-r.routerReadAt < maxReportAge && r.routerReadAt != 0 {
+		mergeReport(total, &linkpb.DomainReport{Daemons: 1, Revision: r.revision, Lagging: []string{host + " router"}})
 	}
 	for name, child := range r.children {
-		if now-child.at >= reportAge {
+		if now-child.receivedAt >= maxReportAge {
 			delete(r.children, name)
 			continue
 		}
-		join(total, child.report)
+		mergeReport(total, child.report)
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.counts)) {
 		total.Services = append(total.Services, r.counts[name])
@@ -130,9 +130,9 @@
 	}
 }
 
-// join adds a report to a total. The total has the lowest revision of all reports
+// mergeReport adds a report to a total. The total has the lowest revision of all reports
 // and names daemons that are at that revision, at most mostLagging.
-func join(total, part *linkpb.DomainReport) {
+func mergeReport(total, part *linkpb.DomainReport) {
 	total.Daemons += part.GetDaemons()
 	switch {
 	case part.GetRevision() < total.GetRevision():
@@ -141,15 +141,15 @@
 	case part.GetRevision() == total.GetRevision():
 		total.Lagging = append(total.Lagging, part.GetLagging()...)
 	}
-	total.Lagging = total.Lagging[:min(len(total.Lagging), mostLagging)]
+	total.Lagging = total.Lagging[:min(len(total.Lagging), maxLagging)]
 }
 
-// isNews reports whether a report should be written now: the number of daemons or
+// shouldWriteEnforced reports whether a report should be written now: the number of daemons or
 // the lagging daemons differ from those last written, or the revision has risen and
 // the last one written was below config, the newest change that concerns this domain.
 // Any other rise waits until enforcedDue, since every write raises the revision.
-func (r *reporter) isNews(now time.Duration, fresh record.Enforced, config uint64) bool {
-	last := r.written
+func (r *reporter) shouldWriteEnforced(now time.Duration, fresh record.Enforced, config uint64) bool {
+	last := r.lastWritten
 	switch {
 	case fresh.Daemons != last.Daemons || fresh.Expected != last.Expected:
 		return true
--- a/domain/reporting.go
+++ b/domain/reporting.go
@@ -20,26 +20,26 @@
 // the store nor any daemon receives one from every host. The root writes two kinds
 // of records: the configuration in force, and the counts for the burn report.
 const (
-	reportFanIn = 32
-	reportEvery = 2 * time.Second
-	burnEvery   = 10 * time.Second
-	// reportAge is how long the report of a child or of the router is valid.
-	reportAge    = 10 * time.Second
-	mostLagging  = 5
+	reportFanIn    = 32
+	reportInterval = 2 * time.Second
+	burnInterval   = 10 * time.Second
+	// maxReportAge is how long the report of a child or of the router is valid.
+	maxReportAge = 10 * time.Second
+	maxLagging   = 5
 	countTimeout = 500 * time.Millisecond
 )
 
-// reportOften sends or writes this controller's report every reportEvery.
-func (c *Controller) reportOften(ctx context.Context) {
+// reportPeriodically sends or writes this controller's report every reportEvery.
+func (c *Controller) reportPeriodically(ctx context.Context) {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, reportEvery)
-		c.readRouter(ctx)
+		clock.Sleep(ctx, reportInterval)
+		c.readRouterCounts(ctx)
 		c.reportOnce(ctx)
 	}
 }
 
-// readRouter reads the counters of the router on the same host.
-func (c *Controller) readRouter(ctx context.Context) {
+// readRouterCounts reads the counters of the router on the same host.
+func (c *Controller) readRouterCounts(ctx context.Context) {
 	self, ok := c.directory.Host(c.identity.Host)
 	if !ok {
 		return
@@ -48,13 +48,13 @@
 	defer cancel()
 	reply, err := c.links.Dispatch(self.RouterLink).Counts(ctx, &linkpb.CountsRequest{})
 	if err == nil {
-		c.reporter.takeRouter(c.clock.Now(), reply)
+		c.reporter.addRouterCounts(c.clock.Now(), reply)
 	}
 }
 
 // parent returns the host that this controller reports to, or "" for the root.
 func (c *Controller) parent() string {
-	order := ranked("report\x00"+c.identity.Domain, liveHosts(c.directory.Hosts(), c.identity.Domain))
+	order := rendezvousOrder("report\x00"+c.identity.Domain, liveHosts(c.directory.Hosts(), c.identity.Domain))
 	rank := slices.Index(order, c.identity.Host)
 	if rank <= 0 {
 		return ""
@@ -64,7 +64,7 @@
 
 func (c *Controller) reportOnce(ctx context.Context) {
 	now := c.clock.Now()
-	total := c.reporter.sum(now, c.identity.Host, c.directory.Revision())
+	total := c.reporter.takeTotal(now, c.identity.Host, c.directory.Revision())
 	parent := c.parent()
 	if parent == "" {
 		c.writeEnforced(ctx, now, total)
@@ -89,9 +89,9 @@
 	return err == nil
 }
 
-// enforcedEvery is the interval between writes of reports in which only the store's
+// enforcedInterval is the interval between writes of reports in which only the store's
 // revision has changed, by writes that do not concern this domain.
-const enforcedEvery = 10 * time.Second
+const enforcedInterval = 10 * time.Second
 
 // writeEnforced writes the configuration in force if it is due; see reporter.isNews.
 func (c *Controller) writeEnforced(ctx context.Context, now time.Duration, total *linkpb.DomainReport) {
@@ -109,19 +109,19 @@
 	if total.GetRevision() < c.directory.Config() {
 		enforced.Lagging = total.GetLagging()
 	}
-	if !c.reporter.isNews(now, enforced, c.directory.Config()) {
+	if !c.reporter.shouldWriteEnforced(now, enforced, c.directory.Config()) {
 		return
 	}
 	envelope, err := enforced.Encode()
-	if err == nil && c.replace(ctx, envelope) {
-		c.reporter.written = enforced
-		c.reporter.enforcedDue = now + enforcedEvery
+	if err == nil && c.overwrite(ctx, envelope) {
+		c.reporter.lastWritten = enforced
+		c.reporter.enforcedDue = now + enforcedInterval
 	}
 }
 
-// replace overwrites the stored version of a record that has no other writer, and
+// overwrite overwrites the stored version of a record that has no other writer, and
 // reports whether it succeeded.
-func (c *Controller) replace(ctx context.Context, envelope record.Envelope) bool {
+func (c *Controller) overwrite(ctx context.Context, envelope record.Envelope) bool {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	current, err := c.current(ctx, envelope.Ref())
@@ -149,7 +149,7 @@
 		c.reporter.restore(total.GetServices())
 		return
 	}
-	c.reporter.burnDue = now + burnEvery
+	c.reporter.burnDue = now + burnInterval
 	for _, count := range total.GetServices() {
 		if count.GetTotal() == 0 {
 			continue
@@ -194,6 +194,6 @@
 
 // Report implements linkpb.ControlServer.
 func (s *LinkServer) Report(_ context.Context, in *linkpb.DomainReport) (*linkpb.ReportReply, error) {
-	s.c.reporter.takeChild(s.c.clock.Now(), in)
+	s.c.reporter.addChildReport(s.c.clock.Now(), in)
 	return &linkpb.ReportReply{}, nil
 }
--- a/domain/serve.go
+++ b/domain/serve.go
@@ -27,7 +27,7 @@
 	reply := &linkpb.AgreeReply{}
 	for _, ask := range request.GetAsks() {
 		now := s.c.clock.Now()
-		s.c.heard.note(ask.GetPage(), request.GetFrom(), now)
+		s.c.lastRenewals.record(ask.GetPage(), request.GetFrom(), now)
 		answer := s.c.voter.agree(now, ownership.Ask{
 			Page:        ask.GetPage(),
 			Generation:  ask.GetGeneration(),
@@ -37,7 +37,7 @@
 			ReleasedRun: ask.GetReleasedRun(),
 			Bounded:     ask.GetBounded(),
 		})
-		s.noteDispatcher(ask, answer)
+		s.recordDispatcher(ask, answer)
 		reply.Answers = append(reply.Answers, &linkpb.Answer{
 			Verdict:      uint32(answer.Verdict),
 			Known:        answer.Known,
@@ -48,9 +48,9 @@
 	return reply, nil
 }
 
-// noteDispatcher records the dispatcher of a page in the directory, from which
+// recordDispatcher records the dispatcher of a page in the directory, from which
 // routers get it.
-func (s *LinkServer) noteDispatcher(ask *linkpb.Ask, answer ownership.Answer) {
+func (s *LinkServer) recordDispatcher(ask *linkpb.Ask, answer ownership.Answer) {
 	if answer.Verdict == ownership.Agreed {
 		s.c.directory.SetDispatcher(ask.GetPage(), ask.GetDispatcher())
 	}
@@ -79,9 +79,9 @@
 	return &linkpb.ProbeReply{Reached: err == nil}, nil
 }
 
-// relayRecheck is the interval at which a relay checks that its sender still reaches
+// relayCheckInterval is the interval at which a relay checks that its sender still reaches
 // the store.
-const relayRecheck = 500 * time.Millisecond
+const relayCheckInterval = 500 * time.Millisecond
 
 // Records implements linkpb.ControlServer.
 func (s *LinkServer) Records(request *linkpb.RecordsRequest, stream grpc.ServerStreamingServer[linkpb.RecordsUpdate]) error {
@@ -89,13 +89,13 @@
 	if request.GetRelay() {
 		filter = directory.ControllerRecords(request.GetFrom(), request.GetDomain())
 	}
-	recheck := time.NewTicker(relayRecheck)
+	recheck := time.NewTicker(relayCheckInterval)
 	defer recheck.Stop()
 	var seq uint64
 	var sentAt time.Time
 	for {
-		if request.GetRelay() && !request.GetCached() && !s.c.storeAnswers.Load() {
-			return errStoreAway
+		if request.GetRelay() && !request.GetCached() && !s.c.storeReachable.Load() {
+			return errStoreUnreachable
 		}
 		delta, changed := s.c.directory.Since(seq, filter)
 		if delta.Seq > seq || time.Since(sentAt) >= directory.HeartbeatEvery {
--- a/domain/view.go
+++ b/domain/view.go
@@ -12,8 +12,8 @@
 // A member of a group takes over when all earlier members have been silent for
 // takeOverAfter plus takeOverStep for each of them.
 const (
-	takeOverAfter = 300 * time.Millisecond
-	takeOverStep  = 150 * time.Millisecond
+	takeoverDelay          = 300 * time.Millisecond
+	takeoverDelayPerMember = 150 * time.Millisecond
 )
 
 // view returns the input of a page's state machine for a page on which this
@@ -34,7 +34,7 @@
 	for _, server := range servers {
 		view.Servers = append(view.Servers, server.Name)
 	}
-	if service.Keyed && l.judged(now, page, servers) {
+	if service.Keyed && l.canChooseOwners(now, page, servers) {
 		view.Eligible = l.eligible(now, state, servers)
 	}
 	return view
@@ -48,9 +48,9 @@
 	if rank < 0 {
 		return false
 	}
-	patience := takeOverAfter + time.Duration(rank)*takeOverStep
+	patience := takeoverDelay + time.Duration(rank)*takeoverDelayPerMember
 	for _, earlier := range page.Group[:rank] {
-		heard, ever := l.c.heard.last(page.Name, earlier)
+		heard, ever := l.c.lastRenewals.last(page.Name, earlier)
 		if !ever {
 			heard = l.started
 		}
@@ -66,10 +66,10 @@
 	return l.c.directory.PageServers(service, page.Home, page.Index)
 }
 
-// judged reports whether owners may be chosen: always on a page that has an owner,
+// canChooseOwners reports whether owners may be chosen: always on a page that has an owner,
 // and on a new page once every server has answered or is suspected. Otherwise the
 // first servers to answer would get all shards, and most shards would move again.
-func (l *loop) judged(now time.Duration, page record.Page, servers []record.Server) bool {
+func (l *loop) canChooseOwners(now time.Duration, page record.Page, servers []record.Server) bool {
 	for _, shard := range page.Shards {
 		if shard.Owner != "" {
 			return true
@@ -95,20 +95,20 @@
 func (l *loop) mayOwn(now time.Duration, server record.Server) bool {
 	health := l.server(server.Name)
 	suspected := health.suspected(now)
-	l.tellSuspicion(now, server.Name, health, suspected)
+	l.logSuspicion(now, server.Name, health, suspected)
 	if server.State == record.ServerLeaving || health.draining || suspected {
 		return false
 	}
 	return health.incarnation != 0
 }
 
-func (l *loop) tellSuspicion(now time.Duration, name string, health *serverHealth, suspected bool) {
-	if health.told == suspected {
+func (l *loop) logSuspicion(now time.Duration, name string, health *serverHealth, suspected bool) {
+	if health.loggedSuspected == suspected {
 		return
 	}
-	health.told = suspected
+	health.loggedSuspected = suspected
 	if suspected {
-		l.c.meters.suspect.Inc()
+		l.c.meters.suspected.Inc()
 		l.c.log.Warn("backend server suspected", "server", name, "silence", health.silence(now))
 		return
 	}
@@ -131,9 +131,9 @@
 	return ""
 }
 
-// groupPatience is how long a change of group must be needed before it is proposed.
+// groupChangeDelay is how long a change of group must be needed before it is proposed.
 // The host list lags and flaps, and after a change the old leases must expire first.
-const groupPatience = 3 * time.Second
+const groupChangeDelay = 3 * time.Second
 
 // propose passes the changes that placement and group membership require to the
 // page's state machine.
@@ -152,18 +152,18 @@
 func (l *loop) proposeGroup(now time.Duration, state *pageState, page record.Page) []string {
 	hosts := l.c.directory.Hosts()
 	live := liveHosts(hosts, page.Home)
-	next := replaceGone(page.Group, groupFor(page.Name, hosts, page.Home), live)
+	next := replaceMissingMembers(page.Group, renewalGroup(page.Name, hosts, page.Home), live)
 	if next == nil || len(page.OldGroup) > 0 {
-		state.groupDue = 0
+		state.groupChangeDue = 0
 		return nil
 	}
-	if state.groupDue == 0 {
-		state.groupDue = now + groupPatience
+	if state.groupChangeDue == 0 {
+		state.groupChangeDue = now + groupChangeDelay
 	}
-	if now < state.groupDue {
+	if now < state.groupChangeDue {
 		return nil
 	}
-	state.groupDue = 0
+	state.groupChangeDue = 0
 	return next
 }
 
--- a/domain/watch.go
+++ b/domain/watch.go
@@ -16,14 +16,14 @@
 
 // Limits of the delay between attempts to reach the store.
 const (
-	storeRetryFirst = 50 * time.Millisecond
-	storeRetryMost  = time.Second
+	minStoreRetryDelay = 50 * time.Millisecond
+	maxStoreRetryDelay = time.Second
 )
 
 func storeBackoff() *backoff.ExponentialBackOff {
 	policy := backoff.NewExponentialBackOff()
-	policy.InitialInterval = storeRetryFirst
-	policy.MaxInterval = storeRetryMost
+	policy.InitialInterval = minStoreRetryDelay
+	policy.MaxInterval = maxStoreRetryDelay
 	return policy
 }
 
@@ -34,7 +34,7 @@
 	retry := storeBackoff()
 	listed := false
 	for turn := 0; ctx.Err() == nil; turn++ {
-		if listed && c.relays(turn) {
+		if listed && c.shouldFollowRelay(turn) {
 			c.followRelay(ctx, turn)
 			continue
 		}
@@ -44,7 +44,7 @@
 		} else {
 			err = c.listOnce(ctx)
 		}
-		if answers := err == nil || errors.Is(err, platform.ErrCompacted); c.storeAnswers.Swap(answers) != answers {
+		if answers := err == nil || errors.Is(err, platform.ErrCompacted); c.storeReachable.Swap(answers) != answers {
 			c.log.Warn("contact with the store changed", "answers", answers)
 		}
 		switch {
@@ -55,32 +55,32 @@
 			listed = false
 		default:
 			c.log.Debug("store does not answer", "error", err)
-			c.bridgeOutage(ctx, listed, turn, retry.NextBackOff())
+			c.readFromPeer(ctx, listed, turn, retry.NextBackOff())
 		}
 	}
 }
 
-// bridgeOutage waits until the next attempt to reach the store. A controller that
+// readFromPeer waits until the next attempt to reach the store. A controller that
 // started during the outage meanwhile reads records from a peer. It can then renew
 // pages together with its peers, although its own vote counts only after it has read
 // the store.
-func (c *Controller) bridgeOutage(ctx context.Context, listed bool, turn int, wait time.Duration) {
+func (c *Controller) readFromPeer(ctx context.Context, listed bool, turn int, wait time.Duration) {
 	peers := c.knownPeers()
 	if listed || len(peers) == 0 {
 		clock.Sleep(ctx, wait)
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, max(wait, bridgeFor))
+	ctx, cancel := context.WithTimeout(ctx, max(wait, minPeerFollowTime))
 	defer cancel()
 	request := &linkpb.RecordsRequest{From: c.identity.Host, Domain: c.identity.Domain, Relay: true, Cached: true}
-	err := directory.Follow(ctx, c.links.Control(peers[turn%len(peers)]), request, c.takeRelayed)
+	err := directory.Follow(ctx, c.links.Control(peers[turn%len(peers)]), request, c.applyRelayed)
 	c.log.Debug("reading records from a peer ended", "error", err)
-	clock.Sleep(ctx, storeRetryFirst)
+	clock.Sleep(ctx, minStoreRetryDelay)
 }
 
-// bridgeFor is the least time limit for following a peer before the next attempt to
+// minPeerFollowTime is the least time limit for following a peer before the next attempt to
 // reach the store.
-const bridgeFor = 2 * time.Second
+const minPeerFollowTime = 2 * time.Second
 
 // knownPeers returns the link addresses of other controllers: the seeds and the
 // other hosts of this domain.
@@ -100,7 +100,7 @@
 	if err != nil {
 		return err
 	}
-	c.learn(snapshot.Objects, snapshot.Revision)
+	c.applyRecords(snapshot.Objects, snapshot.Revision)
 	// Only now does the voter know every generation that a previous incarnation at
 	// this address may have promised to stop renewing.
 	c.voter.storeRead(began)
@@ -109,11 +109,11 @@
 
 func (c *Controller) watchOnce(ctx context.Context) error {
 	began := c.clock.Now()
-	snapshot, err := c.store.Watch(ctx, c.directory.Revision(), c.timing.WatchWait)
+	snapshot, err := c.store.Watch(ctx, c.directory.Revision(), c.timing.WatchTimeout)
 	if err != nil {
 		return err
 	}
-	c.learn(snapshot.Objects, snapshot.Revision)
+	c.applyRecords(snapshot.Objects, snapshot.Revision)
 	c.voter.storeRead(began)
 	return nil
 }
@@ -122,15 +122,15 @@
 // while the list is empty. While a relay is followed, the list comes from the relay.
 func (c *Controller) watchHosts(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait := c.timing.HostsEvery
-		if !c.relayed.Load() {
+		wait := c.timing.HostsInterval
+		if !c.followingRelay.Load() {
 			hosts, err := c.store.Hosts(ctx)
 			if err == nil {
 				c.directory.SetHosts(hosts)
 			}
 		}
 		if len(c.directory.Hosts()) == 0 {
-			wait = storeRetryFirst
+			wait = minStoreRetryDelay
 		}
 		clock.Sleep(ctx, wait)
 	}
--- a/router/deliver.go
+++ b/router/deliver.go
@@ -113,7 +113,7 @@
 	if !slices.Contains(lost, home) {
 		return home
 	}
-	return domain.Heir(page, service, lost)
+	return domain.TakeoverDomain(page, service, lost)
 }
 
 // answerTime is kept for the way back, so that the other router's own word at
