--- a/domain/controller.go
+++ b/domain/controller.go
@@ -29,7 +29,7 @@
 
 // Timing holds the intervals of a controller.
 type Timing struct {
-	// TickInterval is the interval between lease renewals.
+	// TickInterval is the interval at which the loop renews leases.
 	TickInterval time.Duration
 	// WatchTimeout is how long the store may hold a watch call without changes.
 	WatchTimeout time.Duration
@@ -40,11 +40,11 @@
 // DefaultTiming returns intervals that fit ownership.DefaultTerms.
 func DefaultTiming() Timing {
 	const (
-		tick       = 150 * time.Millisecond
-		watchWait  = 3 * time.Second
-		hostsEvery = 2 * time.Second
+		tickInterval  = 150 * time.Millisecond
+		watchTimeout  = 3 * time.Second
+		hostsInterval = 2 * time.Second
 	)
-	return Timing{TickInterval: tick, WatchTimeout: watchWait, HostsInterval: hostsEvery}
+	return Timing{TickInterval: tickInterval, WatchTimeout: watchTimeout, HostsInterval: hostsInterval}
 }
 
 // Controller renews leases and moves shards for one failure domain, together
@@ -69,14 +69,14 @@
 	lastRenewals renewalTimes
 	// storeReachable is set while the store answers this controller's own calls.
 	storeReachable atomic.Bool
-	// finishedTakeovers names the lost domains that have no page left for this domain to
-	// take over.
+	// finishedTakeovers names the lost domains that have no page left for this domain
+	// to take over.
 	finishedTakeovers atomic.Value
 	// followingRelay is set while the records are read from another controller.
 	followingRelay atomic.Bool
 
 	callsMu       sync.Mutex
-	callsInFlight map[string]int // calls in flight by target
+	callsInFlight map[string]int // by target
 	goroutines    sync.WaitGroup
 }
 
@@ -132,8 +132,8 @@
 // maxCallsPerTarget bounds the calls in flight to a process that does not answer.
 const maxCallsPerTarget = 3
 
-// startCall runs work in a goroutine, unless maxCallsPerTarget calls to the target are
-// in flight. It reports whether the work was started.
+// startCall runs work in a goroutine, unless maxCallsPerTarget calls to the target
+// are in flight. It reports whether the work was started.
 func (c *Controller) startCall(target string, work func()) bool {
 	c.callsMu.Lock()
 	full := c.callsInFlight[target] >= maxCallsPerTarget
@@ -162,19 +162,19 @@
 
 // enqueue queues an event for the loop. If the queue is full, the event is dropped
 // as if the network had lost the message; the next tick sends the request again.
-func (c *Controller) enqueue(happened event) {
-	if !c.events.Offer(happened) {
+func (c *Controller) enqueue(ev event) {
+	if !c.events.Offer(ev) {
 		c.meters.dropped.Inc()
 	}
 }
 
-// applyRecords applies objects to the directory and passes new versions of pages to the
-// voter and the loop.
+// applyRecords applies objects to the directory and passes new versions of pages to
+// the voter and the loop.
 func (c *Controller) applyRecords(objects []platform.Object, revision uint64) {
-	wanted := slices.DeleteFunc(slices.Clone(objects), func(object platform.Object) bool {
+	relevant := slices.DeleteFunc(slices.Clone(objects), func(object platform.Object) bool {
 		return !c.isRelevant(object)
 	})
-	accepted := c.directory.Apply(wanted, revision)
+	accepted := c.directory.Apply(relevant, revision)
 	for _, ref := range accepted {
 		if ref.Kind == record.KindService || ref.Kind == record.KindLost {
 			c.enqueue(rescanRequested{}) // pages may have to be created or taken over
--- a/domain/create.go
+++ b/domain/create.go
@@ -13,9 +13,9 @@
 )
 
 // Pages are created and taken over by the domain's watchers, which know all of its
-// pages. The first watcher acts at once. Each later one waits watcherStep longer
-// and acts only if those before it did not. If two act, the store's conditional
-// update lets only one succeed.
+// pages. The first watcher acts at once. Each later one waits watcherDelay longer, in
+// case the earlier ones have failed. If two act, the store's conditional update lets
+// only one succeed.
 const (
 	createRetryInterval = time.Second
 	watcherDelay        = 3 * time.Second
@@ -29,42 +29,42 @@
 	return slices.Index(l.c.watchers(), l.c.identity.Host)
 }
 
-// shouldAttempt reports whether this controller, the watcher with the given rank, should
-// perform a pending task now.
-func (l *loop) shouldAttempt(now time.Duration, rank int, what string) bool {
+// shouldAttempt reports whether this controller, the watcher with the given rank,
+// should perform a pending task now.
+func (l *loop) shouldAttempt(now time.Duration, rank int, task string) bool {
 	if rank == notAWatcher {
 		return false
 	}
-	since, known := l.pendingSince[what]
+	since, known := l.pendingSince[task]
 	if !known {
-		l.pendingSince[what] = now
+		l.pendingSince[task] = now
 		since = now
 	}
 	if now-since < time.Duration(rank)*watcherDelay {
 		return false
 	}
-	if tried, ok := l.lastAttempt[what]; ok && now-tried < createRetryInterval {
+	if tried, ok := l.lastAttempt[task]; ok && now-tried < createRetryInterval {
 		return false
 	}
-	l.lastAttempt[what] = now
+	l.lastAttempt[task] = now
 	return true
 }
 
-// createPages creates this domain's missing pages, at most pagesPerRound at a time.
+// createPages creates this domain's missing pages, at most maxPagesPerScan at a time.
 func (l *loop) createPages(now time.Duration) {
 	rank := l.watcherRank()
 	if !l.c.voter.hasReadStore() || rank == notAWatcher {
 		return // until the store has been read, existing pages may be unknown
 	}
-	made := 0
+	started := 0
 	for _, service := range l.c.directory.Services() {
 		for index := range service.PageCount() {
-			if service.PageHome(index) == l.c.identity.Domain && made < maxPagesPerScan && l.createPage(now, rank, service, index) {
-				made++
+			if service.PageHome(index) == l.c.identity.Domain && started < maxPagesPerScan && l.createPage(now, rank, service, index) {
+				started++
 			}
 		}
 	}
-	if made == maxPagesPerScan {
+	if started == maxPagesPerScan {
 		l.nextRescan = now // more pages may be missing
 	}
 }
@@ -133,7 +133,9 @@
 	})
 }
 
-// takeOverLost takes over pages of domains that operators declared lost.
+// takeOverLost takes over pages of domains that operators declared lost. The waits of
+// later watchers start when this process first sees a lost domain; at further losses
+// no watcher waits again.
 func (l *loop) takeOverLost(now time.Duration) {
 	lost := l.c.directory.Lost(record.LostDomain)
 	if len(lost) == 0 || l.c.takeoversFinished(lost) || !l.shouldAttempt(now, l.watcherRank(), "lost domains") {
@@ -144,7 +146,7 @@
 }
 
 // takeOver reads all pages from the store, since the directory holds only those of
-// this domain, and takes over the pages that Heir assigns to this domain.
+// this domain, and takes over the pages that TakeoverDomain assigns to this domain.
 func (c *Controller) takeOver(lost []string, hosts []platform.Host) {
 	ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 	defer cancel()
@@ -170,9 +172,9 @@
 	}
 }
 
-// recordFinishedTakeovers records that the lost domains have no page left for this domain to
-// take over. The record of a loss may exist for weeks, and each check lists the
-// whole store.
+// recordFinishedTakeovers records that the lost domains have no page left for this
+// domain to take over. The record of a loss may exist for weeks, and each check
+// lists the whole store.
 func (c *Controller) recordFinishedTakeovers(lost []string) {
 	c.finishedTakeovers.Store(strings.Join(lost, ","))
 }
@@ -196,13 +198,13 @@
 	}
 }
 
-// TakeoverDomain returns the failure domain that takes over a page whose home domain is
-// lost, or "" if all domains of the service are lost.
+// TakeoverDomain returns the failure domain that takes over a page whose home
+// domain is lost, or "" if all domains of the service are lost.
 func TakeoverDomain(page string, service record.Service, lost []string) string {
-	heirs := slices.DeleteFunc(slices.Clone(service.Domains), func(domain string) bool {
+	candidates := slices.DeleteFunc(slices.Clone(service.Domains), func(domain string) bool {
 		return slices.Contains(lost, domain)
 	})
-	order := rendezvousOrder("heir\x00"+page, heirs)
+	order := rendezvousOrder("heir\x00"+page, candidates)
 	if len(order) == 0 {
 		return ""
 	}
--- a/domain/events.go
+++ b/domain/events.go
@@ -26,8 +26,8 @@
 }
 
 func (e renewalsAnswered) apply(l *loop, now time.Duration) {
-	for i, ask := range e.renewals {
-		state, known := l.pages[ask.Ask.Page]
+	for i, renewal := range e.renewals {
+		state, known := l.pages[renewal.Ask.Page]
 		if !known {
 			continue
 		}
@@ -37,7 +37,7 @@
 			Dispatcher: e.responses[i].GetDispatcher(),
 			BusyFor:    time.Duration(e.responses[i].GetBusyForNanos()),
 		}
-		state.machine.Answer(now, ask.Round, e.host, answer)
+		state.machine.Answer(now, renewal.Round, e.host, answer)
 		l.processOutput(now, state)
 	}
 }
--- a/domain/grouping.go
+++ b/domain/grouping.go
@@ -16,8 +16,8 @@
 	largeGroupSize = 5
 )
 
-// rendezvousOrder orders names by a hash of the purpose and the name (rendezvous hashing).
-// Adding or removing a name does not reorder the others.
+// rendezvousOrder orders names by a hash of the purpose and the name (rendezvous
+// hashing). Adding or removing a name does not reorder the others.
 func rendezvousOrder(purpose string, names []string) []string {
 	type scored struct {
 		name  string
@@ -66,11 +66,12 @@
 	return rendezvousOrder("dispatch\x00"+page, liveHosts(hosts, domain))
 }
 
-// replaceMissingMembers returns the group with the members that are not live replaced by the
-// first wanted hosts outside it, and filled up to the wanted size. It returns nil if
-// the group should not change, or would shrink to fewer than smallGroup members. A
-// group of the wanted size that differs only in order or by live members is kept,
-// since after each change of group the old leases must expire first.
+// replaceMissingMembers returns the group with the members that are not live
+// replaced by the first wanted hosts outside it, and filled up to the wanted size.
+// It returns nil if the group should not change, or would shrink below
+// smallGroupSize members. A group of the wanted size that differs only in order or
+// by live members is kept, since after each change of group the old leases must
+// expire first.
 func replaceMissingMembers(group, wanted, live []string) []string {
 	next := make([]string, 0, len(group))
 	for _, member := range group {
--- a/domain/health.go
+++ b/domain/health.go
@@ -10,14 +10,15 @@
 	// suspectAfter is the silence after which a server is suspected if no other
 	// observer has had an answer from it.
 	suspectAfter = 450 * time.Millisecond
-	// suspectDespitePeersAfter is the silence after which a server is suspected even if other
-	// observers reach it: without answers to this controller it gets no leases.
+	// suspectDespitePeersAfter is the silence after which a server is suspected even
+	// if other observers reach it: without answers to this controller it gets no
+	// leases.
 	suspectDespitePeersAfter = 2 * time.Second
 	// observationValidity is how long an observation by another host counts. It is shorter
-	// than silenceToSuspect, since the observation is up to a tick old on arrival.
+	// than suspectAfter, since the observation is up to a tick old on arrival.
 	observationValidity = 300 * time.Millisecond
-	// suspectUnansweredAfter is the silence after which a server is suspected that has not
-	// answered since this controller began to contact it. The controller may just
+	// suspectUnansweredAfter is the silence after which a server is suspected that has
+	// not answered since this controller began to contact it. The controller may just
 	// have taken over the page from a failed member; if the server failed at the same
 	// time, the two detection times must not add up.
 	suspectUnansweredAfter = 300 * time.Millisecond
@@ -73,11 +74,11 @@
 // suspected reports whether the server should lose its shards.
 func (h *serverHealth) suspected(now time.Duration) bool {
 	silent := h.silence(now)
-	patience := suspectAfter
+	limit := suspectAfter
 	if h.lastAnswer == h.firstContact {
-		patience = suspectUnansweredAfter
+		limit = suspectUnansweredAfter
 	}
-	if silent < patience {
+	if silent < limit {
 		return false
 	}
 	contradicted := h.observed && now-h.lastObservation < observationValidity
@@ -106,7 +107,7 @@
 }
 
 // recordAnswer records an answer. A router that is shutting down is avoided for
-// routerAvoid only: an avoided router is not contacted, so the controller would
+// routerAvoidance only: an avoided router is not contacted, so the controller would
 // never learn that it has restarted.
 func (h *routerHealth) recordAnswer(now time.Duration, leaving bool) {
 	h.lastAnswer = now
@@ -117,7 +118,7 @@
 }
 
 // usable reports whether the router may be chosen as dispatcher. One that does not
-// answer is avoided for routerAvoid, then tried again.
+// answer is avoided for routerAvoidance, then tried again.
 func (h *routerHealth) usable(now time.Duration) bool {
 	if now < h.avoidUntil {
 		return false
--- a/domain/health_test.go
+++ b/domain/health_test.go
@@ -27,12 +27,12 @@
 }
 
 // TestSuspicion has one row for each combination of observations of a server that
-// was last contacted successfully at time 0.
+// was first contacted at time 0 and, unless neverAnswered is set, answered then.
 func TestSuspicion(t *testing.T) {
 	const ms = time.Millisecond
 	rows := []struct {
 		name          string
-		signAt        time.Duration // last observation by another host, 0 for none
+		observedAt    time.Duration // last observation by another host, 0 for none
 		neverAnswered bool          // it has never answered this controller
 		at            time.Duration
 		want          bool
@@ -52,8 +52,8 @@
 			if !row.neverAnswered {
 				h.recordAnswer(1, 7, false)
 			}
-			if row.signAt > 0 {
-				h.recordObservation(row.signAt)
+			if row.observedAt > 0 {
+				h.recordObservation(row.observedAt)
 			}
 			assert.Equal(t, h.suspected(row.at+1), row.want)
 		})
--- a/domain/loop.go
+++ b/domain/loop.go
@@ -19,7 +19,8 @@
 type pageState struct {
 	machine *ownership.Machine
 	planner *placement.Planner
-	// groupChangeDue is the earliest time to propose a pending change of the group; 0 if none is pending.
+	// groupChangeDue is the earliest time to propose a pending change of the group,
+	// or 0 if none is pending.
 	groupChangeDue time.Duration
 	// rereading is set while the page is being reread from the store.
 	rereading bool
@@ -64,8 +65,8 @@
 			return
 		case <-ticker.C:
 			l.tick(l.c.clock.Now())
-		case happened := <-l.c.events.Out():
-			l.handle(happened)
+		case ev := <-l.c.events.Out():
+			l.handle(ev)
 		}
 		l.flush(ctx)
 	}
@@ -195,8 +196,8 @@
 // queueOutput adds the output of a state machine to the outbox, and reports whether it
 // contained messages. Messages to this controller's own voter are answered here.
 func (l *loop) queueOutput(now time.Duration, state *pageState, ready ownership.Ready) bool {
-	for _, ask := range ready.Asks {
-		l.queueRenewal(now, state, ask)
+	for _, renewal := range ready.Asks {
+		l.queueRenewal(now, state, renewal)
 	}
 	for _, stop := range ready.Stops {
 		l.queueStop(now, state, stop)
@@ -214,14 +215,14 @@
 	return len(ready.Asks)+len(ready.Stops)+len(ready.Grants) > 0
 }
 
-func (l *loop) queueRenewal(now time.Duration, state *pageState, ask ownership.AskOut) {
-	for _, host := range ask.Hosts {
+func (l *loop) queueRenewal(now time.Duration, state *pageState, renewal ownership.AskOut) {
+	for _, host := range renewal.Hosts {
 		if host == l.c.identity.Host {
-			answer := l.c.voter.agree(now, ask.Ask)
-			state.machine.Answer(now, ask.Round, host, answer)
+			answer := l.c.voter.agree(now, renewal.Ask)
+			state.machine.Answer(now, renewal.Round, host, answer)
 			continue
 		}
-		l.out.renewals[host] = append(l.out.renewals[host], ask)
+		l.out.renewals[host] = append(l.out.renewals[host], renewal)
 	}
 }
 
--- a/domain/loop_test.go
+++ b/domain/loop_test.go
@@ -17,7 +17,7 @@
 	"cicadarouter/record"
 )
 
-// pausedClock simulates a process that is paused for pauseLength before every reading.
+// pausedClock simulates a process that is paused for pauseDuration before every reading.
 type pausedClock struct {
 	mu  sync.Mutex
 	now time.Duration
@@ -47,11 +47,11 @@
 	}
 	c := NewController(link.Identity{Host: "h", Domain: "a"}, ownership.DefaultTerms(), DefaultTiming(), memstore.New(),
 		directory.New(), nil, dial, nil, clk, logs.Discard())
-	var dated []time.Duration
-	c.enqueue(timedEvent{&dated})
-	c.enqueue(timedEvent{&dated})
-	newLoop(c).handle(timedEvent{&dated})
-	assert.Equal(t, len(dated), 3)
-	assert.Equal(t, dated[1]-dated[0], pauseDuration)
-	assert.Equal(t, dated[2]-dated[1], pauseDuration)
+	var times []time.Duration
+	c.enqueue(timedEvent{&times})
+	c.enqueue(timedEvent{&times})
+	newLoop(c).handle(timedEvent{&times})
+	assert.Equal(t, len(times), 3)
+	assert.Equal(t, times[1]-times[0], pauseDuration)
+	assert.Equal(t, times[2]-times[1], pauseDuration)
 }
--- a/domain/outbox.go
+++ b/domain/outbox.go
@@ -51,8 +51,8 @@
 func (l *loop) flush(ctx context.Context) {
 	out := l.out
 	l.out = newOutbox()
-	for host, asks := range out.renewals {
-		l.c.sendRenewals(ctx, host, asks)
+	for host, renewals := range out.renewals {
+		l.c.sendRenewals(ctx, host, renewals)
 	}
 	for host, stops := range out.stops {
 		l.c.sendStops(ctx, host, stops)
@@ -74,7 +74,7 @@
 	}
 }
 
-func (c *Controller) sendRenewals(ctx context.Context, host string, asks []ownership.AskOut) {
+func (c *Controller) sendRenewals(ctx context.Context, host string, renewals []ownership.AskOut) {
 	peer, ok := c.directory.Host(host)
 	if !ok {
 		return
@@ -82,17 +82,17 @@
 	c.startCall("agree/"+host, func() {
 		ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 		defer cancel()
-		reply, err := c.links.Control(peer.Link).Agree(ctx, agreeRequest(c.identity.Host, asks))
-		if err != nil || len(reply.GetAnswers()) != len(asks) {
+		reply, err := c.links.Control(peer.Link).Agree(ctx, agreeRequest(c.identity.Host, renewals))
+		if err != nil || len(reply.GetAnswers()) != len(renewals) {
 			return
 		}
-		c.enqueue(renewalsAnswered{host: host, renewals: asks, responses: reply.GetAnswers()})
+		c.enqueue(renewalsAnswered{host: host, renewals: renewals, responses: reply.GetAnswers()})
 	})
 }
 
-func agreeRequest(from string, asks []ownership.AskOut) *linkpb.AgreeRequest {
+func agreeRequest(from string, renewals []ownership.AskOut) *linkpb.AgreeRequest {
 	request := &linkpb.AgreeRequest{From: from}
-	for _, ask := range asks {
+	for _, ask := range renewals {
 		request.Asks = append(request.Asks, &linkpb.Ask{
 			Page:        ask.Ask.Page,
 			Generation:  ask.Ask.Generation,
--- a/domain/relay.go
+++ b/domain/relay.go
@@ -19,8 +19,8 @@
 // calls the store itself once, in case no watcher can be followed.
 const directStoreTurn = watchersPerDomain + 1
 
-// errStoreUnreachable ends a relay stream whose sender cannot reach the store, so that its
-// followers switch to another watcher.
+// errStoreUnreachable ends a relay stream whose sender cannot reach the store, so
+// that its followers switch to another watcher.
 var errStoreUnreachable = errors.New("this watcher does not reach the store")
 
 // watchers returns the hosts of this domain whose controllers watch the store.
@@ -30,21 +30,21 @@
 	return ordered[:min(watchersPerDomain, len(ordered))]
 }
 
-// shouldFollowRelay reports whether the controller should follow a watcher in this turn, and
-// sets relayed accordingly.
+// shouldFollowRelay reports whether to follow a watcher in this turn, and sets
+// followingRelay accordingly.
 func (c *Controller) shouldFollowRelay(turn int) bool {
 	watchers := c.watchers()
-	relayed := len(watchers) == watchersPerDomain &&
+	follow := len(watchers) == watchersPerDomain &&
 		!slices.Contains(watchers, c.identity.Host) &&
 		!c.needsStoreContact() &&
 		turn%directStoreTurn != directStoreTurn-1
-	c.followingRelay.Store(relayed)
-	return relayed
+	c.followingRelay.Store(follow)
+	return follow
 }
 
-// needsStoreContact reports whether this controller votes on a page that is renewed only for
-// a limited time after the last contact with the store. Such a voter must contact
-// the store itself, since a relay does not tell how old its records are.
+// needsStoreContact reports whether this controller votes on a page that is renewed
+// only for a limited time after the last contact with the store. Such a voter must
+// contact the store itself, since a relay does not tell how old its records are.
 func (c *Controller) needsStoreContact() bool {
 	for _, page := range c.directory.Pages() {
 		if page.Bounded && slices.Contains(page.Voters(), c.identity.Host) {
--- a/domain/reporter.go
+++ b/domain/reporter.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// addRouterCounts adds the increase of a router's counters since they were last read. The
-// counters of a new incarnation start at 0.
+// addRouterCounts adds the increase of a router's counters since they were last
+// read. The counters of a new incarnation start at 0.
 func (r *reporter) addRouterCounts(now time.Duration, reply *linkpb.CountsReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,7 +57,7 @@
 }
 
 func countIncrease(now, before *linkpb.ServiceCount) *linkpb.ServiceCount {
-	grown := &linkpb.ServiceCount{
+	increase := &linkpb.ServiceCount{
 		Service: now.GetService(),
 		Total:   now.GetTotal() - before.GetTotal(),
 		Bad:     now.GetBad() - before.GetBad(),
@@ -66,10 +66,10 @@
 	}
 	for cause, n := range now.GetCauses() {
 		if n > before.GetCauses()[cause] {
-			grown.Causes[cause] = n - before.GetCauses()[cause]
+			increase.Causes[cause] = n - before.GetCauses()[cause]
 		}
 	}
-	return grown
+	return increase
 }
 
 // add adds a count to those of the next report. The caller holds r.mu.
@@ -98,7 +98,7 @@
 }
 
 // takeTotal returns the report on the controller, on its host's router if that was read
-// within reportAge, and on the children. It resets the counts; if the report cannot
+// within maxReportAge, and on the children. It resets the counts; if the report cannot
 // be delivered, restore adds them back.
 func (r *reporter) takeTotal(now time.Duration, host string, revision uint64) *linkpb.DomainReport {
 	r.mu.Lock()
@@ -131,7 +131,7 @@
 }
 
 // mergeReport adds a report to a total. The total has the lowest revision of all reports
-// and names daemons that are at that revision, at most mostLagging.
+// and names daemons that are at that revision, at most maxLagging.
 func mergeReport(total, part *linkpb.DomainReport) {
 	total.Daemons += part.GetDaemons()
 	switch {
@@ -144,10 +144,11 @@
 	total.Lagging = total.Lagging[:min(len(total.Lagging), maxLagging)]
 }
 
-// shouldWriteEnforced reports whether a report should be written now: the number of daemons or
-// the lagging daemons differ from those last written, or the revision has risen and
-// the last one written was below config, the newest change that concerns this domain.
-// Any other rise waits until enforcedDue, since every write raises the revision.
+// shouldWriteEnforced reports whether a report should be written now: the number of
+// daemons or the lagging daemons differ from those last written, or the revision has
+// risen and the last one written was below config, the newest change of an operator's
+// record. Any other rise waits until enforcedDue, since every write raises the
+// revision.
 func (r *reporter) shouldWriteEnforced(now time.Duration, fresh record.Enforced, config uint64) bool {
 	last := r.lastWritten
 	switch {
--- a/domain/reporting.go
+++ b/domain/reporting.go
@@ -29,7 +29,7 @@
 	countTimeout = 500 * time.Millisecond
 )
 
-// reportPeriodically sends or writes this controller's report every reportEvery.
+// reportPeriodically sends or writes this controller's report every reportInterval.
 func (c *Controller) reportPeriodically(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, reportInterval)
@@ -93,7 +93,8 @@
 // revision has changed, by writes that do not concern this domain.
 const enforcedInterval = 10 * time.Second
 
-// writeEnforced writes the configuration in force if it is due; see reporter.isNews.
+// writeEnforced writes the configuration in force if that is due; see
+// reporter.shouldWriteEnforced.
 func (c *Controller) writeEnforced(ctx context.Context, now time.Duration, total *linkpb.DomainReport) {
 	live := liveHosts(c.directory.Hosts(), c.identity.Domain)
 	if len(live) == 0 {
@@ -142,7 +143,7 @@
 	return object, err
 }
 
-// writeBurn adds the counts to the burn records every burnEvery. Counts that are not
+// writeBurn adds the counts to the burn records every burnInterval. Counts that are not
 // due yet or could not be written are kept for the next call.
 func (c *Controller) writeBurn(ctx context.Context, now time.Duration, total *linkpb.DomainReport) {
 	if now < c.reporter.burnDue || len(total.GetServices()) == 0 {
--- a/domain/view.go
+++ b/domain/view.go
@@ -9,8 +9,8 @@
 	"cicadarouter/record"
 )
 
-// A member of a group takes over when all earlier members have been silent for
-// takeOverAfter plus takeOverStep for each of them.
+// Delays of a takeover: a member of a group takes over when all earlier members have
+// been silent for takeoverDelay plus takeoverDelayPerMember for each of them.
 const (
 	takeoverDelay          = 300 * time.Millisecond
 	takeoverDelayPerMember = 150 * time.Millisecond
@@ -48,13 +48,13 @@
 	if rank < 0 {
 		return false
 	}
-	patience := takeoverDelay + time.Duration(rank)*takeoverDelayPerMember
+	silenceLimit := takeoverDelay + time.Duration(rank)*takeoverDelayPerMember
 	for _, earlier := range page.Group[:rank] {
-		heard, ever := l.c.lastRenewals.last(page.Name, earlier)
-		if !ever {
-			heard = l.started
+		lastHeard, known := l.c.lastRenewals.last(page.Name, earlier)
+		if !known {
+			lastHeard = l.started
 		}
-		if now-heard < patience {
+		if now-lastHeard < silenceLimit {
 			return false
 		}
 	}
@@ -66,9 +66,9 @@
 	return l.c.directory.PageServers(service, page.Home, page.Index)
 }
 
-// canChooseOwners reports whether owners may be chosen: always on a page that has an owner,
-// and on a new page once every server has answered or is suspected. Otherwise the
-// first servers to answer would get all shards, and most shards would move again.
+// canChooseOwners reports whether owners may be chosen: always on a page that has an
+// owner, and on a new page once every server has answered or is suspected. Otherwise
+// the first servers to answer would get all shards, and most shards would move again.
 func (l *loop) canChooseOwners(now time.Duration, page record.Page, servers []record.Server) bool {
 	for _, shard := range page.Shards {
 		if shard.Owner != "" {
--- a/domain/watch.go
+++ b/domain/watch.go
@@ -78,8 +78,8 @@
 	clock.Sleep(ctx, minStoreRetryDelay)
 }
 
-// minPeerFollowTime is the least time limit for following a peer before the next attempt to
-// reach the store.
+// minPeerFollowTime is the least time limit for following a peer before the next
+// attempt to reach the store.
 const minPeerFollowTime = 2 * time.Second
 
 // knownPeers returns the link addresses of other controllers: the seeds and the
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// watchHosts reads the platform's host list every timing.HostsEvery, and more often
+// watchHosts reads the platform's host list every timing.HostsInterval, and more often
 // while the list is empty. While a relay is followed, the list comes from the relay.
 func (c *Controller) watchHosts(ctx context.Context) {
 	for ctx.Err() == nil {
