--- a/domain/controller.go
+++ b/domain/controller.go
@@ -20,35 +20,35 @@
 	"cicadarouter/record"
 )
 
-// Seeds are the link addresses of controllers that records may be learned from
-// when the store does not answer at start.
+// Seeds are the link addresses of controllers from which records can be read if
+// the store does not answer at startup.
 type Seeds []string
 
 // ServerDialer returns the control interface of a backend server.
 type ServerDialer func(server record.Server) backend.Control
 
-// Timing sets the pace of a controller.
+// Timing holds the intervals of a controller.
 type Timing struct {
-	// Tick is the time between two renewals.
-	Tick time.Duration
-	// WatchWait is how long one watch waits at the store.
-	WatchWait time.Duration
-	// HostsEvery is how often the host list is read.
-	HostsEvery time.Duration
+	// TickInterval is the interval at which the loop renews leases.
+	TickInterval time.Duration
+	// WatchTimeout is how long the store may hold a watch call without changes.
+	WatchTimeout time.Duration
+	// HostsInterval is the interval between reads of the host list.
+	HostsInterval time.Duration
 }
 
-// DefaultTiming suits ownership.DefaultTerms.
+// DefaultTiming returns intervals that fit ownership.DefaultTerms.
 func DefaultTiming() Timing {
 	const (
-		tick       = 150 * time.Millisecond
-		watchWait  = 3 * time.Second
-		hostsEvery = 2 * time.Second
+		tickInterval  = 150 * time.Millisecond
+		watchTimeout  = 3 * time.Second
+		hostsInterval = 2 * time.Second
 	)
-	return Timing{Tick: tick, WatchWait: watchWait, HostsEvery: hostsEvery}
+	return Timing{TickInterval: tickInterval, WatchTimeout: watchTimeout, HostsInterval: hostsInterval}
 }
 
 // Controller renews leases and moves shards for one failure domain, together
-// with the controllers of the domain's other entry hosts.
+// with the controllers on the domain's other hosts.
 type Controller struct {
 	identity  link.Identity
 	terms     ownership.Terms
@@ -65,116 +65,119 @@
 
 	events *ring.Ring[event]
 	voter  lockedVoter
-	// peers notes when each peer last asked for each page.
-	heard heardAsks
-	// storeAnswers is set while this controller's own calls reach the store.
-	storeAnswers atomic.Bool
-	// takenOver names the lost domains of which nothing is left to take.
-	takenOver atomic.Value
-	// relayed is set while the records come from another controller.
-	relayed atomic.Bool
-
-	callsMu sync.Mutex
-	calls   map[string]int // outstanding calls by target
-	working sync.WaitGroup
+	// lastRenewals holds the time of each peer's last renewal request for each page.
+	lastRenewals renewalTimes
+	// storeReachable is set while the store answers this controller's own calls.
+	storeReachable atomic.Bool
+	// finishedTakeovers names the lost domains that have no page left for this domain
+	// to take over.
+	finishedTakeovers atomic.Value
+	// followingRelay is set while the records are read from another controller.
+	followingRelay atomic.Bool
+
+	callsMu       sync.Mutex
+	callsInFlight map[string]int // by target
+	goroutines    sync.WaitGroup
 }
 
-// eventRingSize bounds what may wait for the loop. Answers that find it full
-// are dropped, which is the same as a lost message.
-const eventRingSize = 4096
+// eventQueueSize is the capacity of the loop's event queue. Answers that arrive
+// while it is full are dropped, as if the message had been lost.
+const eventQueueSize = 4096
 
-// NewController returns a controller that has not started.
+// NewController returns a controller that does nothing until Run is called.
 func NewController(identity link.Identity, terms ownership.Terms, timing Timing, store platform.Store,
 	dir *directory.Directory, links link.Peers, dial ServerDialer, seeds Seeds, clk clock.Clock, logger *log.Logger) *Controller {
 	c := &Controller{
-		identity:  identity,
-		terms:     terms,
-		timing:    timing,
-		store:     store,
-		directory: dir,
-		links:     links,
-		dial:      dial,
-		seeds:     seeds,
-		clock:     clk,
-		log:       logger,
-		meters:    newMeters(),
-		reporter:  newReporter(),
-		events:    ring.New[event](eventRingSize),
-		calls:     map[string]int{},
+		identity:      identity,
+		terms:         terms,
+		timing:        timing,
+		store:         store,
+		directory:     dir,
+		links:         links,
+		dial:          dial,
+		seeds:         seeds,
+		clock:         clk,
+		log:           logger,
+		meters:        newMeters(),
+		reporter:      newReporter(),
+		events:        ring.New[event](eventQueueSize),
+		callsInFlight: map[string]int{},
 	}
 	c.voter.voter = ownership.NewVoter(terms, clk.Now())
-	c.meters.watchStoreMetric(c.storeAnswers.Load)
-	c.heard.at = map[heardKey]time.Duration{}
+	c.meters.addStoreGauge(c.storeReachable.Load)
+	c.lastRenewals.at = map[renewalKey]time.Duration{}
 	return c
 }
 
-// Run works until the context ends, then waits for its duties to end.
+// Run runs the controller until the context is cancelled, then waits for its
+// goroutines to return.
 func (c *Controller) Run(ctx context.Context) {
-	c.duty(func() { c.watchStore(ctx) })
-	c.duty(func() { c.watchHosts(ctx) })
-	c.duty(func() { c.reportOften(ctx) })
+	c.spawn(func() { c.watchStore(ctx) })
+	c.spawn(func() { c.watchHosts(ctx) })
+	c.spawn(func() { c.reportPeriodically(ctx) })
 	loop := newLoop(c)
 	loop.run(ctx)
-	c.working.Wait()
+	c.goroutines.Wait()
 }
 
-// duty runs work in a goroutine that Run waits for.
-func (c *Controller) duty(work func()) {
-	c.working.Add(1)
+// spawn runs work in a goroutine that Run waits for.
+func (c *Controller) spawn(work func()) {
+	c.goroutines.Add(1)
 	go func() {
-		defer c.working.Done()
+		defer c.goroutines.Done()
 		work()
 	}()
 }
 
-// maxCallsPerTarget bounds the calls that wait for one silent process.
+// maxCallsPerTarget bounds the calls in flight to a process that does not answer.
 const maxCallsPerTarget = 3
 
-// call runs work beside the loop unless too many calls to the target wait. It
-// reports whether the work was started.
-func (c *Controller) call(target string, work func()) bool {
+// startCall runs work in a goroutine, unless maxCallsPerTarget calls to the target
+// are in flight. It reports whether the work was started.
+func (c *Controller) startCall(target string, work func()) bool {
 	c.callsMu.Lock()
-	full := c.calls[target] >= maxCallsPerTarget
+	full := c.callsInFlight[target] >= maxCallsPerTarget
 	if !full {
-		c.calls[target]++
+		c.callsInFlight[target]++
 	}
 	c.callsMu.Unlock()
 	if full {
 		return false
 	}
-	c.duty(func() {
-		defer c.callEnded(target)
+	c.spawn(func() {
+		defer c.endCall(target)
 		work()
 	})
 	return true
 }
 
-func (c *Controller) callEnded(target string) {
+func (c *Controller) endCall(target string) {
 	c.callsMu.Lock()
 	defer c.callsMu.Unlock()
-	c.calls[target]--
-	if c.calls[target] == 0 {
-		delete(c.calls, target)
+	c.callsInFlight[target]--
+	if c.callsInFlight[target] == 0 {
+		delete(c.callsInFlight, target)
 	}
 }
 
-// post hands an event to the loop. One that finds the ring full is dropped, as a
-// message that the network lost; the next tick asks again.
-func (c *Controller) post(happened event) {
-	if !c.events.Offer(happened) {
+// enqueue queues an event for the loop. If the queue is full, the event is dropped
+// as if the network had lost the message; the next tick sends the request again.
+func (c *Controller) enqueue(ev event) {
+	if !c.events.Offer(ev) {
 		c.meters.dropped.Inc()
 	}
 }
 
-// learn takes objects into the directory and tells voter and loop of new pages.
-func (c *Controller) learn(objects []platform.Object, revision uint64) {
-	wanted := slices.DeleteFunc(slices.Clone(objects), func(object platform.Object) bool {
-		return !c.concerns(object)
+// applyRecords applies objects to the directory and passes new versions of pages to
+// the voter and the loop.
+func (c *Controller) applyRecords(objects []platform.Object, revision uint64) {
+	relevant := slices.DeleteFunc(slices.Clone(objects), func(object platform.Object) bool {
+		return !c.isRelevant(object)
 	})
-	accepted := c.directory.Apply(wanted, revision)
+	accepted := c.directory.Apply(relevant, revision)
 	for _, ref := range accepted {
 		if ref.Kind == record.KindService || ref.Kind == record.KindLost {
-			c.post(rescanWanted{}) // pages may have to be made or taken over
+			c.enqueue(rescanRequested{}) // pages may have to be created or taken over
 		}
 		if ref.Kind != record.KindPage {
 			continue
@@ -184,23 +187,25 @@
 			continue
 		}
 		c.voter.learn(page.Name, page.Generation)
-		c.post(pageLearned{page: page})
+		c.enqueue(pageChanged{page: page})
 	}
 	if len(accepted) > 0 {
-		c.tellRejected()
+		c.logRejected()
 	}
 }
 
-func (c *Controller) tellRejected() {
+func (c *Controller) logRejected() {
 	for ref, err := range c.directory.Rejected() {
-		c.log.Warn("record does not decode, its last good version stays in force", "record", ref.String(), "error", err)
+		c.log.Warn("cannot decode record; keeping its last valid version", "record", ref.String(), "error", err)
 	}
 }
 
-// concerns reports whether an object is worth keeping: not the reports, which
-// only operators read, and of the pages and servers only those of this failure
-// domain, or those that were. All domains' together would not fit a small host.
-func (c *Controller) concerns(object platform.Object) bool {
+// isRelevant reports whether an object is kept in the directory. Reports are not,
+// since only operators read them. Pages and servers are kept only if they belong
+// to this failure domain, and pages also if they did: those of all domains would
+// not fit in the memory of a small host. Records that do not decode and deletions
+// of servers are passed on in any case.
+func (c *Controller) isRelevant(object platform.Object) bool {
 	switch object.Kind {
 	case record.KindPage:
 		if _, _, known := c.directory.Page(object.Name); known {
@@ -217,10 +222,10 @@
 	return true
 }
 
-// newAttempt mints the id of a write.
+// newAttempt returns a new ID for a write.
 func newAttempt() string { return uuid.Must(uuid.NewV7()).String() }
 
-// lockedVoter shares the voter between the loop and the link's handlers.
+// lockedVoter makes a voter safe for use by the loop and the RPC handlers.
 type lockedVoter struct {
 	mu    sync.Mutex
 	voter *ownership.Voter
@@ -238,7 +243,7 @@
 	v.voter.StoreRead(began)
 }
 
-func (v *lockedVoter) established() bool {
+func (v *lockedVoter) hasReadStore() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.voter.HasReadStore()
@@ -256,31 +261,31 @@
 	return v.voter.Stop(now, page, generation)
 }
 
-type heardKey struct{ page, host string }
+type renewalKey struct{ page, host string }
 
-// heardAsks remembers when each peer last asked for a page, so that a member
-// that stands later in a group knows whether an earlier one is at work.
-type heardAsks struct {
+// renewalTimes holds the time of each peer's last renewal request for a page. From
+// it, a later member of a group tells whether an earlier one is active.
+type renewalTimes struct {
 	mu sync.Mutex
-	at map[heardKey]time.Duration
+	at map[renewalKey]time.Duration
 }
 
-func (h *heardAsks) note(page, host string, now time.Duration) {
+func (h *renewalTimes) record(page, host string, now time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.at[heardKey{page, host}] = now
+	h.at[renewalKey{page, host}] = now
 }
 
-// last returns when the host last asked for the page.
-func (h *heardAsks) last(page, host string) (time.Duration, bool) {
+// last returns the time of the host's last renewal request for the page.
+func (h *renewalTimes) last(page, host string) (time.Duration, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	at, ok := h.at[heardKey{page, host}]
+	at, ok := h.at[renewalKey{page, host}]
 	return at, ok
 }
 
-// forget drops what was heard from hosts that are gone.
-func (h *heardAsks) forget(gone func(host string) bool) {
+// removeHosts removes the entries of hosts for which gone reports true.
+func (h *renewalTimes) removeHosts(gone func(host string) bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for key := range h.at {
--- a/domain/create.go
+++ b/domain/create.go
@@ -12,81 +12,83 @@
 	"cicadarouter/record"
 )
 
-// Pages are made and taken over by the domain's watchers, which know all of its
-// pages. The first acts at once; each other one waits longer, in case that those
-// before it are gone. The conditional update settles races.
+// Pages are created and taken over by the domain's watchers, which know all of its
+// pages. The first watcher acts at once. Each later one waits watcherDelay longer, in
+// case the earlier ones have failed. If two act, the store's conditional update lets
+// only one succeed.
 const (
-	createRetry   = time.Second
-	watcherStep   = 3 * time.Second
-	notAWatcher   = -1
-	pagesPerRound = 64
+	createRetryInterval = time.Second
+	watcherDelay        = 3 * time.Second
+	notAWatcher         = -1
+	maxPagesPerScan     = 64
 )
 
-// watcherRank returns this controller's place among its domain's watchers.
+// watcherRank returns this controller's index in the list of its domain's
+// watchers, or notAWatcher.
 func (l *loop) watcherRank() int {
 	return slices.Index(l.c.watchers(), l.c.identity.Host)
 }
 
-// myTurn reports whether this controller, with its place among the watchers,
-// should act on something that waits for them.
-func (l *loop) myTurn(now time.Duration, rank int, what string) bool {
+// shouldAttempt reports whether this controller, the watcher with the given rank,
+// should perform a pending task now.
+func (l *loop) shouldAttempt(now time.Duration, rank int, task string) bool {
 	if rank == notAWatcher {
 		return false
 	}
-	since, known := l.noticed[what]
+	since, known := l.pendingSince[task]
 	if !known {
-		l.noticed[what] = now
+		l.pendingSince[task] = now
 		since = now
 	}
-	if now-since < time.Duration(rank)*watcherStep {
+	if now-since < time.Duration(rank)*watcherDelay {
 		return false
 	}
-	if tried, ok := l.tried[what]; ok && now-tried < createRetry {
+	if tried, ok := l.lastAttempt[task]; ok && now-tried < createRetryInterval {
 		return false
 	}
-	l.tried[what] = now
+	l.lastAttempt[task] = now
 	return true
 }
 
-// createPages makes the pages of this domain that do not exist yet.
+// createPages creates this domain's missing pages, at most maxPagesPerScan at a time.
 func (l *loop) createPages(now time.Duration) {
 	rank := l.watcherRank()
-	if !l.c.voter.established() || rank == notAWatcher {
-		return // pages may exist that this process has not seen
+	if !l.c.voter.hasReadStore() || rank == notAWatcher {
+		return // until the store has been read, existing pages may be unknown
 	}
-	made := 0
+	started := 0
 	for _, service := range l.c.directory.Services() {
 		for index := range service.PageCount() {
-			if service.PageHome(index) == l.c.identity.Domain && made < pagesPerRound && l.createPage(now, rank, service, index) {
-				made++
+			if service.PageHome(index) == l.c.identity.Domain && started < maxPagesPerScan && l.createPage(now, rank, service, index) {
+				started++
 			}
 		}
 	}
-	if made == pagesPerRound {
-		l.rescanDue = now // more wait
+	if started == maxPagesPerScan {
+		l.nextRescan = now // more pages may be missing
 	}
 }
 
-// createPage makes a page if it is missing, and reports whether it tried.
+// createPage creates a page if it is missing, and reports whether it started to.
 func (l *loop) createPage(now time.Duration, rank int, service record.Service, index int) bool {
 	name := record.PageName(service.Name, index)
 	if _, _, exists := l.c.directory.Page(name); exists {
-		delete(l.noticed, name)
+		delete(l.pendingSince, name)
 		return false
 	}
-	if !l.myTurn(now, rank, name) {
+	if !l.shouldAttempt(now, rank, name) {
 		return false
 	}
-	group := groupFor(name, l.c.directory.Hosts(), l.c.identity.Domain)
+	group := renewalGroup(name, l.c.directory.Hosts(), l.c.identity.Domain)
 	if len(group) == 0 {
 		return false
 	}
 	servers := len(l.c.directory.PageServers(service, l.c.identity.Domain, index))
-	l.c.createPage(newPage(service, index, group, max(servers, 1)))
+	l.c.writeNewPage(newPage(service, index, group, max(servers, 1)))
 	return true
 }
 
-// newPage lays a page out in shards of equal width.
+// newPage returns the first generation of a page, split into shards of equal width.
 func newPage(service record.Service, index int, group []string, servers int) record.Page {
 	low, high := record.PageRange(index, service.PageCount())
 	page := record.Page{
@@ -115,8 +117,8 @@
 	}
 }
 
-func (c *Controller) createPage(page record.Page) {
-	c.duty(func() {
+func (c *Controller) writeNewPage(page record.Page) {
+	c.spawn(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 		defer cancel()
 		envelope, err := page.Encode()
@@ -125,24 +127,26 @@
 		}
 		version, err := c.store.Update(ctx, envelope, 0)
 		if err == nil {
-			c.log.Info("page made", "page", page.Name, "group", page.Group)
-			c.learn([]platform.Object{{Envelope: envelope, Version: version}}, 0)
+			c.log.Info("created page", "page", page.Name, "group", page.Group)
+			c.applyRecords([]platform.Object{{Envelope: envelope, Version: version}}, 0)
 		}
 	})
 }
 
-// takeOverLost takes pages of domains that operators declared lost.
+// takeOverLost takes over pages of domains that operators declared lost. The waits of
+// later watchers start when this process first sees a lost domain; at further losses
+// no watcher waits again.
 func (l *loop) takeOverLost(now time.Duration) {
 	lost := l.c.directory.Lost(record.LostDomain)
-	if len(lost) == 0 || l.c.isTakenOver(lost) || !l.myTurn(now, l.watcherRank(), "lost domains") {
+	if len(lost) == 0 || l.c.takeoversFinished(lost) || !l.shouldAttempt(now, l.watcherRank(), "lost domains") {
 		return
 	}
 	hosts := l.c.directory.Hosts()
-	l.c.duty(func() { l.c.takeOver(lost, hosts) })
+	l.c.spawn(func() { l.c.takeOver(lost, hosts) })
 }
 
-// takeOver reads all pages from the store, since only the own domain's are kept,
-// and writes those that this domain inherits.
+// takeOver reads all pages from the store, since the directory holds only those of
+// this domain, and takes over the pages that TakeoverDomain assigns to this domain.
 func (c *Controller) takeOver(lost []string, hosts []platform.Host) {
 	ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 	defer cancel()
@@ -157,50 +161,50 @@
 			continue
 		}
 		service, ok := c.directory.Service(page.Service)
-		if !ok || Heir(page.Name, service, lost) != c.identity.Domain {
+		if !ok || TakeoverDomain(page.Name, service, lost) != c.identity.Domain {
 			continue
 		}
 		left++
 		c.takeOverPage(ctx, object, page, hosts)
 	}
 	if left == 0 {
-		c.noteTakenOver(lost)
+		c.recordFinishedTakeovers(lost)
 	}
 }
 
-// noteTakenOver remembers that nothing of the lost domains is left for this one
-// to take. The record of a loss may stand for weeks, and each look costs the
-// store a list of everything.
-func (c *Controller) noteTakenOver(lost []string) {
-	c.takenOver.Store(strings.Join(lost, ","))
+// recordFinishedTakeovers records that the lost domains have no page left for this
+// domain to take over. The record of a loss may exist for weeks, and each check
+// lists the whole store.
+func (c *Controller) recordFinishedTakeovers(lost []string) {
+	c.finishedTakeovers.Store(strings.Join(lost, ","))
 }
 
-func (c *Controller) isTakenOver(lost []string) bool {
-	done, _ := c.takenOver.Load().(string)
+func (c *Controller) takeoversFinished(lost []string) bool {
+	done, _ := c.finishedTakeovers.Load().(string)
 	return done == strings.Join(lost, ",")
 }
 
 func (c *Controller) takeOverPage(ctx context.Context, object platform.Object, page record.Page, hosts []platform.Host) {
-	group := groupFor(page.Name, hosts, c.identity.Domain)
+	group := renewalGroup(page.Name, hosts, c.identity.Domain)
 	next := ownership.TakeOver(page, c.identity.Domain, group, newAttempt())
 	envelope, err := next.Encode()
 	if err != nil || len(group) == 0 {
 		return
 	}
 	version, err := c.store.Update(ctx, envelope, object.Version)
-	c.log.Warn("taking a page over from a lost domain", "page", page.Name, "from", page.Home, "error", err)
+	c.log.Warn("taking over page of a lost domain", "page", page.Name, "from", page.Home, "error", err)
 	if err == nil {
-		c.learn([]platform.Object{{Envelope: envelope, Version: version}}, 0)
+		c.applyRecords([]platform.Object{{Envelope: envelope, Version: version}}, 0)
 	}
 }
 
-// Heir returns the failure domain that takes a page whose home is lost, or ""
-// if no domain of the service is left.
-func Heir(page string, service record.Service, lost []string) string {
-	heirs := slices.DeleteFunc(slices.Clone(service.Domains), func(domain string) bool {
+// TakeoverDomain returns the failure domain that takes over a page whose home
+// domain is lost, or "" if all domains of the service are lost.
+func TakeoverDomain(page string, service record.Service, lost []string) string {
+	candidates := slices.DeleteFunc(slices.Clone(service.Domains), func(domain string) bool {
 		return slices.Contains(lost, domain)
 	})
-	order := ranked("heir\x00"+page, heirs)
+	order := rendezvousOrder("heir\x00"+page, candidates)
 	if len(order) == 0 {
 		return ""
 	}
--- a/domain/grouping.go
+++ b/domain/grouping.go
@@ -9,16 +9,16 @@
 	"cicadarouter/contract/platform"
 )
 
-// Sizes of a renewal group. An odd size tolerates as many losses as the next
-// even one.
+// Sizes of a renewal group. An odd size tolerates as many failed members as the
+// next larger even size.
 const (
-	smallGroup = 3
-	largeGroup = 5
+	smallGroupSize = 3
+	largeGroupSize = 5
 )
 
-// ranked orders names by a hash over the purpose and each name (rendezvous
-// hashing), so that a name that comes or goes moves little.
-func ranked(purpose string, names []string) []string {
+// rendezvousOrder orders names by a hash of the purpose and the name (rendezvous
+// hashing). Adding or removing a name does not reorder the others.
+func rendezvousOrder(purpose string, names []string) []string {
 	type scored struct {
 		name  string
 		score uint64
@@ -46,30 +46,33 @@
 	return names
 }
 
-// groupFor returns the renewal group that a page should have; the first member
-// is its assigner.
-func groupFor(page string, hosts []platform.Host, domain string) []string {
-	ordered := ranked("renew\x00"+page, liveHosts(hosts, domain))
+// renewalGroup returns the renewal group that a page should have. The first member is
+// the assigner, which renews and assigns the page unless it fails; see loop.active.
+func renewalGroup(page string, hosts []platform.Host, domain string) []string {
+	ordered := rendezvousOrder("renew\x00"+page, liveHosts(hosts, domain))
 	size := len(ordered)
 	switch {
-	case size >= largeGroup:
-		size = largeGroup
-	case size >= smallGroup:
-		size = smallGroup
+	case size >= largeGroupSize:
+		size = largeGroupSize
+	case size >= smallGroupSize:
+		size = smallGroupSize
 	}
 	return ordered[:size]
 }
 
-// DispatchOrder returns the hosts of a failure domain in the order in which
-// their routers are preferred to dispatch the page.
+// DispatchOrder returns the hosts of a failure domain in order of preference for
+// dispatching the page.
 func DispatchOrder(page string, hosts []platform.Host, domain string) []string {
-	return ranked("dispatch\x00"+page, liveHosts(hosts, domain))
+	return rendezvousOrder("dispatch\x00"+page, liveHosts(hosts, domain))
 }
 
-// replaceGone returns the group with members that left the host list replaced
-// by the best hosts outside it, or nil if no change is worth a change of group.
-// Members that are only out of order stay: each change of group costs a lapse.
-func replaceGone(group, wanted, live []string) []string {
+// replaceMissingMembers returns the group with the members that are not live
+// replaced by the first wanted hosts outside it, and filled up to the wanted size.
+// It returns nil if the group should not change, or would shrink below
+// smallGroupSize members. A group of the wanted size that differs only in order or
+// by live members is kept, since after each change of group the old leases must
+// expire first.
+func replaceMissingMembers(group, wanted, live []string) []string {
 	next := make([]string, 0, len(group))
 	for _, member := range group {
 		if slices.Contains(live, member) {
@@ -84,7 +87,7 @@
 			next = append(next, candidate)
 		}
 	}
-	if len(next) < len(group) && len(next) < smallGroup || slices.Equal(next, group) {
+	if len(next) < len(group) && len(next) < smallGroupSize || slices.Equal(next, group) {
 		return nil
 	}
 	return next
--- a/domain/loop.go
+++ b/domain/loop.go
@@ -10,7 +10,7 @@
 	"cicadarouter/record"
 )
 
-// event is something that happened outside the loop.
+// event is an input of the loop: an answer, or a change of the records.
 type event interface {
 	apply(l *loop, now time.Duration)
 }
@@ -19,12 +19,14 @@
 type pageState struct {
 	machine *ownership.StateMachine
 	planner *placement.Planner
-	// groupDue is when a change of group that seems needed may be proposed.
-	groupDue time.Duration
-	reading  bool
+	// groupChangeDue is the earliest time to propose a pending change of the group,
+	// or 0 if none is pending.
+	groupChangeDue time.Duration
+	// rereading is set while the page is being reread from the store.
+	rereading bool
 }
 
-// loop owns the state machines of a controller. Only its goroutine touches it.
+// loop owns the state machines of a controller. Only its own goroutine accesses it.
 type loop struct {
 	c       *Controller
 	pages   map[string]*pageState
@@ -32,30 +34,30 @@
 	routers map[string]*routerHealth
 	out     outbox
 	started time.Duration
-	// tried is when this controller last acted on what waits for the watchers.
-	tried map[string]time.Duration
-	// rescanDue is when all known pages are looked through again.
-	rescanDue time.Duration
-	// noticed is when this controller first saw that something waits for the
-	// watchers of its domain.
-	noticed map[string]time.Duration
+	// lastAttempt holds the time of the last attempt at each task of the watchers.
+	lastAttempt map[string]time.Duration
+	// nextRescan is the time of the next scan of all known pages.
+	nextRescan time.Duration
+	// pendingSince holds the time at which this controller first saw each pending task
+	// of the watchers.
+	pendingSince map[string]time.Duration
 }
 
 func newLoop(c *Controller) *loop {
 	return &loop{
-		c:       c,
-		pages:   map[string]*pageState{},
-		servers: map[string]*serverHealth{},
-		routers: map[string]*routerHealth{},
-		tried:   map[string]time.Duration{},
-		noticed: map[string]time.Duration{},
-		started: c.clock.Now(),
-		out:     newOutbox(),
+		c:            c,
+		pages:        map[string]*pageState{},
+		servers:      map[string]*serverHealth{},
+		routers:      map[string]*routerHealth{},
+		lastAttempt:  map[string]time.Duration{},
+		pendingSince: map[string]time.Duration{},
+		started:      c.clock.Now(),
+		out:          newOutbox(),
 	}
 }
 
 func (l *loop) run(ctx context.Context) {
-	ticker := time.NewTicker(l.c.timing.Tick)
+	ticker := time.NewTicker(l.c.timing.TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -63,24 +65,24 @@
 			return
 		case <-ticker.C:
 			l.tick(l.c.clock.Now())
-		case happened := <-l.c.events.Out():
-			l.handle(happened)
+		case ev := <-l.c.events.Out():
+			l.handle(ev)
 		}
 		l.flush(ctx)
 	}
 }
 
-// eventBatch bounds the events that are taken before the answers go out.
-const eventBatch = 64
+// maxEventBatch bounds the events that are handled before the outgoing messages are sent.
+const maxEventBatch = 64
 
-// handle takes an event and those already waiting, so that their answers leave
-// together in one message for each peer. Each event has its own reading of the
-// clock: one that came while this process was paused must not be dated before
-// the pause. A promise dated too early would be taken for lapsed while leases
-// that it accounts for still run, and two servers would own a key.
+// handle applies an event and those already queued, so that the resulting
+// messages are sent in one batch per peer. The clock is read for each event: an
+// event that arrived while this process was paused must not get a time before the
+// pause. The time that remains on a promise would then seem to be over while
+// leases that it covers are still valid, and two servers would own a key.
 func (l *loop) handle(first event) {
 	first.apply(l, l.c.clock.Now())
-	for range eventBatch {
+	for range maxEventBatch {
 		select {
 		case next := <-l.c.events.Out():
 			next.apply(l, l.c.clock.Now())
@@ -90,30 +92,30 @@
 	}
 }
 
-// rescanEvery is how often all known pages are looked through, in case that the
-// ring was full when one was learned.
-const rescanEvery = 2 * time.Second
+// rescanInterval is the interval between scans of all known pages, which find those
+// whose event was dropped because the queue was full.
+const rescanInterval = 2 * time.Second
 
 func (l *loop) tick(now time.Duration) {
-	if now >= l.rescanDue {
-		l.rescanDue = now + rescanEvery
+	if now >= l.nextRescan {
+		l.nextRescan = now + rescanInterval
 		for _, page := range l.c.directory.Pages() {
-			// Read after the page: a takeover's wait counts from here, and must
-			// not begin before the takeover.
-			l.takePage(l.c.clock.Now(), page)
+			// The clock is read after the page: the wait after a takeover starts
+			// at this time, which must not be before the takeover.
+			l.updatePage(l.c.clock.Now(), page)
 		}
 		l.createPages(now)
 		l.takeOverLost(now)
-		l.forgetGone()
+		l.removeStale()
 	}
 	for _, state := range l.pages {
 		l.tickPage(now, state)
 	}
 }
 
-// forgetGone drops what is known of servers and hosts whose records are gone, so
-// that a domain's daily replacements do not add up.
-func (l *loop) forgetGone() {
+// removeStale removes the state of servers and hosts whose records are gone.
+// Otherwise it would grow with every replaced server and host.
+func (l *loop) removeStale() {
 	for name := range l.servers {
 		if _, listed := l.c.directory.Server(name); !listed {
 			delete(l.servers, name)
@@ -124,24 +126,25 @@
 			delete(l.routers, name)
 		}
 	}
-	l.c.heard.forget(func(host string) bool {
+	l.c.lastRenewals.removeHosts(func(host string) bool {
 		_, listed := l.c.directory.Host(host)
 		return !listed
 	})
 }
 
-// takePage begins or ends this controller's part in a page, as its group says.
-func (l *loop) takePage(now time.Duration, page record.Page) {
+// updatePage passes a page to its state machine, or drops the machine if this
+// controller is not a member of the page's group.
+func (l *loop) updatePage(now time.Duration, page record.Page) {
 	if !slices.Contains(page.Voters(), l.c.identity.Host) {
 		delete(l.pages, page.Name)
 		return
 	}
 	state := l.page(page)
 	state.machine.Learn(now, page)
-	l.pump(now, state)
+	l.processOutput(now, state)
 }
 
-// page returns the state of a page of whose group this controller is a member.
+// page returns the state of a page, and creates it if there is none.
 func (l *loop) page(page record.Page) *pageState {
 	state, known := l.pages[page.Name]
 	if !known {
@@ -157,71 +160,73 @@
 func (l *loop) tickPage(now time.Duration, state *pageState) {
 	page := state.machine.Page()
 	if !l.active(now, page) {
-		l.stopAsking(page)
+		l.stopTrackingHealth(page)
 		state.machine.Tick(now, ownership.View{})
 		return
 	}
 	view := l.view(now, state)
-	// Read after the view: what operators declared lost is counted from here.
+	// The clock is read after the view: waits for losses that operators declared
+	// start at this time.
 	now = l.c.clock.Now()
 	state.machine.Tick(now, view)
 	l.propose(now, state, view)
 	l.c.directory.SetDispatcher(page.Name, state.machine.Dispatcher())
-	l.pump(now, state)
+	l.processOutput(now, state)
 }
 
-// stopAsking ends the count of the silence of servers that this controller asks
-// no more: another member does, and what is not asked does not answer.
-func (l *loop) stopAsking(page record.Page) {
+// stopTrackingHealth stops measuring the silence of the page's servers. Another member of
+// the group contacts them now, so that they send this controller no answers.
+func (l *loop) stopTrackingHealth(page record.Page) {
 	service, _ := l.c.directory.Service(page.Service)
 	for _, server := range l.pageServers(page, service) {
-		l.server(server.Name).asked = false
+		l.server(server.Name).contacted = false
 	}
 }
 
-// pump carries out what a machine wants, until it wants nothing more.
-func (l *loop) pump(now time.Duration, state *pageState) {
+// processOutput processes the output of a state machine until there is no more.
+func (l *loop) processOutput(now time.Duration, state *pageState) {
 	for {
 		ready := state.machine.Ready()
-		if !l.route(now, state, ready) {
+		if !l.queueOutput(now, state, ready) {
 			return
 		}
 	}
 }
 
-// route passes a machine's wishes on and reports whether there were any.
-func (l *loop) route(now time.Duration, state *pageState, ready ownership.Ready) bool {
-	for _, ask := range ready.Renewals {
-		l.routeAsk(now, state, ask)
+// queueOutput adds the output of a state machine to the outbox, and reports whether it
+// contained messages. Messages to this controller's own voter are answered here.
+func (l *loop) queueOutput(now time.Duration, state *pageState, ready ownership.Ready) bool {
+	for _, renewal := range ready.Renewals {
+		l.queueRenewal(now, state, renewal)
 	}
 	for _, stop := range ready.Stops {
-		l.routeStop(now, state, stop)
+		l.queueStop(now, state, stop)
 	}
 	for _, grant := range ready.Grants {
-		l.routeGrant(now, grant)
+		l.queueGrant(now, grant)
 	}
 	if ready.Write != nil {
 		l.out.writes = append(l.out.writes, *ready.Write)
 	}
-	if ready.Reread && !state.reading {
-		state.reading = true
+	if ready.Reread && !state.rereading {
+		state.rereading = true
 		l.out.rereads = append(l.out.rereads, state.machine.Page().Name)
 	}
 	return len(ready.Renewals)+len(ready.Stops)+len(ready.Grants) > 0
 }
 
-func (l *loop) routeAsk(now time.Duration, state *pageState, ask ownership.RenewalMessage) {
-	for _, host := range ask.Hosts {
+func (l *loop) queueRenewal(now time.Duration, state *pageState, renewal ownership.RenewalMessage) {
+	for _, host := range renewal.Hosts {
 		if host == l.c.identity.Host {
-			answer := l.c.voter.agree(now, ask.Request)
-			state.machine.HandleRenewalResponse(now, ask.Round, host, answer)
+			answer := l.c.voter.agree(now, renewal.Request)
+			state.machine.HandleRenewalResponse(now, renewal.Round, host, answer)
 			continue
 		}
-		l.out.asks[host] = append(l.out.asks[host], ask)
+		l.out.renewals[host] = append(l.out.renewals[host], renewal)
 	}
 }
 
-func (l *loop) routeStop(now time.Duration, state *pageState, stop ownership.StopMessage) {
+func (l *loop) queueStop(now time.Duration, state *pageState, stop ownership.StopMessage) {
 	for _, host := range stop.Hosts {
 		if host == l.c.identity.Host {
 			promise := l.c.voter.stop(now, stop.Page, stop.Generation)
@@ -232,13 +237,13 @@
 	}
 }
 
-func (l *loop) routeGrant(now time.Duration, grant ownership.GrantMessage) {
+func (l *loop) queueGrant(now time.Duration, grant ownership.GrantMessage) {
 	if grant.Holder.Kind == ownership.Router {
-		l.router(grant.Holder.Name).noteAsked(now)
+		l.router(grant.Holder.Name).recordContact(now)
 		l.out.leases[grant.Holder.Name] = append(l.out.leases[grant.Holder.Name], grant)
 		return
 	}
-	l.server(grant.Holder.Name).noteAsked(now)
+	l.server(grant.Holder.Name).recordContact(now)
 	l.out.grants = append(l.out.grants, grant)
 }
 
--- a/domain/loop_test.go
+++ b/domain/loop_test.go
@@ -17,43 +17,41 @@
 	"cicadarouter/record"
 )
 
-// pausedClock is the clock of a process that is paused after every reading.
+// pausedClock simulates a process that is paused for pauseDuration before every reading.
 type pausedClock struct {
 	mu  sync.Mutex
 	now time.Duration
 }
 
-const pauseLength = time.Second
+const pauseDuration = time.Second
 
 func (c *pausedClock) Now() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.now += pauseLength
+	c.now += pauseDuration
 	return c.now
 }
 
-// datedEvent notes the time that it was given.
-type datedEvent struct{ dated *[]time.Duration }
+// timedEvent records the time that is passed to apply.
+type timedEvent struct{ times *[]time.Duration }
 
-func (e datedEvent) apply(_ *loop, now time.Duration) { *e.dated = append(*e.dated, now) }
+func (e timedEvent) apply(_ *loop, now time.Duration) { *e.times = append(*e.times, now) }
 
-// Symptom: two servers own a key after a controller was paused.
-// Sequence: the controller reads its clock for the first of several events and is
-// paused; a voter's promise arrives; the controller goes on and counts the
-// promise's remaining time from its old reading.
-// Cause: one reading of the clock for events that came at different times.
-func TestEachEventHasItsOwnTime(t *testing.T) {
+// Guards against two owners of a key after a controller was paused: with one reading
+// of the clock for a batch of events, the remaining time of a promise that arrived
+// during the pause would be counted from a time before the pause.
+func TestClockIsReadForEachEvent(t *testing.T) {
 	clk := &pausedClock{}
 	dial := func(server record.Server) backend.Control {
 		return backend.NewClient(server.Name, server.Address, http.DefaultTransport)
 	}
 	c := NewController(link.Identity{Host: "h", Domain: "a"}, ownership.DefaultTerms(), DefaultTiming(), memstore.New(),
 		directory.New(), nil, dial, nil, clk, logs.Discard())
-	var dated []time.Duration
-	c.post(datedEvent{&dated})
-	c.post(datedEvent{&dated})
-	newLoop(c).handle(datedEvent{&dated})
-	assert.Equal(t, len(dated), 3)
-	assert.Equal(t, dated[1]-dated[0], pauseLength)
-	assert.Equal(t, dated[2]-dated[1], pauseLength)
+	var times []time.Duration
+	c.enqueue(timedEvent{&times})
+	c.enqueue(timedEvent{&times})
+	newLoop(c).handle(timedEvent{&times})
+	assert.Equal(t, len(times), 3)
+	assert.Equal(t, times[1]-times[0], pauseDuration)
+	assert.Equal(t, times[2]-times[1], pauseDuration)
 }
--- a/domain/reporter.go
+++ b/domain/reporter.go
@@ -10,53 +10,54 @@
 	"cicadarouter/record"
 )
 
-// childReport is the last report of a child, and when it came.
+// childReport is the last report of a child in the tree, with its time of arrival.
 type childReport struct {
-	report *linkpb.DomainReport
-	at     time.Duration
+	report     *linkpb.DomainReport
+	receivedAt time.Duration
 }
 
-// reporter gathers the reports of one controller's part of the tree.
+// reporter combines the reports of one controller's subtree.
 type reporter struct {
 	mu       sync.Mutex
 	children map[string]childReport
 	counts   map[string]*linkpb.ServiceCount // since the last report
-	// last is what the own router had counted at the last reading.
-	last        map[string]*linkpb.ServiceCount
-	incarnation uint64
-	revision    uint64
-	routerHeard time.Duration
-	written     record.Enforced
-	enforcedDue time.Duration
-	burnDue     time.Duration
+	// lastRouterCounts holds the counters of this host's router when they were last read.
+	lastRouterCounts map[string]*linkpb.ServiceCount
+	incarnation      uint64
+	revision         uint64
+	routerReadAt     time.Duration
+	lastWritten      record.Enforced
+	enforcedDue      time.Duration
+	burnDue          time.Duration
 }
 
 func newReporter() *reporter {
 	return &reporter{
-		children: map[string]childReport{},
-		counts:   map[string]*linkpb.ServiceCount{},
-		last:     map[string]*linkpb.ServiceCount{},
+		children:         map[string]childReport{},
+		counts:           map[string]*linkpb.ServiceCount{},
+		lastRouterCounts: map[string]*linkpb.ServiceCount{},
 	}
 }
 
-// takeRouter adds what a router has counted since the last reading.
-func (r *reporter) takeRouter(now time.Duration, reply *linkpb.CountsReply) {
+// addRouterCounts adds the increase of a router's counters since they were last
+// read. The counters of a new incarnation start at 0.
+func (r *reporter) addRouterCounts(now time.Duration, reply *linkpb.CountsReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if reply.GetIncarnation() != r.incarnation {
 		r.incarnation = reply.GetIncarnation()
-		clear(r.last)
+		clear(r.lastRouterCounts)
 	}
 	r.revision = reply.GetRevision()
-	r.routerHeard = now
+	r.routerReadAt = now
 	for _, count := range reply.GetServices() {
-		r.add(difference(count, r.last[count.GetService()]))
-		r.last[count.GetService()] = count
+		r.add(countIncrease(count, r.lastRouterCounts[count.GetService()]))
+		r.lastRouterCounts[count.GetService()] = count
 	}
 }
 
-func difference(now, before *linkpb.ServiceCount) *linkpb.ServiceCount {
-	grown := &linkpb.ServiceCount{
+func countIncrease(now, before *linkpb.ServiceCount) *linkpb.ServiceCount {
+	increase := &linkpb.ServiceCount{
 		Service: now.GetService(),
 		Total:   now.GetTotal() - before.GetTotal(),
 		Bad:     now.GetBad() - before.GetBad(),
@@ -65,13 +66,13 @@
 	}
 	for cause, n := range now.GetCauses() {
 		if n > before.GetCauses()[cause] {
-			grown.Causes[cause] = n - before.GetCauses()[cause]
+			increase.Causes[cause] = n - before.GetCauses()[cause]
 		}
 	}
-	return grown
+	return increase
 }
 
-// add adds counts to those that the next report carries. The caller holds r.mu.
+// add adds a count to those of the next report. The caller holds r.mu.
 func (r *reporter) add(count *linkpb.ServiceCount) {
 	sum, known := r.counts[count.GetService()]
 	if !known {
@@ -86,31 +87,32 @@
 	}
 }
 
-// takeChild notes a child's report.
-func (r *reporter) takeChild(now time.Duration, child *linkpb.DomainReport) {
+// addChildReport stores a child's report and adds its counts.
+func (r *reporter) addChildReport(now time.Duration, child *linkpb.DomainReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.children[child.GetFrom()] = childReport{report: child, at: now}
+	r.children[child.GetFrom()] = childReport{report: child, receivedAt: now}
 	for _, count := range child.GetServices() {
 		r.add(count)
 	}
 }
 
-// sum makes this controller's report: its own two daemons and its children. The
-// report takes the counts along; restore gives back what cannot be passed on.
-func (r *reporter) sum(now time.Duration, host string, revision uint64) *linkpb.DomainReport {
+// takeTotal returns the report on the controller, on its host's router if that was read
+// within maxReportAge, and on the children. It resets the counts; if the report cannot
+// be delivered, restore adds them back.
+func (r *reporter) takeTotal(now time.Duration, host string, revision uint64) *linkpb.DomainReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	total := &linkpb.DomainReport{From: host, Daemons: 1, Revision: revision, Lagging: []string{host + " controller"}}
-	if now-r.routerHeard < reportAge && r.routerHeard != 0 {
-		join(total, &linkpb.DomainReport{Daemons: 1, Revision: r.revision, Lagging: []string{host + " router"}})
+	if now-r.routerReadAt < maxReportAge && r.routerReadAt != 0 {
+		mergeReport(total, &linkpb.DomainReport{Daemons: 1, Revision: r.revision, Lagging: []string{host + " router"}})
 	}
 	for name, child := range r.children {
-		if now-child.at >= reportAge {
+		if now-child.receivedAt >= maxReportAge {
 			delete(r.children, name)
 			continue
 		}
-		join(total, child.report)
+		mergeReport(total, child.report)
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.counts)) {
 		total.Services = append(total.Services, r.counts[name])
@@ -119,7 +121,7 @@
 	return total
 }
 
-// restore takes counts back that a report could not carry away.
+// restore adds back the counts of a report that was not delivered.
 func (r *reporter) restore(services []*linkpb.ServiceCount) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -128,9 +130,9 @@
 	}
 }
 
-// join adds a report to a total: the lowest revision counts, and those who are at
-// it are named.
-func join(total, part *linkpb.DomainReport) {
+// mergeReport adds a report to a total. The total has the lowest revision of all reports
+// and names daemons that are at that revision, at most maxLagging.
+func mergeReport(total, part *linkpb.DomainReport) {
 	total.Daemons += part.GetDaemons()
 	switch {
 	case part.GetRevision() < total.GetRevision():
@@ -139,14 +141,16 @@
 	case part.GetRevision() == total.GetRevision():
 		total.Lagging = append(total.Lagging, part.GetLagging()...)
 	}
-	total.Lagging = total.Lagging[:min(len(total.Lagging), mostLagging)]
+	total.Lagging = total.Lagging[:min(len(total.Lagging), maxLagging)]
 }
 
-// isNews reports whether a report should be written: it counts other daemons or
-// laggards than the last one, or a change that concerns this domain has come
-// into force since. Every write moves the revision, so that this alone is no news.
-func (r *reporter) isNews(now time.Duration, fresh record.Enforced, config uint64) bool {
-	last := r.written
+// shouldWriteEnforced reports whether a report should be written now: the number of
+// daemons or the lagging daemons differ from those last written, or the revision has
+// risen and the last one written was below config, the newest change of an operator's
+// record. Any other rise waits until enforcedDue, since every write raises the
+// revision.
+func (r *reporter) shouldWriteEnforced(now time.Duration, fresh record.Enforced, config uint64) bool {
+	last := r.lastWritten
 	switch {
 	case fresh.Daemons != last.Daemons || fresh.Expected != last.Expected:
 		return true
--- a/domain/reporting.go
+++ b/domain/reporting.go
@@ -16,30 +16,30 @@
 	"cicadarouter/report"
 )
 
-// Reports climb a tree over the hosts of the failure domain, so that neither the
-// store nor any one daemon hears from every other. The root writes two kinds of
-// records: which configuration is in force, and the counts for the burn report.
+// Reports are aggregated along a tree of the failure domain's hosts, so that neither
+// the store nor any daemon receives one from every host. The root writes two kinds
+// of records: the configuration in force, and the counts for the burn report.
 const (
-	reportFanIn = 32
-	reportEvery = 2 * time.Second
-	burnEvery   = 10 * time.Second
-	// reportAge is how long a child's report counts.
-	reportAge    = 10 * time.Second
-	mostLagging  = 5
+	reportFanIn    = 32
+	reportInterval = 2 * time.Second
+	burnInterval   = 10 * time.Second
+	// maxReportAge is how long the report of a child or of the router is valid.
+	maxReportAge = 10 * time.Second
+	maxLagging   = 5
 	countTimeout = 500 * time.Millisecond
 )
 
-// reportOften sends or writes this controller's report from time to time.
-func (c *Controller) reportOften(ctx context.Context) {
+// reportPeriodically sends or writes this controller's report every reportInterval.
+func (c *Controller) reportPeriodically(ctx context.Context) {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, reportEvery)
-		c.readRouter(ctx)
+		clock.Sleep(ctx, reportInterval)
+		c.readRouterCounts(ctx)
 		c.reportOnce(ctx)
 	}
 }
 
-// readRouter takes the counts of the router on the same host.
-func (c *Controller) readRouter(ctx context.Context) {
+// readRouterCounts reads the counters of the router on the same host.
+func (c *Controller) readRouterCounts(ctx context.Context) {
 	self, ok := c.directory.Host(c.identity.Host)
 	if !ok {
 		return
@@ -48,13 +48,13 @@
 	defer cancel()
 	reply, err := c.links.Dispatch(self.RouterLink).Counts(ctx, &linkpb.CountsRequest{})
 	if err == nil {
-		c.reporter.takeRouter(c.clock.Now(), reply)
+		c.reporter.addRouterCounts(c.clock.Now(), reply)
 	}
 }
 
 // parent returns the host that this controller reports to, or "" for the root.
 func (c *Controller) parent() string {
-	order := ranked("report\x00"+c.identity.Domain, liveHosts(c.directory.Hosts(), c.identity.Domain))
+	order := rendezvousOrder("report\x00"+c.identity.Domain, liveHosts(c.directory.Hosts(), c.identity.Domain))
 	rank := slices.Index(order, c.identity.Host)
 	if rank <= 0 {
 		return ""
@@ -64,7 +64,7 @@
 
 func (c *Controller) reportOnce(ctx context.Context) {
 	now := c.clock.Now()
-	total := c.reporter.sum(now, c.identity.Host, c.directory.Revision())
+	total := c.reporter.takeTotal(now, c.identity.Host, c.directory.Revision())
 	parent := c.parent()
 	if parent == "" {
 		c.writeEnforced(ctx, now, total)
@@ -76,8 +76,8 @@
 	}
 }
 
-// sendReport passes a report on and reports whether it arrived. One whose reply
-// is lost is counted twice, which a burn rate bears.
+// sendReport sends a report to the parent and reports whether it was acknowledged.
+// If only the reply is lost, the counts are added twice; a burn rate tolerates that.
 func (c *Controller) sendReport(ctx context.Context, parent string, total *linkpb.DomainReport) bool {
 	host, ok := c.directory.Host(parent)
 	if !ok {
@@ -89,11 +89,12 @@
 	return err == nil
 }
 
-// enforcedEvery is how often a report is renewed that says nothing new but that
-// the store's revision has moved on, by changes that do not concern this domain.
-const enforcedEvery = 10 * time.Second
+// enforcedInterval is the interval between writes of reports in which only the store's
+// revision has changed, by writes that do not concern this domain.
+const enforcedInterval = 10 * time.Second
 
-// writeEnforced writes which configuration is in force, if there is news.
+// writeEnforced writes the configuration in force if that is due; see
+// reporter.shouldWriteEnforced.
 func (c *Controller) writeEnforced(ctx context.Context, now time.Duration, total *linkpb.DomainReport) {
 	live := liveHosts(c.directory.Hosts(), c.identity.Domain)
 	if len(live) == 0 {
@@ -109,19 +110,19 @@
 	if total.GetRevision() < c.directory.ConfigVersion() {
 		enforced.Lagging = total.GetLagging()
 	}
-	if !c.reporter.isNews(now, enforced, c.directory.ConfigVersion()) {
+	if !c.reporter.shouldWriteEnforced(now, enforced, c.directory.ConfigVersion()) {
 		return
 	}
 	envelope, err := enforced.Encode()
-	if err == nil && c.replace(ctx, envelope) {
-		c.reporter.written = enforced
-		c.reporter.enforcedDue = now + enforcedEvery
+	if err == nil && c.overwrite(ctx, envelope) {
+		c.reporter.lastWritten = enforced
+		c.reporter.enforcedDue = now + enforcedInterval
 	}
 }
 
-// replace writes a record that only this controller means to write, over
-// whatever version is there. It reports whether it did.
-func (c *Controller) replace(ctx context.Context, envelope record.Envelope) bool {
+// overwrite overwrites the stored version of a record that has no other writer, and
+// reports whether it succeeded.
+func (c *Controller) overwrite(ctx context.Context, envelope record.Envelope) bool {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	current, err := c.current(ctx, envelope.Ref())
@@ -132,7 +133,7 @@
 	return err == nil
 }
 
-// current reads a record; one that does not exist has version 0.
+// current reads a record. A record that does not exist has version 0.
 func (c *Controller) current(ctx context.Context, ref record.Ref) (platform.Object, error) {
 	object, err := c.store.Get(ctx, ref)
 	var missing *platform.NotFoundError
@@ -142,20 +143,20 @@
 	return object, err
 }
 
-// writeBurn adds the counts to the burn records, and keeps those that it is not
-// time for or that could not be written.
+// writeBurn adds the counts to the burn records every burnInterval. Counts that are not
+// due yet or could not be written are kept for the next call.
 func (c *Controller) writeBurn(ctx context.Context, now time.Duration, total *linkpb.DomainReport) {
 	if now < c.reporter.burnDue || len(total.GetServices()) == 0 {
 		c.reporter.restore(total.GetServices())
 		return
 	}
-	c.reporter.burnDue = now + burnEvery
+	c.reporter.burnDue = now + burnInterval
 	for _, count := range total.GetServices() {
 		if count.GetTotal() == 0 {
 			continue
 		}
 		if err := c.addBurn(ctx, count); err != nil {
-			c.log.Warn("burn record could not be written, its counts are kept", "service", count.GetService(), "error", err)
+			c.log.Warn("cannot write burn record; keeping its counts for the next write", "service", count.GetService(), "error", err)
 			c.reporter.restore([]*linkpb.ServiceCount{count})
 		}
 	}
@@ -175,7 +176,7 @@
 	var series report.Series
 	if current.Version != 0 {
 		if err := json.Unmarshal(current.Spec, &series); err != nil {
-			c.log.Warn("burn record does not decode and is begun anew", "record", ref.String(), "error", err)
+			c.log.Warn("cannot decode burn record; replacing it with an empty one", "record", ref.String(), "error", err)
 			series = report.Series{}
 		}
 	}
@@ -194,6 +195,6 @@
 
 // Report implements linkpb.ControlServer.
 func (s *LinkServer) Report(_ context.Context, in *linkpb.DomainReport) (*linkpb.ReportReply, error) {
-	s.c.reporter.takeChild(s.c.clock.Now(), in)
+	s.c.reporter.addChildReport(s.c.clock.Now(), in)
 	return &linkpb.ReportReply{}, nil
 }
--- a/router/deliver.go
+++ b/router/deliver.go
@@ -115,7 +115,7 @@
 	if !slices.Contains(lost, home) {
 		return home
 	}
-	return domain.Heir(page, service, lost)
+	return domain.TakeoverDomain(page, service, lost)
 }
 
 // maxReplyMargin is the maximum subtracted from the deadline given to the other router,
--- a/tools/mutants/path.go
+++ b/tools/mutants/path.go
@@ -40,7 +40,7 @@
 			"int(p.maxAnswer))\n	if err != nil {\n", "int(p.maxAnswer))\n	if false {\n"),
 		in("router", "router/page.go", "keep waiting for a server that no longer owns the key",
 			"			running.moved = true\n			running.cancel()\n", "			running.moved = true\n"),
-		in("domain", "domain/loop.go", "date all events of a batch alike",
+		in("domain", "domain/loop.go", "use an earlier time for later events of a batch",
 			"			next.apply(l, l.c.clock.Now())\n", "			next.apply(l, l.c.clock.Now()-time.Second)\n"),
 		in("placement", "placement/placement.go", "balance load although no request waits",
 			"	if model.utilization(model.mostUtilized()) < p.policy.MinUtilization {", "	if p.policy.MinUtilization < 0 {"),
