--- a/contract/caller/caller.go
+++ b/contract/caller/caller.go
@@ -161,7 +161,7 @@
 		return headerError(HeaderAttempt, text, "use a whole number from 1 to 1000")
 	}
 	if attempt > 1 && meta.IDGenerated {
-		return headerError(HeaderAttempt, text, "send the "+HeaderRequestID+" of the first attempt with each retry")
+		return headerError(HeaderAttempt, text, "send the "+HeaderRequestID+" of the first attempt with each further one")
 	}
 	meta.Attempt = attempt
 	return nil
