--- a/operator/check.go
+++ b/operator/check.go
@@ -10,9 +10,9 @@
 	"cicadarouter/record"
 )
 
-// Check checks documents one by one and against each other and the records that
-// exist. It returns a *record.CheckError with everything that is wrong, and
-// warnings about what is allowed but rarely meant.
+// Check checks each document by itself, then all documents together with the existing
+// records. It returns a *record.CheckError with all errors of the first of these steps
+// that finds any, and warnings about records that are valid but probably not intended.
 func Check(documents []Document, existing []platform.Object) (warnings []string, err error) {
 	found := &findings{}
 	for _, document := range documents {
@@ -31,21 +31,22 @@
 	return found.warnings(world), nil
 }
 
-// world is what the records will say once the documents are applied.
+// world holds the services and servers as they are once documents are applied to the
+// existing records. Records that can't be decoded are left out.
 type world struct {
 	services map[string]record.Service
 	servers  map[string]record.Server
 }
 
 func worldAfter(documents []Document, existing []platform.Object) world {
-	after := world{services: map[string]record.Service{}, servers: map[string]record.Server{}}
+	result := world{services: map[string]record.Service{}, servers: map[string]record.Server{}}
 	for _, object := range existing {
-		after.put(object.Envelope)
+		result.put(object.Envelope)
 	}
 	for _, document := range documents {
-		after.put(document.Envelope)
+		result.put(document.Envelope)
 	}
-	return after
+	return result
 }
 
 func (w world) put(envelope record.Envelope) {
@@ -61,7 +62,7 @@
 	}
 }
 
-// findings gathers what is wrong.
+// findings collects the errors that a check finds.
 type findings struct{ fields []*record.FieldError }
 
 func (f *findings) add(err error) {
@@ -83,88 +84,90 @@
 	seen := map[record.Ref]bool{}
 	for _, document := range documents {
 		if seen[document.Ref()] {
-			f.wrong(document.Ref(), "name", document.Name, "give each record once")
+			f.wrong(document.Ref(), "name", document.Name, "appears more than once; list each record once")
 		}
 		seen[document.Ref()] = true
 	}
 }
 
-// servers checks what spans records: each server's service and domain exist
-// and no two servers share an address.
+// servers checks the rules that involve several records: each server's service exists,
+// the service has the server's failure domain, and no two servers share an address.
 func (f *findings) servers(after world) {
 	byAddress := map[string]string{}
 	for _, name := range slices.Sorted(maps.Keys(after.servers)) {
 		server := after.servers[name]
 		ref := record.Ref{Kind: record.KindServer, Name: name}
-		service, known := after.services[server.Service]
-		if !known {
-			f.wrong(ref, "service", server.Service, "create the service's record first, or name one that exists")
+		service, exists := after.services[server.Service]
+		if !exists {
+			f.wrong(ref, "service", server.Service, "no such service; create the service's record first")
 			continue
 		}
 		if !slices.Contains(service.Domains, server.Domain) {
-			f.wrong(ref, "domain", server.Domain, fmt.Sprintf("use a failure domain of service %s: %v", server.Service, service.Domains))
+			f.wrong(ref, "domain", server.Domain, fmt.Sprintf("must be a failure domain of service %s: %v", server.Service, service.Domains))
 		}
 		if other, taken := byAddress[server.Address]; taken {
-			f.wrong(ref, "address", server.Address, "is the address of server "+other+" too; give each server its own")
+			f.wrong(ref, "address", server.Address, "is also the address of server "+other+"; each server needs its own")
 		}
 		byAddress[server.Address] = name
 	}
 }
 
-// immutable refuses changes that would move the borders of pages that exist.
+// immutable reports changes of fields that can't change once a record exists: the
+// fields of a service that determine its pages and the handling of its keys, and the
+// service and failure domain of a server.
 func (f *findings) immutable(documents []Document, existing []platform.Object) {
 	before := worldAfter(nil, existing)
 	after := worldAfter(documents, existing)
 	f.stays(before, after)
-	for name, old := range before.services {
-		fresh := after.services[name]
+	for name, oldService := range before.services {
+		newService := after.services[name]
 		ref := record.Ref{Kind: record.KindService, Name: name}
-		const fix = "cannot change once the service exists; make a new service and move callers over"
-		if !slices.Equal(old.Domains, fresh.Domains) {
-			f.wrong(ref, "domains", fmt.Sprint(fresh.Domains), fix)
+		const fix = "cannot change once the service exists; create a new service and move its callers"
+		if !slices.Equal(oldService.Domains, newService.Domains) {
+			f.wrong(ref, "domains", fmt.Sprint(newService.Domains), fix)
 		}
-		if old.PagesPerDomain != fresh.PagesPerDomain {
-			f.wrong(ref, "pagesPerDomain", fmt.Sprint(fresh.PagesPerDomain), fix)
+		if oldService.PagesPerDomain != newService.PagesPerDomain {
+			f.wrong(ref, "pagesPerDomain", fmt.Sprint(newService.PagesPerDomain), fix)
 		}
-		if old.Keyed != fresh.Keyed {
-			f.wrong(ref, "keyed", fmt.Sprint(fresh.Keyed), fix)
+		if oldService.Keyed != newService.Keyed {
+			f.wrong(ref, "keyed", fmt.Sprint(newService.Keyed), fix)
 		}
-		if old.WhenCutOff != fresh.WhenCutOff {
-			f.wrong(ref, "whenCutOff", string(fresh.WhenCutOff), fix)
+		if oldService.WhenCutOff != newService.WhenCutOff {
+			f.wrong(ref, "whenCutOff", string(newService.WhenCutOff), fix)
 		}
 	}
 }
 
-// stays refuses to take a server to another service or failure domain under its
-// name: routers of the old domain do not hear of other domains' servers, and
-// would go on believing in the old record.
+// stays reports servers that change their service or failure domain and keep their
+// name. Routers receive the servers of their own domain only: those of the old domain
+// would not learn of the change and would continue to use the old record.
 func (f *findings) stays(before, after world) {
-	for name, old := range before.servers {
-		fresh := after.servers[name]
+	for name, oldServer := range before.servers {
+		newServer := after.servers[name]
 		ref := record.Ref{Kind: record.KindServer, Name: name}
-		const fix = "cannot change; delete the record and make one with a new name"
-		if old.Service != fresh.Service {
-			f.wrong(ref, "service", fresh.Service, fix)
+		const fix = "cannot change; delete the record and create one with a new name"
+		if oldServer.Service != newServer.Service {
+			f.wrong(ref, "service", newServer.Service, fix)
 		}
-		if old.Domain != fresh.Domain {
-			f.wrong(ref, "domain", fresh.Domain, fix)
+		if oldServer.Domain != newServer.Domain {
+			f.wrong(ref, "domain", newServer.Domain, fix)
 		}
 	}
 }
 
-// warnings tells of services that nothing can serve.
+// warnings returns a warning for each failure domain in which a service has no server.
 func (f *findings) warnings(after world) []string {
 	count := map[string]int{}
 	for _, server := range after.servers {
 		count[server.Service+"/"+server.Domain]++
 	}
-	var told []string
+	var warnings []string
 	for _, name := range slices.Sorted(maps.Keys(after.services)) {
 		for _, domain := range after.services[name].Domains {
 			if count[name+"/"+domain] == 0 {
-				told = append(told, fmt.Sprintf("service/%s: failure domain %s has no backend server, so its keys cannot be served", name, domain))
+				warnings = append(warnings, fmt.Sprintf("service/%s: failure domain %s has no backend server, so its keys cannot be served", name, domain))
 			}
 		}
 	}
-	return told
+	return warnings
 }
--- a/operator/client.go
+++ b/operator/client.go
@@ -13,16 +13,15 @@
 	"cicadarouter/record"
 )
 
-// Client writes operators' records to the platform's store.
+// Client reads and writes operators' records in the platform's store.
 type Client struct{ store platform.Store }
 
-// NewClient returns a client on a store.
+// NewClient returns a client of a store.
 func NewClient(store platform.Store) *Client { return &Client{store: store} }
 
-// Action is what an apply did, or would do, to one record.
+// Action is what Apply did, or in a dry run would do, to one record.
 type Action string
 
-// The actions.
 const (
 	Created   Action = "created"
 	Updated   Action = "updated"
@@ -37,41 +36,42 @@
 	Diff    []string   `json:"diff,omitempty"`
 }
 
-// RaceError reports that a record changed under an operator's edit. It shows
-// both sides and nothing of the edit was written.
+// RaceError reports that a record has changed since the version on which an
+// operator's edit is based. The edit of that record was not written.
 type RaceError struct {
 	Ref record.Ref
-	// Base is the version that the edit started from, Current the one found.
+	// Base is the version on which the edit is based, Current the stored one.
 	Base, Current uint64
-	// Diff leads from the record in force to the edit.
+	// Diff lists the differences between the stored record and the edit.
 	Diff []string
 }
 
 // Error implements error.
 func (e *RaceError) Error() string {
-	text := fmt.Sprintf("%s: your edit starts from version %d, but version %d is in force; get it, merge your edit and apply again (or use --replace).", e.Ref, e.Base, e.Current)
+	text := fmt.Sprintf("%s: the edit is based on version %d, but version %d is stored; get that version, merge the edit and apply again (or use --replace).", e.Ref, e.Base, e.Current)
 	for _, line := range e.Diff {
 		text += "\n  " + line
 	}
 	return text
 }
 
-// Options of an apply.
+// Options are the options of Apply.
 type Options struct {
 	// DryRun checks and compares, but writes nothing.
 	DryRun bool
-	// Replace overwrites whatever version is in force.
+	// Replace overwrites the stored record, whatever its version.
 	Replace bool
 }
 
-// step is one document of an apply, with what it does to the record in force.
+// step is one document of an Apply call and its effect on the stored record.
 type step struct {
 	document Document
 	change   Change
 }
 
-// Apply checks all documents, then writes those that differ. Nothing is
-// written unless every document passes and none races another operator's edit.
+// Apply checks all documents, then writes those that differ from the stored records.
+// It writes nothing if a document is invalid or is not based on the stored version. It
+// stops at the first write that fails, and returns the changes made until then.
 func (c *Client) Apply(ctx context.Context, documents []Document, options Options) ([]Change, []string, error) {
 	snapshot, err := c.store.List(ctx)
 	if err != nil {
@@ -99,7 +99,7 @@
 	return changes, warnings, nil
 }
 
-// prepare compares documents with the records in force.
+// prepare compares the documents with the stored records.
 func prepare(documents []Document, existing []platform.Object, options Options) ([]step, error) {
 	current := map[record.Ref]platform.Object{}
 	for _, object := range existing {
@@ -107,34 +107,35 @@
 	}
 	var steps []step
 	for _, document := range documents {
-		known, exists := current[document.Ref()]
+		stored, exists := current[document.Ref()]
 		change := Change{Ref: document.Ref(), Action: Created}
 		if exists {
 			change.Action = Updated
-			change.Version = known.Version
-			change.Diff = Diff(known.Envelope, document.Envelope)
+			change.Version = stored.Version
+			change.Diff = Diff(stored.Envelope, document.Envelope)
 		}
 		if exists && len(change.Diff) == 0 {
 			change.Action = Unchanged
 		}
-		raced := document.Version != known.Version && !options.Replace && change.Action != Unchanged
-		if raced {
-			return nil, &RaceError{Ref: document.Ref(), Base: document.Version, Current: known.Version, Diff: change.Diff}
+		conflicts := document.Version != stored.Version && !options.Replace && change.Action != Unchanged
+		if conflicts {
+			return nil, &RaceError{Ref: document.Ref(), Base: document.Version, Current: stored.Version, Diff: change.Diff}
 		}
 		steps = append(steps, step{document: document, change: change})
 	}
 	return steps, nil
 }
 
-// attemptField carries the id of a write, so that a lost reply can be settled.
+// attemptField is the field of a record that holds the ID of its last write. If the
+// response to a write is lost, the ID tells whether the write took effect.
 const attemptField = "appliedBy"
 
-// write writes one document. A lost reply is settled by reading the record back
-// and comparing the id of the write.
+// write writes one document. If the store's response is lost, it reads the record back
+// and compares the ID of the write.
 func (c *Client) write(ctx context.Context, s step) (uint64, error) {
-	attempt := uuid.Must(uuid.NewV7()).String()
+	writeID := uuid.Must(uuid.NewV7()).String()
 	envelope := s.document.Envelope
-	spec, err := withField(envelope.Spec, attemptField, attempt)
+	spec, err := withField(envelope.Spec, attemptField, writeID)
 	if err != nil {
 		return 0, err
 	}
@@ -148,20 +149,21 @@
 		return 0, &RaceError{Ref: conflict.Ref, Base: conflict.Given, Current: conflict.Current.Version,
 			Diff: Diff(conflict.Current.Envelope, s.document.Envelope)}
 	case errors.Is(err, platform.ErrUnavailable):
-		return c.settle(ctx, envelope, attempt, err)
+		return c.settle(ctx, envelope, writeID, err)
 	}
 	return 0, err
 }
 
-func (c *Client) settle(ctx context.Context, envelope record.Envelope, attempt string, cause error) (uint64, error) {
+// settle finds out whether a write took effect whose response was lost.
+func (c *Client) settle(ctx context.Context, envelope record.Envelope, writeID string, cause error) (uint64, error) {
 	object, err := c.store.Get(ctx, envelope.Ref())
-	if err == nil && bytes.Contains(object.Spec, []byte(attempt)) {
+	if err == nil && bytes.Contains(object.Spec, []byte(writeID)) {
 		return object.Version, nil
 	}
 	return 0, &UnsettledError{Ref: envelope.Ref(), Cause: cause}
 }
 
-// UnsettledError reports a write whose outcome could not be found out.
+// UnsettledError reports a write of which it is unknown whether it took effect.
 type UnsettledError struct {
 	Ref   record.Ref
 	Cause error
@@ -169,7 +171,7 @@
 
 // Error implements error.
 func (e *UnsettledError) Error() string {
-	return fmt.Sprintf("%s: the store's reply was lost and reading back did not settle it (%v); run the same apply again, which is safe", e.Ref, e.Cause)
+	return fmt.Sprintf("%s: the store's response was lost, and reading the record back did not show whether the write took effect (%v); it is safe to run the same apply again", e.Ref, e.Cause)
 }
 
 // Unwrap returns the cause.
@@ -195,7 +197,7 @@
 	return c.store.Get(ctx, ref)
 }
 
-// List returns the records of a kind, or all if it is empty.
+// List returns the records of a kind, or all records if kind is empty.
 func (c *Client) List(ctx context.Context, kind record.Kind) ([]platform.Object, error) {
 	snapshot, err := c.store.List(ctx)
 	if err != nil {
@@ -210,11 +212,12 @@
 	return found, nil
 }
 
-// Delete removes a record at the given version.
+// Delete removes a record if it is still at the given version. It refuses pages, which
+// hold the tokens that fence off former owners.
 func (c *Client) Delete(ctx context.Context, ref record.Ref, version uint64) error {
 	if ref.Kind == record.KindPage {
 		return &record.FieldError{Record: ref, Field: "kind", Value: string(ref.Kind),
-			Fix: "pages are written by controllers only: deleting one would forget its tokens"}
+			Fix: "pages are written by controllers only: deleting one would lose its tokens"}
 	}
 	return c.store.Delete(ctx, ref, version)
 }
--- a/operator/convert.go
+++ b/operator/convert.go
@@ -26,7 +26,7 @@
 		Fix: "only services and servers have more than one schema version"}
 }
 
-// Summary describes a record in a few words.
+// Summary describes a record in one line. It is empty for kinds that have no summary.
 func Summary(envelope record.Envelope) string {
 	switch envelope.Kind {
 	case record.KindService:
--- a/operator/diff.go
+++ b/operator/diff.go
@@ -10,52 +10,52 @@
 	"cicadarouter/record"
 )
 
-// Diff lists the differences that lead from one record to another, by field.
-// Both are compared as the newest schema reads them, so that a record in an old
-// schema equals its conversion.
+// Diff lists the fields that differ between two records. Both are converted to the
+// newest schema first, so that the fields of a record in an old schema equal those of
+// its conversion; the schema version itself is compared as the field "(schema)".
 func Diff(from, to record.Envelope) []string {
 	before := flatten(from)
 	after := flatten(to)
 	names := slices.Sorted(maps.Keys(before))
 	for name := range after {
-		if _, known := before[name]; !known {
+		if _, inOld := before[name]; !inOld {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
 	var lines []string
 	for _, name := range names {
-		old, had := before[name]
-		fresh, has := after[name]
+		oldValue, inOld := before[name]
+		newValue, inNew := after[name]
 		switch {
-		case !had:
-			lines = append(lines, fmt.Sprintf("+ %s: %v", name, show(fresh)))
-		case !has:
-			lines = append(lines, fmt.Sprintf("- %s: %v", name, show(old)))
-		case !reflect.DeepEqual(old, fresh):
-			lines = append(lines, fmt.Sprintf("~ %s: %v -> %v", name, show(old), show(fresh)))
+		case !inOld:
+			lines = append(lines, fmt.Sprintf("+ %s: %v", name, show(newValue)))
+		case !inNew:
+			lines = append(lines, fmt.Sprintf("- %s: %v", name, show(oldValue)))
+		case !reflect.DeepEqual(oldValue, newValue):
+			lines = append(lines, fmt.Sprintf("~ %s: %v -> %v", name, show(oldValue), show(newValue)))
 		}
 	}
 	return lines
 }
 
-// flatten returns the fields of a record in the newest schema, without the ids
-// of writes.
+// flatten returns the fields of a record in the newest schema, without the ID of the
+// last write.
 func flatten(envelope record.Envelope) map[string]any {
 	schema := envelope.Schema
-	normal := envelope
+	converted := envelope
 	switch envelope.Kind {
 	case record.KindService:
 		if service, err := record.DecodeService(envelope); err == nil {
-			normal, _ = service.Encode(record.SchemaV2)
+			converted, _ = service.Encode(record.SchemaV2)
 		}
 	case record.KindServer:
 		if server, err := record.DecodeServer(envelope); err == nil {
-			normal, _ = server.Encode(record.SchemaV2)
+			converted, _ = server.Encode(record.SchemaV2)
 		}
 	}
 	fields := map[string]any{}
-	_ = json.Unmarshal(normal.Spec, &fields)
+	_ = json.Unmarshal(converted.Spec, &fields)
 	delete(fields, attemptField)
 	fields["(schema)"] = string(schema)
 	return fields
--- a/operator/documents.go
+++ b/operator/documents.go
@@ -1,5 +1,6 @@
-// Package operator is what operators do with records: check them, compare them
-// with what is in force, and write them without overwriting one another.
+// Package operator implements the operators' actions on records: checking them,
+// comparing them with the stored records, and writing them without overwriting
+// another operator's change.
 package operator
 
 import (
@@ -12,8 +13,8 @@
 	"cicadarouter/record"
 )
 
-// Document is a record as an operator writes it. Version is the version that
-// the edit started from, as "get" prints it, or 0 for a new record.
+// Document is a record in an operator's input. Version is the stored version on
+// which the edit is based, as printed by "get", or 0 for a new record.
 type Document struct {
 	record.Envelope
 	Version uint64 `json:"version,omitempty"`
@@ -57,16 +58,17 @@
 
 func readValue(raw json.RawMessage) ([]Document, error) {
 	if bytes.HasPrefix(raw, []byte("[")) {
-		var many []Document
-		err := json.Unmarshal(raw, &many)
-		return many, err
+		var documents []Document
+		err := json.Unmarshal(raw, &documents)
+		return documents, err
 	}
-	var one Document
-	err := json.Unmarshal(raw, &one)
-	return []Document{one}, err
+	var document Document
+	err := json.Unmarshal(raw, &document)
+	return []Document{document}, err
 }
 
-// decode checks a document by its kind.
+// decode checks that a document is a valid record of its kind. It accepts only the
+// kinds that operators write.
 func decode(document Document) error {
 	var err error
 	switch document.Kind {
@@ -78,7 +80,7 @@
 		_, err = record.DecodeLost(document.Envelope)
 	default:
 		err = &record.FieldError{Record: document.Ref(), Field: "kind", Value: string(document.Kind),
-			Fix: "use service, server or lost; other kinds are written by controllers only"}
+			Fix: "must be service, server or lost; other kinds are written by controllers only"}
 	}
 	return err
 }
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -38,7 +38,8 @@
 	return client
 }
 
-// TestBrokenInputChangesNothing has one row for each mistake that spans records.
+// TestBrokenInputChangesNothing checks that Apply reports the field that is wrong and
+// writes nothing.
 func TestBrokenInputChangesNothing(t *testing.T) {
 	rows := []struct {
 		name  string
@@ -50,7 +51,7 @@
 		{"two servers at one address", []string{splitV1, server1, strings.Replace(server1, "s1", "s2", 1)}, "address"},
 		{"one record twice", []string{splitV1, splitV1}, "name"},
 		{"slots of 0", []string{splitV1, strings.Replace(server1, `"slots":2`, `"slots":0`, 1)}, "slots"},
-		{"a controllers' kind", []string{`{"kind":"page","name":"x.0","schema":"v2","spec":{}}`}, "kind"},
+		{"kind written by controllers", []string{`{"kind":"page","name":"x.0","schema":"v2","spec":{}}`}, "kind"},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -65,8 +66,8 @@
 	}
 }
 
-// TestRacingOperators: the second of two edits from one version is told of the
-// first, with the difference, and overwrites nothing.
+// TestRacingOperators checks that of two edits based on the same version, the second
+// is rejected with the difference from the first, and doesn't overwrite it.
 func TestRacingOperators(t *testing.T) {
 	store := memstore.New()
 	client := applied(t, store, splitV1)
@@ -93,29 +94,29 @@
 	assert.Equal(t, service.Weigh, record.WeighChurn)
 }
 
-// lossy loses the replies of writes that have taken effect.
-type lossy struct {
+// lossyStore loses the response to the first write, which has taken effect.
+type lossyStore struct {
 	platform.Store
 	once sync.Once
 }
 
-func (l *lossy) Update(ctx context.Context, e record.Envelope, version uint64) (uint64, error) {
+func (l *lossyStore) Update(ctx context.Context, e record.Envelope, version uint64) (uint64, error) {
 	written, err := l.Store.Update(ctx, e, version)
 	l.once.Do(func() { err = platform.ErrUnavailable })
 	return written, err
 }
 
-// Symptom: an operator is told that an apply failed, although it took effect.
-// Sequence: the store writes and its reply is lost.
-// Cause: the outcome was guessed instead of read back.
+// Guards against a write being reported as failed although it took effect. It happens
+// if the store's response is lost and the record isn't read back.
 func TestLostReplyIsSettled(t *testing.T) {
-	client := operator.NewClient(&lossy{Store: memstore.New()})
+	client := operator.NewClient(&lossyStore{Store: memstore.New()})
 	changes, _, err := client.Apply(context.Background(), read(t, splitV1), operator.Options{})
 	assert.NilError(t, err)
 	assert.Equal(t, changes[0].Version, uint64(1))
 }
 
-// TestApplyIsIdempotent: the same input again changes nothing, in either schema.
+// TestApplyIsIdempotent checks that applying the same input again changes nothing, for
+// records in either schema.
 func TestApplyIsIdempotent(t *testing.T) {
 	store := memstore.New()
 	client := applied(t, store, splitV1, server1)
@@ -126,7 +127,8 @@
 	}
 }
 
-// TestBurn: the rates, the alarm and the causes of a service that fails.
+// TestBurn checks the burn rates, the alarm and the causes for a service with failed
+// requests.
 func TestBurn(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	var series report.Series
@@ -134,13 +136,13 @@
 	series.Add(now, report.Count{Total: 100, Bad: 20, Slow: 5}, map[string]uint64{"overload": 20})
 	service := record.Service{Objectives: record.Objectives{Availability: 0.99, LatencyShare: 0.95}}
 	line := report.Burn(now, service, series)
-	near := func(got, want float64) {
+	assertNear := func(got, want float64) {
 		assert.Assert(t, got > want-0.01 && got < want+0.01, "%f, want %f", got, want)
 	}
-	near(line.Availability[0], 20)
-	near(line.Availability[1], 2)
-	near(line.Latency[0], 1)
-	near(line.BudgetLeft, -1)
+	assertNear(line.Availability[0], 20)
+	assertNear(line.Availability[1], 2)
+	assertNear(line.Latency[0], 1)
+	assertNear(line.BudgetLeft, -1)
 	assert.Equal(t, line.Causes[0], report.Cause{Reason: "overload", Count: 20})
 	assert.Equal(t, line.Alarm, report.AlarmNone)
 	series.Add(now, report.Count{Total: 1000, Bad: 900}, nil)
--- a/operator/status.go
+++ b/operator/status.go
@@ -12,22 +12,23 @@
 	"cicadarouter/report"
 )
 
-// DomainStatus tells which configuration is in force in a failure domain.
+// DomainStatus describes the configuration that is in force in a failure domain.
 type DomainStatus struct {
 	record.Enforced
-	// InForce is set when every daemon of the domain has the newest configuration.
+	// InForce reports whether every daemon of the domain has applied the newest
+	// configuration.
 	InForce bool `json:"inForce"`
 }
 
-// Status tells where the configuration is in force.
+// Status describes in which failure domains the newest configuration is in force.
 type Status struct {
-	// Config is the newest version of an operator's record.
+	// Config is the highest version among the records that operators write.
 	Config  uint64         `json:"config"`
 	Domains []DomainStatus `json:"domains"`
 }
 
-// Status reads the failure domains' reports: one read of the store, however many
-// daemons there are.
+// Status summarizes the failure domains' reports. It reads the store once, however
+// many daemons there are.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	snapshot, err := c.store.List(ctx)
 	if err != nil {
@@ -57,7 +58,7 @@
 	return status, nil
 }
 
-// Burn reads the burn report.
+// Burn returns the error budget burn of each service in each failure domain.
 func (c *Client) Burn(ctx context.Context, now time.Time) ([]report.Line, error) {
 	snapshot, err := c.store.List(ctx)
 	if err != nil {
--- a/report/burn.go
+++ b/report/burn.go
@@ -9,35 +9,35 @@
 	"cicadarouter/record"
 )
 
-// Windows are the stretches of time that burn is told for, the shortest first.
+// Windows are the periods for which burn rates are computed, the shortest first.
 var Windows = []time.Duration{5 * time.Minute, time.Hour, 6 * time.Hour, 72 * time.Hour}
 
-// Alarm says how urgent a burn is.
+// Alarm is the urgency of a burn rate.
 type Alarm string
 
-// The alarms. Each asks for a long window, so that it matters, and a short one,
-// so that it ends when the trouble does.
+// Each alarm requires a high burn rate in a long window, so that short bursts don't
+// raise it, and in a short window, so that it clears soon after the failures stop.
 const (
 	AlarmNone Alarm = ""
-	// AlarmPage: a month's budget would be gone in two days.
+	// AlarmPage is raised if the budget of a month would be spent in about two days.
 	AlarmPage Alarm = "page"
-	// AlarmTicket: a month's budget would be gone in five days.
+	// AlarmTicket is raised if the budget of a month would be spent in five days.
 	AlarmTicket Alarm = "ticket"
 )
 
-// Burn rates that set the alarms off.
+// Burn rates above which the alarms are raised.
 const (
 	pageBurn   = 14.4
 	ticketBurn = 6
 )
 
-// Cause is a reason for bad requests, with its number.
+// Cause is a reason for bad requests and the number of requests that it affected.
 type Cause struct {
 	Reason string `json:"reason"`
 	Count  uint64 `json:"count"`
 }
 
-// Line is the burn of one service in one failure domain.
+// Line is the error budget burn of one service in one failure domain.
 type Line struct {
 	Service string `json:"service"`
 	Domain  string `json:"domain"`
@@ -45,14 +45,16 @@
 	// budget exactly as fast as the objective allows.
 	Availability []float64 `json:"availabilityBurn"`
 	Latency      []float64 `json:"latencyBurn"`
-	// BudgetLeft is the share of the budget of the longest window that is left.
+	// BudgetLeft is the fraction of the availability budget of the longest window that
+	// is left; it is negative if more than the budget is spent.
 	BudgetLeft float64 `json:"budgetLeft"`
-	Requests   uint64  `json:"requests"`
-	Alarm      Alarm   `json:"alarm"`
-	Causes     []Cause `json:"causes,omitempty"`
+	// Requests is the number of requests in the longest window.
+	Requests uint64  `json:"requests"`
+	Alarm    Alarm   `json:"alarm"`
+	Causes   []Cause `json:"causes,omitempty"`
 }
 
-// Burn computes the line of one service in one failure domain.
+// Burn computes the error budget burn of one service in one failure domain.
 func Burn(now time.Time, service record.Service, series Series) Line {
 	line := Line{Service: series.Service, Domain: series.Domain, Causes: topCauses(series.Causes)}
 	objectives := service.Objectives
@@ -67,7 +69,7 @@
 	return line
 }
 
-// rate returns how many times faster than allowed requests fail.
+// rate returns the ratio of the failure rate to the one that the objective allows.
 func rate(failed, total uint64, objective float64) float64 {
 	if total == 0 {
 		return 0
@@ -88,7 +90,7 @@
 	return worst
 }
 
-// mostCauses is how many causes a line tells.
+// mostCauses is the maximum number of causes in a Line.
 const mostCauses = 3
 
 func topCauses(causes map[string]uint64) []Cause {
--- a/report/text.go
+++ b/report/text.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// WriteText writes lines as a table.
+// WriteText writes the lines as a plain text table.
 func WriteText(out io.Writer, lines []Line) error {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "SERVICE\tDOMAIN\tREQUESTS\tAVAILABILITY BURN 5m/1h/6h/72h\tLATENCY BURN 5m/1h/6h/72h\tBUDGET LEFT\tALARM\tCAUSES")
@@ -47,5 +47,5 @@
 {{end}}</table></html>
 `))
 
-// WriteHTML writes lines as a page.
+// WriteHTML writes the lines as an HTML page.
 func WriteHTML(out io.Writer, lines []Line) error { return page.Execute(out, lines) }
