--- a/host/clock/boot_linux.go
+++ b/host/clock/boot_linux.go
@@ -6,18 +6,18 @@
 	"golang.org/x/sys/unix"
 )
 
-type boot struct{}
+type bootClock struct{}
 
-// Boot returns the clock of the host since its boot. Unlike System it goes on
-// while the host is suspended, so that a process that slept through its own
-// lease knows it.
-func Boot() Clock { return boot{} }
+// Boot returns a clock that counts the time since the host booted. Unlike System, it
+// includes the time for which the host was suspended, so that a process notices that its
+// lease expired during a suspension.
+func Boot() Clock { return bootClock{} }
 
 // Now implements Clock.
-func (boot) Now() time.Duration {
-	var at unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &at); err != nil {
-		panic("the kernel has no boot clock: " + err.Error())
+func (bootClock) Now() time.Duration {
+	var now unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
+		panic("reading CLOCK_BOOTTIME: " + err.Error())
 	}
-	return time.Duration(at.Nano())
+	return time.Duration(now.Nano())
 }
--- a/host/clock/clock.go
+++ b/host/clock/clock.go
@@ -1,19 +1,20 @@
-// Package clock gives the loops their time, so that tests can bring their own.
+// Package clock provides monotonic clocks behind an interface, so that tests can
+// substitute their own.
 package clock
 
 import "time"
 
-// Clock is a monotonic clock. Its zero is arbitrary: readings of two clocks
-// cannot be compared.
+// Clock is a monotonic clock. Its zero is arbitrary, so readings of different clocks
+// can't be compared.
 type Clock interface {
-	// Now returns the time since the clock's zero. It never goes back.
+	// Now returns the time since the clock's zero. It never decreases.
 	Now() time.Duration
 }
 
-type system struct{ zero time.Time }
+type systemClock struct{ zero time.Time }
 
-// System returns the process's monotonic clock, with its zero at the call.
-func System() Clock { return system{zero: time.Now()} }
+// System returns the process's monotonic clock. Its zero is the time of the call.
+func System() Clock { return systemClock{zero: time.Now()} }
 
 // Now implements Clock.
-func (s system) Now() time.Duration { return time.Since(s.zero) }
+func (c systemClock) Now() time.Duration { return time.Since(c.zero) }
--- a/host/clock/sleep.go
+++ b/host/clock/sleep.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Sleep waits for d by the system's clock, or less if the context ends.
+// Sleep waits for d of real time, or until the context ends.
 func Sleep(ctx context.Context, d time.Duration) { Await(ctx, nil, d) }
 
-// Await returns when the channel is closed, after d by the system's clock, or when
-// the context ends.
+// Await waits until the channel is closed, d of real time has passed, or the context
+// ends. A nil channel is never closed.
 func Await(ctx context.Context, closed <-chan struct{}, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/host/controller.go
+++ b/host/controller.go
@@ -50,15 +50,16 @@
 
 func newLinks(creds LinkCredentials) *link.Pool { return link.NewPool(creds) }
 
-// serverIdleConnections is what a controller keeps open to one backend server.
+// serverIdleConnections is the number of idle connections that a controller keeps open
+// to each backend server.
 const serverIdleConnections = 2
 
-// newServerDialer shares one transport between the backend servers' clients.
+// newServerDialer returns a dialer whose clients share one HTTP transport.
 func newServerDialer() domain.ServerDialer {
-	const idleFor = 10 * time.Second
+	const idleConnTimeout = 10 * time.Second
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: serverIdleConnections,
-		IdleConnTimeout:     idleFor,
+		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
 	return func(server record.Server) backend.Control {
@@ -66,11 +67,12 @@
 	}
 }
 
-// stopWait bounds a controller's graceful stop.
+// stopWait bounds the shutdown of a controller's administrative interface.
 const stopWait = 5 * time.Second
 
-// Run serves until the context ends, then stops gracefully: peers take the
-// pages over when this controller falls silent, long before a lease lapses.
+// Run serves until the context ends, then stops. It doesn't hand its pages over: peers
+// take them over once they no longer hear from this controller, long before a lease
+// expires.
 func (d *ControllerDaemon) Run(ctx context.Context) error {
 	linkListener, err := listen("the link", d.settings.Link)
 	if err != nil {
--- a/host/daemon.go
+++ b/host/daemon.go
@@ -1,5 +1,5 @@
-// Package host is an entry host: it reads the settings of its daemons, wires
-// their parts together and runs them until they are told to stop.
+// Package host implements the two daemons of a host, the controller and the router: it
+// reads their settings, wires their parts together and runs them until they are stopped.
 package host
 
 import (
@@ -17,8 +17,8 @@
 	"cicadarouter/link"
 )
 
-// Limits of the HTTP servers. A caller that sends its headers or body slowly
-// holds a connection no longer than these times.
+// Limits of the HTTP servers. They bound how long a caller can hold a connection by
+// sending its headers or body slowly.
 const (
 	readHeaderTimeout = 5 * time.Second
 	readTimeout       = 30 * time.Second
@@ -26,7 +26,7 @@
 	maxHeaderBytes    = 16 << 10
 )
 
-// newHTTPServer returns an HTTP server with this package's limits.
+// newHTTPServer returns an HTTP server with the limits of this package.
 func newHTTPServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
@@ -37,7 +37,7 @@
 	}
 }
 
-// ListenError reports an address that cannot be listened on.
+// ListenError reports that a daemon can't listen on an address.
 type ListenError struct {
 	Purpose string
 	Address string
@@ -60,7 +60,7 @@
 	return listener, nil
 }
 
-// serveHTTP serves until the server is shut down.
+// serveHTTP serves until the server is shut down, and logs any other error.
 func serveHTTP(server *http.Server, listener net.Listener, logger *log.Logger) {
 	err := server.Serve(listener)
 	if !errors.Is(err, http.ErrServerClosed) {
@@ -68,20 +68,22 @@
 	}
 }
 
+// serveGRPC serves until the server is stopped, and logs any other error.
 func serveGRPC(server *grpc.Server, listener net.Listener, logger *log.Logger) {
 	if err := server.Serve(listener); err != nil {
 		logger.Error("link server ended", "address", listener.Addr().String(), "error", eris.ToString(err, false))
 	}
 }
 
-// tidyEvery is how often connections are compared with the host list. After
-// link's number of misses, two minutes, those to hosts that are gone are closed:
-// later than any request's deadline.
+// tidyEvery is the interval at which connections are compared with the host list.
+// links.Keep closes a connection after 12 comparisons in a row that don't find its
+// address. That takes two minutes, which is longer than any request's deadline, so no
+// request is cut off.
 const tidyEvery = 10 * time.Second
 
-// tidyLinks closes connections to hosts that have left the host list, until the
-// context ends. Hosts are replaced all day, each under addresses of its own;
-// nothing else would end the attempts to reach the old ones.
+// tidyLinks closes connections to hosts that have left the host list, until the context
+// ends. Hosts are replaced often, and each new one has its own addresses; without this,
+// the attempts to reconnect to the old ones would never end.
 func tidyLinks(ctx context.Context, dir *directory.Directory, links *link.Pool, seeds []string) {
 	ticker := time.NewTicker(tidyEvery)
 	defer ticker.Stop()
@@ -95,8 +97,8 @@
 	}
 }
 
-// addressesInUse are those of the settings and of the host list. Without a host
-// list nothing is known to be gone.
+// addressesInUse returns the addresses of the settings and of the host list. It returns
+// nil if the host list is empty, because then no host is known to have left.
 func addressesInUse(dir *directory.Directory, seeds []string) map[string]bool {
 	hosts := dir.Hosts()
 	if len(hosts) == 0 {
@@ -113,15 +115,15 @@
 	return inUse
 }
 
-// stopGRPC ends a link server when its calls have ended, or at the context's end.
+// stopGRPC stops a link server gracefully, or at once when the context ends.
 func stopGRPC(ctx context.Context, server *grpc.Server) {
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
 		server.GracefulStop()
-		close(ended)
+		close(stopped)
 	}()
 	select {
-	case <-ended:
+	case <-stopped:
 	case <-ctx.Done():
 		server.Stop()
 	}
--- a/host/daemon_test.go
+++ b/host/daemon_test.go
@@ -16,9 +16,8 @@
 	"cicadarouter/link"
 )
 
-// Symptom: a daemon's connections and its attempts to reach hosts grow for days.
-// Sequence: hosts are replaced, each time under new addresses.
-// Cause: nothing closed the connections to hosts that were gone.
+// Guards against connections and reconnection attempts accumulating over days, which
+// happens if connections to hosts that were replaced under new addresses aren't closed.
 func TestConnectionsToGoneHostsAreClosed(t *testing.T) {
 	dir := directory.New()
 	links := link.NewPool(insecure.NewCredentials())
@@ -26,25 +25,24 @@
 	for _, address := range []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"} {
 		links.Control(address)
 	}
-	const longEnough = 20
+	const enoughCalls = 20
 	keep := func(calls int) {
 		for range calls {
 			links.Keep(addressesInUse(dir, []string{"127.0.0.1:3"}))
 		}
 	}
-	keep(longEnough)
-	assert.Equal(t, links.Len(), 4, "without a host list nothing is known to be gone")
+	keep(enoughCalls)
+	assert.Equal(t, links.Len(), 4, "no connection is closed without a host list")
 	dir.SetHosts([]platform.Host{{Name: "h", Link: "127.0.0.1:1", RouterLink: "127.0.0.1:2"}})
 	keep(1)
-	assert.Equal(t, links.Len(), 4, "a host that has just left the list may still finish requests")
-	keep(longEnough)
+	assert.Equal(t, links.Len(), 4, "a host that has just left the list may still be finishing requests")
+	keep(enoughCalls)
 	assert.Equal(t, links.Len(), 3)
 }
 
-// Symptom: a router runs out of connections although nobody sends requests.
-// Sequence: callers open connections and send their headers byte by byte, or
-// headers without end.
-// Cause: nothing bounded the time or the size of a request's headers.
+// Guards against a router running out of connections because callers send headers byte
+// by byte or without end, which happens if neither the time nor the size of a request's
+// headers is limited.
 func TestSlowAndEndlessHeadersAreCutOff(t *testing.T) {
 	rows := []struct {
 		name string
@@ -57,7 +55,7 @@
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			server := newHTTPServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-				t.Error("a request without its end was served")
+				t.Error("an incomplete request was passed to the handler")
 			}))
 			assert.Assert(t, server.ReadHeaderTimeout > 0 && server.ReadTimeout > 0 && server.IdleTimeout > 0)
 			server.ReadHeaderTimeout = 50 * time.Millisecond
@@ -69,8 +67,8 @@
 			assert.NilError(t, err)
 			defer conn.Close()
 			_, _ = io.WriteString(conn, row.send)
-			answer, _ := io.ReadAll(conn) // ends when the server hangs up
-			assert.Assert(t, strings.Contains(string(answer), row.want), "got %q", answer)
+			response, _ := io.ReadAll(conn) // returns when the server closes the connection
+			assert.Assert(t, strings.Contains(string(response), row.want), "got %q", response)
 		})
 	}
 }
--- a/host/keys.go
+++ b/host/keys.go
@@ -12,7 +12,8 @@
 	"google.golang.org/grpc/credentials/insecure"
 )
 
-// KeyError reports a key file that cannot be used. It never holds key material.
+// KeyError reports a certificate or key file that can't be used. It never contains key
+// material.
 type KeyError struct {
 	File  string
 	Cause error
@@ -24,12 +25,13 @@
 // Unwrap returns the cause.
 func (e *KeyError) Unwrap() error { return e.Cause }
 
-// LinkCredentials are the credentials of the link between processes.
+// LinkCredentials are the transport credentials of the connections between the system's
+// processes.
 type LinkCredentials credentials.TransportCredentials
 
-// newCredentials returns mutual TLS if the settings name keys. Both ends must
-// show a certificate of the authority, so that only the system's own processes
-// can ask for agreement, promise or lease.
+// newCredentials returns credentials for mutual TLS, or insecure ones if the settings
+// name no keys. With TLS, both ends must present a certificate issued by the authority,
+// so that only the system's own processes can take part in agreement and request leases.
 func newCredentials(keys TLSSettings) (LinkCredentials, error) {
 	if !keys.Enabled() {
 		return insecure.NewCredentials(), nil
@@ -57,8 +59,8 @@
 	}), nil
 }
 
-// linkServerName is the name that every process's certificate must hold. Hosts
-// are addressed by IP numbers that come and go, so certificates do not name them.
+// linkServerName is the DNS name that every process's certificate must contain.
+// Certificates don't name hosts, because the hosts' IP addresses change.
 const linkServerName = "cicadarouter.link"
 
 func loadAuthority(file string) (*x509.CertPool, error) {
@@ -73,10 +75,10 @@
 	return pool, nil
 }
 
-var errNoCertificate = fmt.Errorf("holds no PEM certificate")
+var errNoCertificate = fmt.Errorf("contains no PEM certificate")
 
-// keyStore reads a certificate again when its file has changed, so that keys
-// are replaced without a restart.
+// keyStore caches the process's certificate and reloads it when its file has changed, so
+// that certificates can be renewed without a restart.
 type keyStore struct {
 	settings TLSSettings
 
@@ -104,8 +106,8 @@
 	return s.loaded, nil
 }
 
-// lastGood keeps the last usable certificate in use while its files are being
-// replaced or are broken.
+// lastGood returns the last certificate that was loaded, or err if there is none. It
+// keeps that certificate in use while its files are being replaced or are invalid.
 func (s *keyStore) lastGood(err error) (*tls.Certificate, error) {
 	if s.loaded != nil {
 		return s.loaded, nil
--- a/host/keys_test.go
+++ b/host/keys_test.go
@@ -24,7 +24,7 @@
 	"cicadarouter/link/linkpb"
 )
 
-// authority makes certificates for tests.
+// authority is a certificate authority for tests.
 type authority struct {
 	t    *testing.T
 	dir  string
@@ -54,7 +54,8 @@
 	assert.NilError(a.t, os.WriteFile(filepath.Join(a.dir, name), data, 0o600))
 }
 
-// issue writes a certificate with a serial number and returns its settings.
+// issue writes a certificate with the given serial number and its key, and returns
+// settings that name them.
 func (a *authority) issue(serial int64) TLSSettings {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	assert.NilError(a.t, err)
@@ -81,7 +82,7 @@
 	return creds
 }
 
-// serveLink serves an empty controller's link and returns its address.
+// serveLink starts a link server that implements no calls and returns its address.
 func serveLink(t *testing.T, creds LinkCredentials) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -92,7 +93,7 @@
 	return listener.Addr().String()
 }
 
-// reaches reports whether a process with the credentials gets to the handlers.
+// reaches reports whether a call with the credentials gets through to the server.
 func reaches(t *testing.T, address string, creds credentials.TransportCredentials) bool {
 	pool := link.NewPool(creds)
 	defer pool.Close()
@@ -104,9 +105,9 @@
 	return sent.Any()
 }
 
-// TestOnlyOwnProcessesSpeak: the link takes processes with a certificate of the
-// authority and no others.
-func TestOnlyOwnProcessesSpeak(t *testing.T) {
+// TestOnlyOwnProcessesConnect checks that the link accepts processes with a certificate
+// issued by the authority, and no others.
+func TestOnlyOwnProcessesConnect(t *testing.T) {
 	ours := newAuthority(t, "ours")
 	address := serveLink(t, mustCredentials(t, ours.issue(1)))
 	assert.Assert(t, reaches(t, address, mustCredentials(t, ours.issue(2))))
@@ -114,8 +115,8 @@
 	assert.Assert(t, !reaches(t, address, mustCredentials(t, newAuthority(t, "theirs").issue(1))))
 }
 
-// TestKeysAreReplacedWithoutRestart: a changed file is used at the next
-// connection, and a broken one leaves the last good one in use.
+// TestKeysAreReplacedWithoutRestart checks that a changed certificate is used for the
+// next connection, and that an invalid file leaves the previous one in use.
 func TestKeysAreReplacedWithoutRestart(t *testing.T) {
 	ours := newAuthority(t, "ours")
 	settings := ours.issue(1)
@@ -136,7 +137,7 @@
 	assert.Equal(t, serial(), int64(2))
 }
 
-// TestKeyErrors: what cannot be used is told by file, without key material.
+// TestKeyErrors checks that an error about an unusable file names the file.
 func TestKeyErrors(t *testing.T) {
 	settings := newAuthority(t, "ours").issue(1)
 	settings.Authority = settings.Key
--- a/host/logs/bounded.go
+++ b/host/logs/bounded.go
@@ -7,14 +7,15 @@
 	"cicadarouter/host/ring"
 )
 
-// Bounded hands lines to a slow writer without ever making their author wait:
-// lines beyond what the ring holds are dropped and counted.
+// Bounded is an io.Writer that queues log lines for a slow output, so that logging never
+// blocks. Lines that don't fit into the queue are dropped and counted.
 type Bounded struct {
 	lines   *ring.Ring[[]byte]
 	dropped atomic.Uint64
 }
 
-// NewBounded returns a writer that holds at most size lines. Run must be started.
+// NewBounded returns a writer that queues at most size lines. The caller must start Run,
+// which writes them out.
 func NewBounded(size int) *Bounded { return &Bounded{lines: ring.New[[]byte](size)} }
 
 // Write implements io.Writer. It never blocks and never fails.
@@ -25,11 +26,11 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of dropped lines.
 func (b *Bounded) Dropped() uint64 { return b.dropped.Load() }
 
-// Run writes lines out until stop is closed and the ring is empty. A line that
-// can't be written counts as dropped.
+// Run writes queued lines to out until stop is closed and the queue is empty. A line
+// that can't be written counts as dropped.
 func (b *Bounded) Run(out io.Writer, stop <-chan struct{}) {
 	for {
 		select {
--- a/host/logs/bounded_test.go
+++ b/host/logs/bounded_test.go
@@ -11,23 +11,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// stuck is an output that takes nothing until it is let go.
-type stuck struct {
+// blockedWriter is an output that blocks until release is closed.
+type blockedWriter struct {
 	release chan struct{}
 	bytes.Buffer
 }
 
-func (s *stuck) Write(line []byte) (int, error) {
-	<-s.release
-	return s.Buffer.Write(line)
+func (w *blockedWriter) Write(line []byte) (int, error) {
+	<-w.release
+	return w.Buffer.Write(line)
 }
 
-// Symptom: requests stand still for seconds.
-// Sequence: whoever reads the log stops reading; the pipe is full.
-// Cause: the process waited for its own log.
-func TestStuckOutputDoesNotBlock(t *testing.T) {
+// Guards against requests stalling for seconds, which happens if the process blocks on a
+// full log pipe whose reader has stopped reading.
+func TestBlockedOutputDoesNotBlockWriters(t *testing.T) {
 	const size, lines = 8, 1000
-	out := &stuck{release: make(chan struct{})}
+	out := &blockedWriter{release: make(chan struct{})}
 	b := NewBounded(size)
 	stop := make(chan struct{})
 	var writing sync.WaitGroup
@@ -36,7 +35,7 @@
 		_, err := fmt.Fprintf(b, "line %d\n", i)
 		assert.NilError(t, err)
 	}
-	// One line more than the ring holds may be in the writer's hands.
+	// Besides the queued lines, Run may have taken one line that it is writing.
 	assert.Assert(t, b.Dropped() >= lines-size-1, "%d dropped", b.Dropped())
 	close(out.release)
 	close(stop)
@@ -45,10 +44,10 @@
 	assert.Equal(t, uint64(written)+b.Dropped(), uint64(lines))
 }
 
-// broken is an output that fails.
-type broken struct{}
+// failingWriter is an output whose writes fail.
+type failingWriter struct{}
 
-func (broken) Write([]byte) (int, error) { return 0, errors.New("no reader") }
+func (failingWriter) Write([]byte) (int, error) { return 0, errors.New("no reader") }
 
 func TestFailedLinesAreCounted(t *testing.T) {
 	b := NewBounded(2)
@@ -56,6 +55,6 @@
 	assert.NilError(t, err)
 	stop := make(chan struct{})
 	close(stop)
-	b.Run(broken{}, stop)
+	b.Run(failingWriter{}, stop)
 	assert.Equal(t, b.Dropped(), uint64(1))
 }
--- a/host/logs/logs.go
+++ b/host/logs/logs.go
@@ -8,7 +8,8 @@
 	"github.com/charmbracelet/log"
 )
 
-// New returns a logger that writes JSON lines. Every line names the program and host.
+// New returns a logger that writes JSON lines. Each line contains the names of the
+// program and the host.
 func New(out io.Writer, program, host string, level log.Level) *log.Logger {
 	logger := log.NewWithOptions(out, log.Options{
 		Formatter:       log.JSONFormatter,
@@ -22,7 +23,8 @@
 // Discard returns a logger that writes nothing.
 func Discard() *log.Logger { return log.New(io.Discard) }
 
-// Level returns the level of a name that the settings have checked.
+// Level returns the log level of the given name, which the settings have validated. It
+// returns the info level for unknown names.
 func Level(name string) log.Level {
 	level, err := log.ParseLevel(name)
 	if err != nil {
--- a/host/options.go
+++ b/host/options.go
@@ -6,14 +6,14 @@
 	"cicadarouter/host/settings"
 )
 
-// TLSSettings name the keys of the link between processes. All are empty, or none.
+// TLSSettings are the PEM files for TLS between processes. Either all are set or none.
 type TLSSettings struct {
 	Certificate string
 	Key         string
 	Authority   string
 }
 
-// Enabled reports whether the link is to use TLS.
+// Enabled reports whether connections between processes use TLS.
 func (s TLSSettings) Enabled() bool { return s.Certificate != "" }
 
 // ControllerSettings are the settings of cicada-controller.
@@ -42,9 +42,9 @@
 }
 
 const (
-	addressAllowed  = "an IP number and port, such as 127.0.0.1:7001"
-	addressesAdvice = "IP numbers and ports, separated by commas"
-	nameAllowed     = "a name that is not empty"
+	addressAllowed  = "an IP address and port, such as 127.0.0.1:7001"
+	addressesAdvice = "IP addresses and ports, separated by commas"
+	nameAllowed     = "a name, not empty"
 	levelAllowed    = "debug, info, warn or error"
 )
 
@@ -65,7 +65,7 @@
 	}
 }
 
-// checkTLS requires all three files or none.
+// checkTLS returns an error unless all three files are given or none.
 func checkTLS(file string, keys TLSSettings) error {
 	given := 0
 	for _, path := range []string{keys.Certificate, keys.Key, keys.Authority} {
@@ -99,7 +99,7 @@
 // LoadRouter reads the settings of cicada-router.
 func LoadRouter(file string) (RouterSettings, error) {
 	var s RouterSettings
-	const inFlightMost = 1_000_000
+	const maxInFlight = 1_000_000
 	options := append(hostOptions(&s.Host, &s.Domain, &s.LogLevel), tlsOptions(&s.TLS)...)
 	options = append(options,
 		settings.Option{Section: "listen", Name: "callers", Required: true, Allowed: addressAllowed, Set: settings.Address(&s.Callers)},
@@ -108,7 +108,7 @@
 		settings.Option{Section: "control", Name: "controllers", Required: true, Allowed: addressesAdvice + "; at least one", Set: nonEmpty(settings.Addresses(&s.Controllers), &s.Controllers)},
 		settings.Option{Section: "stop", Name: "balancer-wait", Default: "1s", Allowed: "a duration from 0s to 60s", Set: settings.Duration(&s.BalancerWait, 0, time.Minute)},
 		settings.Option{Section: "stop", Name: "drain-wait", Default: "30s", Allowed: "a duration from 1s to 10m", Set: settings.Duration(&s.DrainWait, time.Second, 10*time.Minute)},
-		settings.Option{Section: "limits", Name: "in-flight", Default: "8192", Allowed: "a whole number from 1 to 1000000", Set: settings.Int(&s.InFlight, 1, inFlightMost)},
+		settings.Option{Section: "limits", Name: "in-flight", Default: "8192", Allowed: "a whole number from 1 to 1000000", Set: settings.Int(&s.InFlight, 1, maxInFlight)},
 	)
 	if err := settings.Load(file, options); err != nil {
 		return RouterSettings{}, err
--- a/host/program/commands.go
+++ b/host/program/commands.go
@@ -16,8 +16,8 @@
 	Data flags.Commander
 }
 
-// InputError marks an error as one in what the operator gave, so that the
-// program exits with ExitUsage.
+// InputError marks an error as caused by the operator's input, so that the program exits
+// with ExitUsage.
 type InputError struct{ Cause error }
 
 // Error implements error.
@@ -26,8 +26,8 @@
 // Unwrap returns the cause.
 func (e *InputError) Unwrap() error { return e.Cause }
 
-// RunCommands parses the command line, runs the subcommand that it names, and
-// returns the exit code. shared holds the flags of all subcommands.
+// RunCommands parses the command line, runs the subcommand that it names, and returns
+// the exit code. shared holds the flags that all subcommands have in common.
 func RunCommands(shared any, description string, commands ...Command) int {
 	parser := flags.NewParser(shared, flags.HelpFlag|flags.PassDoubleDash)
 	parser.LongDescription = description
--- a/host/program/program.go
+++ b/host/program/program.go
@@ -1,5 +1,5 @@
-// Package program holds what the commands share: the command line, signals and
-// exit codes.
+// Package program contains what the commands have in common: parsing of command lines,
+// signals and exit codes.
 package program
 
 import (
@@ -26,7 +26,7 @@
 	Run(ctx context.Context) error
 }
 
-// daemonOptions are the flags of every daemon.
+// daemonOptions are the flags that all daemons have in common.
 type daemonOptions struct {
 	Settings string `short:"s" long:"settings" value-name:"FILE" required:"true" description:"INI file with the daemon's settings"`
 	Check    bool   `long:"check" description:"check the settings and exit"`
@@ -59,8 +59,8 @@
 	return ExitOK
 }
 
-// Parse reads the command line into options. done is set when the program
-// should exit with the code.
+// Parse parses the command line into options. done is set if the program must exit with
+// the returned code.
 func Parse(options any) (code int, done bool) {
 	_, err := flags.NewParser(options, flags.HelpFlag|flags.PassDoubleDash).Parse()
 	return parsed(err)
@@ -78,18 +78,18 @@
 	return Usage(err), true
 }
 
-// Signals returns a context that ends at SIGTERM or SIGINT.
+// Signals returns a context that is cancelled by SIGTERM or SIGINT.
 func Signals() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
 
-// Usage prints an error in what the operator gave, and returns ExitUsage.
+// Usage prints an error caused by the operator's input and returns ExitUsage.
 func Usage(err error) int {
 	fmt.Fprintln(os.Stderr, eris.ToString(err, false))
 	return ExitUsage
 }
 
-// Fail prints an error that came up at work, and returns ExitFailure.
+// Fail prints an error that occurred while the program ran and returns ExitFailure.
 func Fail(err error) int {
 	fmt.Fprintln(os.Stderr, eris.ToString(err, false))
 	return ExitFailure
--- a/host/router.go
+++ b/host/router.go
@@ -43,14 +43,16 @@
 	return logs.New(os.Stderr, "cicada-router", s.Host, logs.Level(s.LogLevel))
 }
 
-// newIncarnation names this run of a process. It never is 0.
+// newIncarnation returns a random number that identifies this run of the process. It is
+// never 0.
 func newIncarnation() uint64 { return rand.Uint64() | 1 }
 
 func wallClock() func() time.Time { return time.Now }
 
-// Run serves until the context ends, then stops gracefully: the balancer's
-// check fails first, the dispatch leases are handed back, and every request in
-// flight is finished before the listeners close.
+// Run serves until the context ends, then stops gracefully: the health check fails for
+// balancer-wait, so that the load balancer stops sending callers; then the listener for
+// callers closes, and requests in progress may finish within drain-wait. Dispatch leases
+// are handed back.
 func (d *RouterDaemon) Run(ctx context.Context) error {
 	callersListener, err := listen("callers", d.settings.Callers)
 	if err != nil {
--- a/host/settings/settings.go
+++ b/host/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads a daemon's INI file and checks it against the options
-// that the daemon knows. Unknown sections, unknown options and bad values are
-// errors, so that a misspelt option is noticed at start.
+// Package settings reads a program's INI file and checks it against a list of known
+// options. Unknown sections, unknown options and invalid values are errors, so that a
+// misspelt option is noticed at startup.
 package settings
 
 import (
@@ -15,7 +15,7 @@
 	"gopkg.in/ini.v1"
 )
 
-// Error names what is wrong with one option, and what is allowed.
+// Error reports an invalid option and describes the allowed values.
 type Error struct {
 	File    string
 	Section string
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("%s: [%s] %s = %q: %s", e.File, e.Section, e.Option, e.Value, e.Allowed)
 }
 
-// FileError reports a file that cannot be read as INI.
+// FileError reports a file that can't be read or isn't a valid INI file.
 type FileError struct {
 	File  string
 	Cause error
@@ -45,16 +45,17 @@
 type Option struct {
 	Section string
 	Name    string
-	// Default is used when the file does not give the option. Required options have none.
+	// Default is the value if the file doesn't contain the option. Required options
+	// have no default.
 	Default  string
 	Required bool
-	// Allowed tells an operator which values are allowed.
+	// Allowed describes the allowed values in error messages.
 	Allowed string
-	// Set checks and stores the value.
+	// Set stores the value and reports whether it is valid.
 	Set func(value string) bool
 }
 
-// Text stores any non-empty text.
+// Text returns a Set function that accepts any non-empty text.
 func Text(target *string) func(string) bool {
 	return func(value string) bool {
 		*target = strings.TrimSpace(value)
@@ -62,7 +63,7 @@
 	}
 }
 
-// Optional stores any text.
+// Optional returns a Set function that accepts any text.
 func Optional(target *string) func(string) bool {
 	return func(value string) bool {
 		*target = strings.TrimSpace(value)
@@ -70,7 +71,7 @@
 	}
 }
 
-// Address stores an IP number and port.
+// Address returns a Set function that accepts an IP address and port.
 func Address(target *string) func(string) bool {
 	return func(value string) bool {
 		*target = value
@@ -79,7 +80,8 @@
 	}
 }
 
-// Addresses stores a list of IP numbers and ports, separated by commas.
+// Addresses returns a Set function that accepts a list of IP addresses and ports,
+// separated by commas. The list may be empty.
 func Addresses(target *[]string) func(string) bool {
 	return func(value string) bool {
 		*target = nil
@@ -97,34 +99,34 @@
 	}
 }
 
-// Duration stores a duration between the limits.
-func Duration(target *time.Duration, least, most time.Duration) func(string) bool {
+// Duration returns a Set function that accepts a duration within the limits.
+func Duration(target *time.Duration, lowest, highest time.Duration) func(string) bool {
 	return func(value string) bool {
 		parsed, err := time.ParseDuration(value)
 		*target = parsed
-		return err == nil && parsed >= least && parsed <= most
+		return err == nil && parsed >= lowest && parsed <= highest
 	}
 }
 
-// Int stores a whole number between the limits.
-func Int(target *int, least, most int) func(string) bool {
+// Int returns a Set function that accepts an integer within the limits.
+func Int(target *int, lowest, highest int) func(string) bool {
 	return func(value string) bool {
 		parsed, err := strconv.Atoi(value)
 		*target = parsed
-		return err == nil && parsed >= least && parsed <= most
+		return err == nil && parsed >= lowest && parsed <= highest
 	}
 }
 
-// Float stores a number between the limits.
-func Float(target *float64, least, most float64) func(string) bool {
+// Float returns a Set function that accepts a number within the limits.
+func Float(target *float64, lowest, highest float64) func(string) bool {
 	return func(value string) bool {
 		parsed, err := strconv.ParseFloat(value, 64)
 		*target = parsed
-		return err == nil && parsed >= least && parsed <= most
+		return err == nil && parsed >= lowest && parsed <= highest
 	}
 }
 
-// Bool stores true or false.
+// Bool returns a Set function that accepts true or false.
 func Bool(target *bool) func(string) bool {
 	return func(value string) bool {
 		*target = value == "true"
@@ -132,7 +134,7 @@
 	}
 }
 
-// Choice stores one of the words.
+// Choice returns a Set function that accepts one of the given words.
 func Choice(target *string, words ...string) func(string) bool {
 	return func(value string) bool {
 		*target = value
@@ -140,7 +142,7 @@
 	}
 }
 
-// Load reads the file and sets every option. It returns the first error found.
+// Load reads the file and sets all options. It returns the first error.
 func Load(file string, options []Option) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -149,7 +151,8 @@
 	return Parse(file, data, options)
 }
 
-// Parse is Load on data already read; file is used in errors.
+// Parse sets all options from the contents of an INI file. The name of the file is used
+// in errors only.
 func Parse(file string, data []byte, options []Option) error {
 	loaded, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true}, data)
 	if err != nil {
@@ -186,12 +189,12 @@
 	for _, section := range loaded.Sections() {
 		names := namesIn(section.Name(), options)
 		if len(names) == 0 && (section.Name() != ini.DefaultSection || len(section.Keys()) > 0) {
-			return &Error{File: file, Section: section.Name(), Allowed: "no such section; known are " + strings.Join(sections(options), ", ")}
+			return &Error{File: file, Section: section.Name(), Allowed: "unknown section; known are " + strings.Join(sections(options), ", ")}
 		}
 		for _, key := range section.Keys() {
 			if !slices.Contains(names, key.Name()) {
 				return &Error{File: file, Section: section.Name(), Option: key.Name(), Value: key.Value(),
-					Allowed: "no such option; known are " + strings.Join(names, ", ")}
+					Allowed: "unknown option; known are " + strings.Join(names, ", ")}
 			}
 		}
 	}
--- a/host/settings/settings_test.go
+++ b/host/settings/settings_test.go
@@ -13,20 +13,19 @@
 
 func options(address *string, wait *time.Duration) []settings.Option {
 	return []settings.Option{
-		{Section: "listen", Name: "link", Required: true, Allowed: "an IP number and port", Set: settings.Address(address)},
+		{Section: "listen", Name: "link", Required: true, Allowed: "an IP address and port", Set: settings.Address(address)},
 		{Section: "stop", Name: "wait", Default: "1s", Allowed: "0s to 1m", Set: settings.Duration(wait, 0, time.Minute)},
 	}
 }
 
-// TestBadSettings has one row for each mistake: the error names the section, the
-// option, the value and what is allowed.
+// TestBadSettings checks that errors name what is wrong and what is allowed.
 func TestBadSettings(t *testing.T) {
 	rows := []struct{ name, text, want string }{
 		{"unknown section", "[listne]\nlink = 127.0.0.1:1\n", "known are listen, stop"},
 		{"unknown option", "[listen]\nlinks = 127.0.0.1:1\n", "known are link"},
-		{"option outside of sections", "link = 127.0.0.1:1\n", "no such section"},
+		{"option outside of sections", "link = 127.0.0.1:1\n", "unknown section"},
 		{"missing", "[stop]\nwait = 1s\n", "is required"},
-		{"host name in place of an IP number", "[listen]\nlink = localhost:1\n", `[listen] link = "localhost:1": an IP number and port`},
+		{"host name in place of an IP address", "[listen]\nlink = localhost:1\n", `[listen] link = "localhost:1": an IP address and port`},
 		{"duration out of bounds", "[listen]\nlink = 127.0.0.1:1\n[stop]\nwait = 2m\n", `wait = "2m": 0s to 1m`},
 	}
 	for _, row := range rows {
@@ -49,7 +48,8 @@
 	assert.Equal(t, wait, time.Second)
 }
 
-// FuzzParse: no file makes the parser crash, and errors have types.
+// FuzzParse checks that no input makes the parser panic, and that each error is an Error
+// or a FileError.
 func FuzzParse(f *testing.F) {
 	f.Add("[listen]\nlink = 127.0.0.1:1\n")
 	f.Add("[")
@@ -60,7 +60,7 @@
 		var option *settings.Error
 		var file *settings.FileError
 		if err != nil && !errors.As(err, &option) && !errors.As(err, &file) {
-			t.Fatalf("error without a type: %v", err)
+			t.Fatalf("unexpected type of error: %v", err)
 		}
 	})
 }
