--- a/cmd/cicada-bench/main.go
+++ b/cmd/cicada-bench/main.go
@@ -1,4 +1,5 @@
-// Command cicada-bench measures what control costs and how long losses are felt.
+// Command cicada-bench measures the cost of the control plane, the recovery time after
+// failures, and other figures; see package bench.
 package main
 
 import (
@@ -22,34 +23,34 @@
 }
 
 type slopesCommand struct {
-	Seconds int  `long:"seconds" default:"5" description:"time to measure each size"`
-	Large   bool `long:"large" description:"only the size of one failure domain of the plan"`
+	Seconds int  `long:"seconds" default:"5" description:"duration of each measurement in seconds"`
+	Large   bool `long:"large" description:"measure only the planned size of a failure domain"`
 }
 
-// sizes vary one number at a time around a middle.
+// sizes returns configurations that each differ from a base configuration in one number.
 func (c *slopesCommand) sizes() []bench.Config {
 	if c.Large {
 		return []bench.Config{{Hosts: 425, Pages: 425, Servers: 2000, Shards: 8}}
 	}
-	middle := bench.Config{Hosts: 10, Pages: 10, Servers: 50, Shards: 8}
-	sizes := []bench.Config{middle}
+	base := bench.Config{Hosts: 10, Pages: 10, Servers: 50, Shards: 8}
+	sizes := []bench.Config{base}
 	for _, hosts := range []int{5, 20, 40} {
-		size := middle
+		size := base
 		size.Hosts = hosts
 		sizes = append(sizes, size)
 	}
 	for _, pages := range []int{5, 20, 40} {
-		size := middle
+		size := base
 		size.Pages = pages
 		sizes = append(sizes, size)
 	}
 	for _, servers := range []int{25, 100, 200} {
-		size := middle
+		size := base
 		size.Servers = servers
 		sizes = append(sizes, size)
 	}
 	for _, shards := range []int{2, 32, 128} {
-		size := middle
+		size := base
 		size.Shards = shards
 		sizes = append(sizes, size)
 	}
@@ -76,7 +77,7 @@
 }
 
 type ordersCommand struct {
-	Seed uint64 `long:"seed" default:"1" description:"seed of the arrivals"`
+	Seed uint64 `long:"seed" default:"1" description:"seed of the random arrival times"`
 }
 
 // Execute implements flags.Commander.
@@ -109,9 +110,9 @@
 }
 
 type failoverCommand struct {
-	Runs  int    `long:"runs" default:"20" description:"runs of each loss, at least 1"`
+	Runs  int    `long:"runs" default:"20" description:"runs for each kind of loss, at least 1"`
 	Hosts int    `long:"hosts" default:"3" description:"entry hosts of the failure domain"`
-	Only  string `long:"only" description:"one loss only"`
+	Only  string `long:"only" description:"run only this kind of loss"`
 	Port  int    `long:"base-port" default:"24000" description:"port of the first backend server"`
 }
 
@@ -140,7 +141,7 @@
 	return nil
 }
 
-// spread is the middle and the highest of some numbers.
+// spread is the median and the maximum of a set of numbers.
 type spread struct{ middle, most int64 }
 
 func median(runs []bench.Recovery, value func(bench.Recovery) int64) spread {
--- a/cmd/cicada-controller/main.go
+++ b/cmd/cicada-controller/main.go
@@ -1,4 +1,4 @@
-// Command cicada-controller is the control part of an entry host.
+// Command cicada-controller is the controller daemon of a host.
 package main
 
 import (
--- a/cmd/cicada-gateway/main.go
+++ b/cmd/cicada-gateway/main.go
@@ -1,5 +1,6 @@
-// Command cicada-gateway is the one daemon of a host on a hosted platform: the
-// data path, and, at one host a service, the control of keys.
+// Command cicada-gateway is the only daemon of a host on a hosted platform. It forwards
+// callers' requests; for each service, the daemon of one host also controls which servers
+// own which keys.
 package main
 
 import (
--- a/cmd/cicada-load/main.go
+++ b/cmd/cicada-load/main.go
@@ -1,4 +1,5 @@
-// Command cicada-load runs experiments: load, faults and the check of promises.
+// Command cicada-load runs experiments: it generates load, injects faults and checks the
+// system's guarantees.
 package main
 
 import (
@@ -12,8 +13,8 @@
 )
 
 type options struct {
-	Quiet bool   `short:"q" long:"quiet" description:"no live progress"`
-	Plot  string `long:"plot" value-name:"HTML" description:"do not run: plot the results named, side by side, into this page"`
+	Quiet bool   `short:"q" long:"quiet" description:"don't print progress"`
+	Plot  string `long:"plot" value-name:"HTML" description:"don't run an experiment, but plot the given results side by side into this HTML file"`
 	Args  struct {
 		Files []string `positional-arg-name:"FILE" required:"1" description:"INI file of the experiment, or JSON results to plot"`
 	} `positional-args:"yes"`
@@ -22,26 +23,26 @@
 func main() { os.Exit(run()) }
 
 func run() int {
-	var given options
-	if code, done := program.Parse(&given); done {
+	var opts options
+	if code, done := program.Parse(&opts); done {
 		return code
 	}
-	if given.Plot != "" {
-		if err := load.PlotFiles(given.Plot, given.Args.Files); err != nil {
+	if opts.Plot != "" {
+		if err := load.PlotFiles(opts.Plot, opts.Args.Files); err != nil {
 			return program.Fail(err)
 		}
 		return program.ExitOK
 	}
-	experiment, err := load.ReadExperiment(given.Args.Files[0])
+	experiment, err := load.ReadExperiment(opts.Args.Files[0])
 	if err != nil {
 		return program.Usage(err)
 	}
 	ctx, stop := program.Signals()
 	defer stop()
-	report := load.NewRunner(experiment).Run(ctx, func(now load.Progress) {
-		if !given.Quiet {
+	report := load.NewRunner(experiment).Run(ctx, func(progress load.Progress) {
+		if !opts.Quiet {
 			fmt.Fprintf(os.Stderr, "%4s  started %d  ended %d  done %d  other %d  healthy entry hosts %d\n",
-				now.Elapsed.Round(time.Second), now.Started, now.Ended, now.Done, now.Refused, now.Entries)
+				progress.Elapsed.Round(time.Second), progress.Started, progress.Ended, progress.Done, progress.Refused, progress.Entries)
 		}
 	})
 	report.WriteText(os.Stdout)
--- a/cmd/cicada-router/main.go
+++ b/cmd/cicada-router/main.go
@@ -1,4 +1,4 @@
-// Command cicada-router is the data path of an entry host.
+// Command cicada-router is the daemon of a host that forwards callers' requests.
 package main
 
 import (
--- a/cmd/cicada-soak/main.go
+++ b/cmd/cicada-soak/main.go
@@ -1,5 +1,5 @@
-// Command cicada-soak runs cicada-gateway processes under a random series of
-// faults and checks the promises; see package soak.
+// Command cicada-soak runs cicada-gateway processes, injects a random sequence of faults
+// and checks the system's guarantees; see package soak.
 package main
 
 import (
@@ -17,74 +17,74 @@
 )
 
 type options struct {
-	Program string        `long:"program" default:"bin/cicada-gateway" description:"the built daemon"`
-	Dir     string        `long:"dir" default:"run/soak" description:"where logs of failed seeds are left"`
-	Seeds   []uint64      `long:"seed" description:"seed to play; may be given more than once"`
-	Series  int           `long:"series" description:"version of the list of faults that the seeds were drawn with; the current one if not given"`
-	Fresh   int           `long:"fresh" description:"further seeds drawn now"`
-	Kept    bool          `long:"kept" description:"play the seeds that have failed once"`
-	Hosts   int           `long:"hosts" default:"4" description:"hosts"`
-	Servers int           `long:"servers" default:"4" description:"backend servers of each of two services"`
-	Callers int           `long:"callers" default:"12" description:"callers"`
-	Length  time.Duration `long:"length" default:"15s" description:"for how long faults begin"`
-	Every   time.Duration `long:"every" default:"700ms" description:"mean time between two faults"`
-	Only    string        `long:"only" description:"play only faults whose names contain this"`
-	Quiet   bool          `long:"quiet" description:"do not print each fault"`
+	Program string        `long:"program" default:"bin/cicada-gateway" description:"path of the cicada-gateway binary"`
+	Dir     string        `long:"dir" default:"run/soak" description:"directory in which the logs of failed seeds are kept"`
+	Seeds   []uint64      `long:"seed" description:"seed to run; may be given more than once"`
+	Series  int           `long:"series" description:"version of the list of faults with which the seeds were drawn; default is the current one"`
+	Fresh   int           `long:"fresh" description:"number of additional random seeds"`
+	Kept    bool          `long:"kept" description:"run the regression seeds, which have failed before"`
+	Hosts   int           `long:"hosts" default:"4" description:"number of hosts"`
+	Servers int           `long:"servers" default:"4" description:"number of backend servers of each of the two services"`
+	Callers int           `long:"callers" default:"12" description:"number of callers"`
+	Length  time.Duration `long:"length" default:"15s" description:"time during which faults are started"`
+	Every   time.Duration `long:"every" default:"700ms" description:"mean time between the starts of two faults"`
+	Only    string        `long:"only" description:"inject only faults whose names contain this text"`
+	Quiet   bool          `long:"quiet" description:"don't print each fault"`
 }
 
 func main() {
-	var given options
-	if _, err := flags.Parse(&given); err != nil {
+	var opts options
+	if _, err := flags.Parse(&opts); err != nil {
 		os.Exit(program.ExitUsage)
 	}
-	failed, err := play(given)
+	failed, err := play(opts)
 	if err != nil {
 		os.Exit(program.Fail(err))
 	}
 	if failed > 0 {
-		os.Exit(program.Fail(eris.Errorf("%d seeds broke a promise", failed)))
+		os.Exit(program.Fail(eris.Errorf("%d seeds violated a guarantee", failed)))
 	}
 }
 
-// play plays all seeds and returns how many broke a promise.
-func play(given options) (failed int, err error) {
+// play runs all seeds and returns how many of them violated a guarantee.
+func play(opts options) (failed int, err error) {
 	ctx, stop := program.Signals()
 	defer stop()
-	var chosen []soak.Regression
-	for _, seed := range given.Seeds {
-		chosen = append(chosen, soak.Regression{Seed: seed, Series: soak.Series(given.Series)})
+	var runs []soak.Regression
+	for _, seed := range opts.Seeds {
+		runs = append(runs, soak.Regression{Seed: seed, Series: soak.Series(opts.Series)})
 	}
-	if given.Kept {
-		chosen = append(chosen, soak.Regressions()...)
+	if opts.Kept {
+		runs = append(runs, soak.Regressions()...)
 	}
-	for range given.Fresh {
-		chosen = append(chosen, soak.Regression{Seed: rand.Uint64() >> 32, Series: soak.CurrentSeries})
+	for range opts.Fresh {
+		runs = append(runs, soak.Regression{Seed: rand.Uint64() >> 32, Series: soak.CurrentSeries})
 	}
-	for _, each := range chosen {
-		seed := each.Seed
-		dir := filepath.Join(given.Dir, fmt.Sprintf("seed-%d", seed))
+	for _, run := range runs {
+		seed := run.Seed
+		dir := filepath.Join(opts.Dir, fmt.Sprintf("seed-%d", seed))
 		if err := os.MkdirAll(dir, 0o700); err != nil {
-			return failed, eris.Wrap(err, "folder for logs")
+			return failed, eris.Wrap(err, "creating the directory for logs")
 		}
 		print := func(line string) { fmt.Println(line) }
-		if given.Quiet {
+		if opts.Quiet {
 			print = func(string) {}
 		}
-		result, err := soak.Run(ctx, soak.Options{Program: given.Program, Dir: dir, Seed: seed, Series: each.Series, Only: given.Only, Hosts: given.Hosts, Servers: given.Servers,
-			Callers: given.Callers, Length: given.Length, Every: given.Every, Print: print})
+		result, err := soak.Run(ctx, soak.Options{Program: opts.Program, Dir: dir, Seed: seed, Series: run.Series, Only: opts.Only, Hosts: opts.Hosts, Servers: opts.Servers,
+			Callers: opts.Callers, Length: opts.Length, Every: opts.Every, Print: print})
 		if err != nil {
 			return failed, eris.Wrapf(err, "seed %d; logs in %s", seed, dir)
 		}
 		fmt.Printf("seed %d: %d faults, %d requests, answers by status %v, %d servers ended by requests, %d broken\n", seed, result.Faults, result.Requests, result.Statuses, result.EndedServers, len(result.Broken))
-		for _, broken := range result.Broken {
-			fmt.Println("  BROKEN", broken)
+		for _, violation := range result.Broken {
+			fmt.Println("  BROKEN", violation)
 		}
 		if len(result.Broken) > 0 {
 			failed++
 			continue
 		}
 		if err := os.RemoveAll(dir); err != nil {
-			return failed, eris.Wrap(err, "removing logs of a seed without findings")
+			return failed, eris.Wrap(err, "removing the logs of a seed that passed")
 		}
 	}
 	return failed, nil
--- a/cmd/cicada-standin/hosted.go
+++ b/cmd/cicada-standin/hosted.go
@@ -13,23 +13,23 @@
 	"cicadarouter/platform/platformtest"
 )
 
-// hostedCommand runs a site on the hosted platform's protocol, puts load on its
-// hosts, and checks what callers were told.
+// hostedCommand runs a stand-in site with the hosted platform's protocol, sends load to
+// the hosts and checks the responses that callers received.
 type hostedCommand struct {
 	Listen    string        `long:"listen" required:"yes" value-name:"IP:PORT" description:"address of the store"`
-	IP        string        `long:"ip" default:"127.0.0.1" description:"IP number of the backend servers"`
-	BasePort  int           `long:"base-port" required:"yes" description:"first port of the backend servers"`
-	Count     int           `long:"count" default:"4" description:"backend servers a service"`
-	Hosts     string        `long:"hosts" required:"yes" value-name:"IP:PORT,..." description:"where the hosts take callers"`
-	Callers   int           `long:"callers" default:"16" description:"callers"`
-	Wait      time.Duration `long:"wait" default:"6s" description:"time before the load, in which hosts start"`
-	Duration  time.Duration `long:"duration" default:"14s" description:"length of the load"`
-	AwayAt    time.Duration `long:"store-away-at" default:"3s" description:"when the store turns calls away"`
-	AwayFor   time.Duration `long:"store-away-for" default:"4s" description:"for how long"`
-	JoinAfter time.Duration `long:"join-at" default:"9s" description:"when a backend server joins"`
+	IP        string        `long:"ip" default:"127.0.0.1" description:"IP address of the backend servers"`
+	BasePort  int           `long:"base-port" required:"yes" description:"port of the first backend server"`
+	Count     int           `long:"count" default:"4" description:"number of backend servers of each service"`
+	Hosts     string        `long:"hosts" required:"yes" value-name:"IP:PORT,..." description:"addresses at which the hosts accept callers"`
+	Callers   int           `long:"callers" default:"16" description:"number of callers"`
+	Wait      time.Duration `long:"wait" default:"6s" description:"time for hosts to start before the load begins"`
+	Duration  time.Duration `long:"duration" default:"14s" description:"duration of the load"`
+	AwayAt    time.Duration `long:"store-away-at" default:"3s" description:"time after which the store starts to reject calls"`
+	AwayFor   time.Duration `long:"store-away-for" default:"4s" description:"time for which the store rejects calls"`
+	JoinAfter time.Duration `long:"join-at" default:"9s" description:"time after which a backend server joins"`
 }
 
-// heldTwiceEvery is how often the servers are looked at for keys held twice.
+// heldTwiceEvery is the interval of the check for keys that two servers hold.
 const heldTwiceEvery = 20 * time.Millisecond
 
 // Execute implements flags.Commander.
@@ -46,11 +46,11 @@
 	load := &platformtest.Load{Hosts: strings.Split(c.Hosts, ","), Callers: c.Callers}
 	joined := make(chan error, 1)
 	go func() { joined <- c.trouble(loading, ctx, site) }()
-	held := make(chan []string, 1)
-	go func() { held <- watchKeys(loading, site) }()
+	violations := make(chan []string, 1)
+	go func() { violations <- watchKeys(loading, site) }()
 	load.Run(loading)
 	report := load.Check(site.RunsByID())
-	report.Broken = append(report.Broken, <-held...)
+	report.Broken = append(report.Broken, <-violations...)
 	report.Broken = append(report.Broken, site.Overlaps()...)
 	if err := <-joined; err != nil {
 		return err
@@ -58,17 +58,17 @@
 	used, keyed := site.ServersUsed()
 	fmt.Printf("%d requests; answers by status: %v; %d of %d owners of keys used; %d calls to the store\n",
 		report.Sent, report.Statuses, used, keyed, site.Store.Calls())
-	for _, broken := range report.Broken {
-		fmt.Println("BROKEN:", broken)
+	for _, violation := range report.Broken {
+		fmt.Println("BROKEN:", violation)
 	}
 	if len(report.Broken) > 0 {
-		return eris.Errorf("%d promises broken", len(report.Broken))
+		return eris.Errorf("%d guarantees violated", len(report.Broken))
 	}
 	fmt.Println("no promise was broken")
 	return nil
 }
 
-// trouble takes the store away for a while and lets a server join.
+// trouble makes the store unavailable for some time, then adds a backend server.
 func (c *hostedCommand) trouble(loading, serving context.Context, site *platformtest.Site) error {
 	clock.Sleep(loading, c.AwayAt)
 	site.Store.SetFaults(platformtest.Faults{Refuse: true})
@@ -81,13 +81,15 @@
 	return site.AddKeyed(serving)
 }
 
+// watchKeys checks until the context ends that no two servers hold the same key, and
+// returns the violations.
 func watchKeys(ctx context.Context, site *platformtest.Site) []string {
-	var broken []string
+	var violations []string
 	for ctx.Err() == nil {
 		if key, held := site.HeldTwice(); held {
-			broken = append(broken, fmt.Sprintf("key %d is held by two servers", key))
+			violations = append(violations, fmt.Sprintf("key %d is held by two servers", key))
 		}
 		clock.Sleep(ctx, heldTwiceEvery)
 	}
-	return broken
+	return violations
 }
--- a/cmd/cicada-standin/main.go
+++ b/cmd/cicada-standin/main.go
@@ -1,5 +1,5 @@
-// Command cicada-standin runs stand-ins of the platform and of backend servers,
-// for trying the system out.
+// Command cicada-standin runs stand-ins for the platform and for backend servers, so that
+// the system can be tried out without them.
 package main
 
 import (
@@ -35,34 +35,34 @@
 
 type platformCommand struct {
 	Listen    string        `long:"listen" required:"yes" value-name:"IP:PORT" description:"address of the store"`
-	HostsFile string        `long:"hosts" value-name:"FILE" description:"JSON list of entry hosts; it is read again when it changes"`
-	HostLag   time.Duration `long:"host-lag" default:"500ms" description:"how late changes of the host list become visible"`
+	HostsFile string        `long:"hosts" value-name:"FILE" description:"JSON list of hosts; the file is read again when it changes"`
+	HostLag   time.Duration `long:"host-lag" default:"500ms" description:"delay after which changes of the host list become visible"`
 }
 
 // Execute implements flags.Commander.
 func (c *platformCommand) Execute([]string) error {
-	served := standin.NewPlatform()
-	served.HostLag = c.HostLag
+	standIn := standin.NewPlatform()
+	standIn.HostLag = c.HostLag
 	ctx, stop := program.Signals()
 	defer stop()
 	if c.HostsFile != "" {
-		go followHosts(ctx, served, c.HostsFile)
+		go followHosts(ctx, standIn, c.HostsFile)
 	}
-	return serve(ctx, c.Listen, served.Handler())
+	return serve(ctx, c.Listen, standIn.Handler())
 }
 
-// followHosts reads the hosts file when it has changed.
-func followHosts(ctx context.Context, served *standin.Platform, file string) {
-	const every = 200 * time.Millisecond
-	var seen time.Time
+// followHosts updates the host list whenever its file changes, until the context ends.
+func followHosts(ctx context.Context, platform *standin.Platform, file string) {
+	const pollInterval = 200 * time.Millisecond
+	var modified time.Time
 	for ctx.Err() == nil {
-		if info, err := os.Stat(file); err == nil && !info.ModTime().Equal(seen) {
-			seen = info.ModTime()
+		if info, err := os.Stat(file); err == nil && !info.ModTime().Equal(modified) {
+			modified = info.ModTime()
 			if hosts, err := readHosts(file); err == nil {
-				served.SetHosts(hosts)
+				platform.SetHosts(hosts)
 			}
 		}
-		time.Sleep(every)
+		time.Sleep(pollInterval)
 	}
 }
 
@@ -76,20 +76,20 @@
 	return hosts, err
 }
 
-// fleetOptions describe a fleet on the command line.
+// fleetOptions are the flags that describe a group of backend servers.
 type fleetOptions struct {
 	Service     string        `long:"service" required:"yes" description:"service that the servers belong to"`
-	Domains     string        `long:"domains" required:"yes" value-name:"A,B,..." description:"failure domains, dealt out in turn"`
+	Domains     string        `long:"domains" required:"yes" value-name:"A,B,..." description:"failure domains, assigned to the servers in turn"`
 	Count       int           `long:"count" required:"yes" description:"number of servers"`
-	IP          string        `long:"ip" default:"127.0.0.1" description:"IP number of the servers"`
+	IP          string        `long:"ip" default:"127.0.0.1" description:"IP address of the servers"`
 	BasePort    int           `long:"base-port" required:"yes" description:"port of the first server"`
-	Slots       int           `long:"slots" default:"4" description:"requests that a server runs at a time"`
-	Connections int           `long:"connections" default:"130" description:"connections that a server accepts"`
-	Work        time.Duration `long:"work" default:"2ms" description:"time that a request holds a slot"`
-	Unchecked   bool          `long:"unchecked" description:"servers do not check tokens"`
-	ColdFor     time.Duration `long:"cold-for" default:"0s" description:"time for which a started server is slow"`
-	ColdFactor  float64       `long:"cold-factor" default:"4" description:"how much slower a cold server is"`
-	ReportLag   time.Duration `long:"report-lag" default:"500ms" description:"age of reported loads"`
+	Slots       int           `long:"slots" default:"4" description:"number of requests that a server processes concurrently"`
+	Connections int           `long:"connections" default:"130" description:"maximum number of connections of a server"`
+	Work        time.Duration `long:"work" default:"2ms" description:"processing time of a request"`
+	Unchecked   bool          `long:"unchecked" description:"servers don't check tokens"`
+	ColdFor     time.Duration `long:"cold-for" default:"0s" description:"time for which a server is slow after its start"`
+	ColdFactor  float64       `long:"cold-factor" default:"4" description:"factor by which a server is slower during that time"`
+	ReportLag   time.Duration `long:"report-lag" default:"500ms" description:"delay of the reported loads"`
 }
 
 func (o fleetOptions) config() standin.FleetConfig {
@@ -113,7 +113,7 @@
 
 type serversCommand struct {
 	fleetOptions
-	Admin string `long:"admin" required:"yes" value-name:"IP:PORT" description:"address of the fleet's switches"`
+	Admin string `long:"admin" required:"yes" value-name:"IP:PORT" description:"address for controlling the servers"`
 }
 
 // Execute implements flags.Commander.
@@ -148,7 +148,7 @@
 type passthroughCommand struct {
 	fleetOptions
 	Listen  string `long:"listen" required:"yes" value-name:"IP:PORT" description:"address for callers"`
-	Balance string `long:"balance" choice:"hash" choice:"turn" default:"hash" description:"consistent hashing, or each in turn"`
+	Balance string `long:"balance" choice:"hash" choice:"turn" default:"hash" description:"consistent hashing or round robin"`
 }
 
 // Execute implements flags.Commander.
--- a/cmd/cicadactl/commands.go
+++ b/cmd/cicadactl/commands.go
@@ -18,7 +18,7 @@
 	"cicadarouter/record"
 )
 
-// callTimeout bounds every subcommand but watch.
+// callTimeout bounds the store calls of every subcommand except watch.
 const callTimeout = 15 * time.Second
 
 func commands(shared *globals) []program.Command {
@@ -58,7 +58,7 @@
 }
 
 type fileArgs struct {
-	Files []string `positional-arg-name:"FILE" required:"1" description:"files of JSON, or - for standard input"`
+	Files []string `positional-arg-name:"FILE" required:"1" description:"JSON files, or - for standard input"`
 }
 
 func readFiles(files []string) ([]operator.Document, error) {
@@ -113,8 +113,8 @@
 
 type applyCommand struct {
 	globals *globals
-	DryRun  bool     `long:"dry-run" description:"check and compare, but write nothing"`
-	Replace bool     `long:"replace" description:"overwrite whatever version is in force"`
+	DryRun  bool     `long:"dry-run" description:"check and compare the records, but write nothing"`
+	Replace bool     `long:"replace" description:"overwrite the stored record, whatever its version"`
 	Args    fileArgs `positional-args:"yes"`
 }
 
@@ -161,7 +161,7 @@
 	})
 }
 
-// asUsage marks errors in the records as the operator's to mend.
+// asUsage marks invalid records as an error in the operator's input.
 func asUsage(err error) error {
 	var check *record.CheckError
 	var field *record.FieldError
@@ -172,13 +172,13 @@
 }
 
 type refArgs struct {
-	Ref string `positional-arg-name:"KIND/NAME" required:"yes" description:"such as service/results"`
+	Ref string `positional-arg-name:"KIND/NAME" required:"yes" description:"for example service/results"`
 }
 
 func (a refArgs) parse() (record.Ref, error) {
 	kind, name, ok := strings.Cut(a.Ref, "/")
 	if !ok || kind == "" || name == "" {
-		return record.Ref{}, &program.InputError{Cause: &record.FieldError{Field: "KIND/NAME", Value: a.Ref, Fix: "use a form such as service/results"}}
+		return record.Ref{}, &program.InputError{Cause: &record.FieldError{Field: "KIND/NAME", Value: a.Ref, Fix: "must be a kind and a name, such as service/results"}}
 	}
 	return record.Ref{Kind: record.Kind(kind), Name: name}, nil
 }
@@ -237,7 +237,7 @@
 
 type deleteCommand struct {
 	globals *globals
-	Version uint64  `long:"version" required:"yes" description:"version that get printed"`
+	Version uint64  `long:"version" required:"yes" description:"version printed by get"`
 	Args    refArgs `positional-args:"yes"`
 }
 
--- a/cmd/cicadactl/hosted.go
+++ b/cmd/cicadactl/hosted.go
@@ -19,31 +19,32 @@
 	"cicadarouter/routing"
 )
 
-// hostedCommand shows what lies in the store of a hosted platform.
+// hostedCommand shows the contents of a hosted platform's store.
 type hostedCommand struct {
 	globals *globals
 }
 
-// hostedState is what the store of a hosted platform holds for the gateways.
+// hostedState is the state of the gateways in a hosted platform's store.
 type hostedState struct {
 	Configuration uint64                `json:"configuration"`
 	Services      []hostedService       `json:"services"`
 	Assignments   map[string]hostedKeys `json:"assignments"`
-	// Evacuated tells of each evacuated failure domain what is left there.
+	// Evacuated describes what is left in each evacuated failure domain.
 	Evacuated map[string]*hostedEvacuation `json:"evacuated,omitempty"`
-	// Quarantines are the requests that are turned away since every server that ran them
-	// ended, by the service whose controller keeps them.
+	// Quarantines are the requests that are rejected because servers crashed while running
+	// them, by the service whose controller stores them.
 	Quarantines map[string]gateway.Quarantine `json:"quarantines,omitempty"`
 	// Faults lists objects that can't be read.
 	Faults []string `json:"faults,omitempty"`
 }
 
-// hostedEvacuation is what an evacuated failure domain still holds.
+// hostedEvacuation counts the servers and keys that an evacuated failure domain still
+// has.
 type hostedEvacuation struct {
 	Revision uint64 `json:"revision"`
 	Servers  int    `json:"servers"`
-	// Keys is the number of keys that its servers still own, Releasing of those that
-	// have passed on in the record and wait until its servers release them.
+	// Keys is the number of keys that its servers own. Releasing is the number of keys
+	// that the record assigns to another owner and that its servers have not released yet.
 	Keys      int `json:"keys"`
 	Releasing int `json:"releasing"`
 }
@@ -56,13 +57,13 @@
 	Slots    int    `json:"slots"`
 }
 
-// hostedKeys is who owns a service's keys.
+// hostedKeys describes which servers own the keys of a service.
 type hostedKeys struct {
 	Revision uint64          `json:"revision"`
 	Record   keyspace.Record `json:"record"`
-	// Moving is the number of keys between owners.
+	// Moving is the number of keys that are being moved between owners.
 	Moving int `json:"moving"`
-	// KeysOf is the number of keys by owner.
+	// KeysOf is the number of keys of each owner.
 	KeysOf map[string]int `json:"keysOf"`
 }
 
@@ -86,47 +87,47 @@
 	}
 	configuration, err := registry.Configuration(object)
 	if err != nil {
-		return nil, eris.Wrap(err, "the configuration in the store is not valid")
+		return nil, eris.Wrap(err, "invalid configuration in the store")
 	}
 	state.Configuration = configuration.Version
 	servers, err := store.List(ctx, registry.Servers())
 	if err != nil {
-		return nil, eris.Wrap(err, "reading the registry")
+		return nil, eris.Wrap(err, "listing the registry")
 	}
 	state.count(configuration, servers)
 	records, err := store.List(ctx, gateway.Assignments)
 	if err != nil {
-		return nil, eris.Wrap(err, "reading the assignments")
+		return nil, eris.Wrap(err, "listing the assignments")
 	}
 	for _, record := range records.Objects {
 		state.add(record)
 	}
 	evacuations, err := store.List(ctx, registry.Evacuations())
 	if err != nil {
-		return nil, eris.Wrap(err, "reading the evacuations")
+		return nil, eris.Wrap(err, "listing the evacuations")
 	}
 	state.evacuate(evacuations, servers)
 	quarantines, err := store.List(ctx, gateway.Quarantines)
 	if err != nil {
-		return nil, eris.Wrap(err, "reading the quarantines")
+		return nil, eris.Wrap(err, "listing the quarantines")
 	}
 	state.quarantine(quarantines)
 	return state, nil
 }
 
-// quarantine takes the requests in quarantine.
+// quarantine adds the requests in quarantine.
 func (s *hostedState) quarantine(listing objects.Listing) {
 	for _, object := range listing.Objects {
-		kept, err := gateway.ReadQuarantine(object.Spec)
+		quarantine, err := gateway.ReadQuarantine(object.Spec)
 		if err != nil {
 			s.Faults = append(s.Faults, "quarantine "+object.Name+": "+err.Error())
 			continue
 		}
-		s.Quarantines[object.Name] = kept
+		s.Quarantines[object.Name] = quarantine
 	}
 }
 
-// evacuate counts what the evacuated domains still hold.
+// evacuate counts the servers and keys that evacuated domains still have.
 func (s *hostedState) evacuate(evacuations, servers objects.Listing) {
 	registry := platform.Registry{}
 	for _, object := range evacuations.Objects {
@@ -137,36 +138,37 @@
 		}
 		s.Evacuated[domain] = &hostedEvacuation{Revision: object.Revision}
 	}
-	within := map[string]*hostedEvacuation{} // by server
+	byServer := map[string]*hostedEvacuation{} // by server
 	for _, object := range servers.Objects {
 		server, err := registry.Server(object)
 		if evacuation := s.Evacuated[server.Domain]; err == nil && evacuation != nil {
 			evacuation.Servers++
-			within[server.ID] = evacuation
+			byServer[server.ID] = evacuation
 		}
 	}
 	for _, keys := range s.Assignments {
-		countEvacuated(keys.Record.Ranges, within)
+		countEvacuated(keys.Record.Ranges, byServer)
 	}
 }
 
-// countEvacuated counts the keys that evacuated servers still own or have to release.
-// within is the evacuation that each server is subject to.
-func countEvacuated(ranges []keyspace.Range, within map[string]*hostedEvacuation) {
+// countEvacuated counts the keys that servers in evacuated domains still own or have yet
+// to release. evacuations holds the evacuation of each such server.
+func countEvacuated(ranges []keyspace.Range, evacuations map[string]*hostedEvacuation) {
 	for i := range ranges {
 		r := &ranges[i]
 		n := int(r.To) - int(r.From) + 1
-		if evacuation := within[r.Server]; evacuation != nil {
+		if evacuation := evacuations[r.Server]; evacuation != nil {
 			evacuation.Keys += n
 		}
 		for _, former := range r.FormerHolders {
-			if evacuation := within[former.Server]; evacuation != nil {
+			if evacuation := evacuations[former.Server]; evacuation != nil {
 				evacuation.Releasing += n
 			}
 		}
 	}
 }
 
+// count counts the servers of each service.
 func (s *hostedState) count(configuration *routing.Configuration, listing objects.Listing) {
 	byName := map[string]*hostedService{}
 	for name, service := range configuration.Services {
@@ -194,6 +196,7 @@
 	}
 }
 
+// add adds the assignment of a service.
 func (s *hostedState) add(object objects.Object) {
 	keys := hostedKeys{Revision: object.Revision, KeysOf: map[string]int{}}
 	if err := json.Unmarshal(object.Spec, &keys.Record); err != nil {
@@ -214,7 +217,7 @@
 	s.Assignments[object.Name] = keys
 }
 
-// table writes the state for people.
+// table writes the state as tables.
 func (s *hostedState) table(out io.Writer) {
 	fmt.Fprintf(out, "configuration\t%d\n\nSERVICE\tKEYED\tSERVERS\tDRAINING\tSLOTS\n", s.Configuration)
 	for _, service := range s.Services {
@@ -235,8 +238,8 @@
 		}
 	}
 	for _, domain := range slices.Sorted(maps.Keys(s.Evacuated)) {
-		left := s.Evacuated[domain]
-		fmt.Fprintf(out, "\nevacuated %s\trevision %d, %d servers, %d keys left, %d keys being released\n", domain, revision.Number(left.Revision), left.Servers, left.Keys, left.Releasing)
+		evacuation := s.Evacuated[domain]
+		fmt.Fprintf(out, "\nevacuated %s\trevision %d, %d servers, %d keys left, %d keys being released\n", domain, revision.Number(evacuation.Revision), evacuation.Servers, evacuation.Keys, evacuation.Releasing)
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Quarantines)) {
 		for _, each := range s.Quarantines[name].Cases {
--- a/cmd/cicadactl/hosted_test.go
+++ b/cmd/cicadactl/hosted_test.go
@@ -60,8 +60,8 @@
 	assert.Assert(t, strings.Contains(out.String(), "1970-01-01T00:01:00Z"), out.String())
 }
 
-// Guards against an assignment that the store held before it forgot a later one being shown as
-// the one in force.
+// Guards against an outdated assignment being shown as the current one. It happens after the
+// store was restored from a copy that lacks a later assignment.
 func TestAssignmentOfAnEarlierEraIsShownAsSuch(t *testing.T) {
 	record := keyspace.NewRecord(keyspace.Controller{Host: "one"}, 1, []keyspace.Server{{ID: "a", Slots: 1}})
 	for era, want := range map[uint64]bool{1: false, 2: true} {
@@ -73,28 +73,29 @@
 	}
 }
 
-// A release ends the quarantine wherever it is kept, and says so if there is none.
+// Checks that release ends the quarantine of a request at all controllers that store it,
+// and fails if the request isn't in quarantine.
 func TestReleaseEndsAQuarantine(t *testing.T) {
 	store, ctx := memobjects.New(), context.Background()
-	const held, other = "00112233445566778899aabbccddeeff", "ffeeddccbbaa99887766554433221100"
+	const quarantined, other = "00112233445566778899aabbccddeeff", "ffeeddccbbaa99887766554433221100"
 	for _, name := range []string{"one", "two"} {
-		_, err := store.Put(ctx, objects.Object{Kind: gateway.Quarantines, Name: name, Spec: []byte(`{"cases":[{"request":"` + held + `"},{"request":"` + other + `"}]}`)})
+		_, err := store.Put(ctx, objects.Object{Kind: gateway.Quarantines, Name: name, Spec: []byte(`{"cases":[{"request":"` + quarantined + `"},{"request":"` + other + `"}]}`)})
 		assert.NilError(t, err)
 	}
-	mark, err := parseFingerprint(held)
+	request, err := parseFingerprint(quarantined)
 	assert.NilError(t, err)
-	released, err := release(ctx, store, mark)
+	released, err := release(ctx, store, request)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, released, []string{"one", "two"})
 	listing, err := store.List(ctx, gateway.Quarantines)
 	assert.NilError(t, err)
 	for _, object := range listing.Objects {
-		kept, err := gateway.ReadQuarantine(object.Spec)
+		quarantine, err := gateway.ReadQuarantine(object.Spec)
 		assert.NilError(t, err)
-		assert.Equal(t, len(kept.Cases), 1)
-		assert.Equal(t, kept.Released[0].Request, mark)
+		assert.Equal(t, len(quarantine.Cases), 1)
+		assert.Equal(t, quarantine.Released[0].Request, request)
 	}
-	_, err = release(ctx, store, mark)
+	_, err = release(ctx, store, request)
 	assert.ErrorContains(t, err, "is not in quarantine")
 	_, err = parseFingerprint("abc")
 	assert.ErrorContains(t, err, "32 hexadecimal digits")
--- a/cmd/cicadactl/logs.go
+++ b/cmd/cicadactl/logs.go
@@ -13,11 +13,11 @@
 	"cicadarouter/logread"
 )
 
-// logsCommand reads the hosts' logs.
+// logsCommand analyzes the hosts' logs.
 type logsCommand struct {
 	globals *globals
-	Request string   `long:"request" value-name:"ID" description:"tell the story of this request in place of a summary"`
-	Quiet   bool     `long:"quiet" description:"show no progress"`
+	Request string   `long:"request" value-name:"ID" description:"show the log lines of this request instead of a summary"`
+	Quiet   bool     `long:"quiet" description:"don't print progress"`
 	Args    fileArgs `positional-args:"yes"`
 }
 
@@ -28,11 +28,11 @@
 		return err
 	}
 	if c.Request != "" {
-		teller := logread.NewStoryteller(c.Request)
-		if err := c.scan(files, teller.Take); err != nil {
+		collector := logread.NewStoryteller(c.Request)
+		if err := c.scan(files, collector.Take); err != nil {
 			return err
 		}
-		story := teller.Story()
+		story := collector.Story()
 		return c.globals.print(story, story.Table)
 	}
 	summarizer := logread.NewSummarizer()
@@ -43,13 +43,13 @@
 	return c.globals.print(summary, summary.Table)
 }
 
-// standardInput is how a command line names it.
+// standardInput is the file name that stands for standard input.
 const standardInput = "-"
 
-// logFiles returns the files named, and those below the folders named, in order.
-func logFiles(named []string) ([]string, error) {
+// logFiles returns the named files and all files in the named directories, in order.
+func logFiles(names []string) ([]string, error) {
 	var files []string
-	for _, name := range named {
+	for _, name := range names {
 		if name == standardInput {
 			files = append(files, name)
 			continue
@@ -61,7 +61,7 @@
 			return err
 		})
 		if err != nil {
-			return nil, eris.Wrap(err, "looking for logs")
+			return nil, eris.Wrap(err, "listing log files")
 		}
 	}
 	return slices.Compact(files), nil
@@ -87,7 +87,7 @@
 	if name != standardInput {
 		file, err := os.Open(name)
 		if err != nil {
-			return 0, eris.Wrap(err, "opening a log")
+			return 0, eris.Wrap(err, "opening a log file")
 		}
 		defer file.Close()
 		in = file
--- a/cmd/cicadactl/main.go
+++ b/cmd/cicadactl/main.go
@@ -1,5 +1,5 @@
-// Command cicadactl is the operators' command line. It reads and writes records
-// in the platform's store and nothing else.
+// Command cicadactl is the command-line tool for operators. It reads and writes objects
+// in the platform's store, and reads the logs of hosts; it doesn't contact the hosts.
 package main
 
 import (
@@ -10,10 +10,10 @@
 	"cicadarouter/host/program"
 )
 
-// globals are the flags of every subcommand.
+// globals are the flags that all subcommands have in common.
 type globals struct {
 	Store  string `long:"store" env:"CICADA_STORE" value-name:"IP:PORT" default:"127.0.0.1:7000" description:"address of the platform's store"`
-	Output string `short:"o" long:"output" choice:"table" choice:"json" default:"table" description:"how to print"`
+	Output string `short:"o" long:"output" choice:"table" choice:"json" default:"table" description:"output format"`
 }
 
 var _ flags.Commander = (*applyCommand)(nil)
--- a/cmd/cicadactl/release.go
+++ b/cmd/cicadactl/release.go
@@ -21,7 +21,7 @@
 type releaseCommand struct {
 	globals *globals
 	Args    struct {
-		Fingerprint string `positional-arg-name:"FINGERPRINT" description:"of the request, 32 hexadecimal digits"`
+		Fingerprint string `positional-arg-name:"FINGERPRINT" description:"fingerprint of the request, 32 hexadecimal digits"`
 	} `positional-args:"yes" required:"yes"`
 }
 
@@ -48,27 +48,27 @@
 	return request, err
 }
 
-// release ends the quarantine of a request at every controller that keeps it, and
-// returns the names of their objects.
+// release ends the quarantine of a request in all objects that contain it, and returns
+// the names of these objects.
 func release(ctx context.Context, store objects.Store, request poison.Fingerprint) ([]string, error) {
 	listing, err := store.List(ctx, gateway.Quarantines)
 	if err != nil {
-		return nil, eris.Wrap(err, "reading the quarantines")
+		return nil, eris.Wrap(err, "listing the quarantines")
 	}
 	var released []string
 	for _, object := range listing.Objects {
-		kept, err := gateway.ReadQuarantine(object.Spec)
+		quarantine, err := gateway.ReadQuarantine(object.Spec)
 		if err != nil {
 			return released, eris.Wrap(err, object.Name)
 		}
-		if !kept.Release(request, time.Now()) {
+		if !quarantine.Release(request, time.Now()) {
 			continue
 		}
-		if object.Spec, err = json.Marshal(kept); err != nil {
+		if object.Spec, err = json.Marshal(quarantine); err != nil {
 			return released, eris.Wrap(err, "encoding a quarantine")
 		}
 		if _, err := store.Put(ctx, object); err != nil {
-			return released, eris.Wrapf(err, "writing the quarantine kept with %s; try again", object.Name)
+			return released, eris.Wrapf(err, "writing the quarantine of %s; try again", object.Name)
 		}
 		released = append(released, object.Name)
 	}
--- a/cmd/cicadactl/status.go
+++ b/cmd/cicadactl/status.go
@@ -32,7 +32,7 @@
 
 type reportCommand struct {
 	globals *globals
-	HTML    string `long:"html" value-name:"FILE" description:"write a page for a browser instead"`
+	HTML    string `long:"html" value-name:"FILE" description:"write the report as an HTML page to this file"`
 }
 
 // Execute implements flags.Commander.
