--- a/logread/line.go
+++ b/logread/line.go
@@ -1,7 +1,8 @@
-// Package logread reads the JSON lines of any number of hosts in one pass: what
-// became of requests over time and why, who controlled which keys, and the story of
-// one request with what each host believed then. It holds sums, not lines, so its
-// memory does not follow the size of the logs.
+// Package logread reads the JSON logs of any number of hosts in one pass. It either
+// summarizes them (the outcomes of requests over time and the hosts that controlled each
+// service) or collects the lines of one request together with the state that each host had
+// logged before. The summary contains counts instead of lines, so that its memory depends
+// on the time that the logs cover and not on their size.
 package logread
 
 import (
@@ -15,18 +16,18 @@
 	"github.com/rotisserie/eris"
 )
 
-// mostLine bounds a line, in bytes; a longer one is counted and passed over. Lines
-// of hosts are some hundreds of bytes.
+// mostLine is the maximum length of a line in bytes; longer ones are skipped and counted
+// as unreadable. Hosts write lines of some hundreds of bytes.
 const mostLine = 1 << 20
 
-// Line is one line of a host's log, as far as it is read here.
+// Line contains the fields of a log line that this package uses.
 type Line struct {
 	Time    time.Time `json:"time"`
 	Message string    `json:"msg"`
 	Host    string    `json:"host"`
 	Service string    `json:"service"`
 
-	// Of lines that tell of a request.
+	// Fields of lines about a request.
 	Request         string   `json:"request"`
 	Outcome         string   `json:"outcome"`
 	Status          int      `json:"status"`
@@ -34,29 +35,29 @@
 	Key             *int     `json:"key"`
 	AssignmentAgeMs *int64   `json:"assignment-age-ms"`
 
-	// Raw is the line as it was written.
+	// Raw is the text of the line, without anything before the JSON object.
 	Raw string `json:"-"`
 }
 
-// Messages of lines that are told apart.
+// Messages of the lines that the summary evaluates.
 const (
 	messageRequest = "request"
 	messageControl = "in control"
 	messageGaveUp  = "control given up"
 )
 
-// Progress is told how far a pass has come.
+// Progress is called with the numbers of lines and bytes read so far.
 type Progress func(lines, bytes int64)
 
-// progressEvery is after how many lines progress is told.
+// progressEvery is the number of lines between two calls of Progress.
 const progressEvery = 250_000
 
-// Scan calls visit with each line. It returns how many lines could not be read: cut
-// off at the end of a process, or no JSON object. What stands before a line's first
-// brace, such as the name of its host, is passed over.
+// Scan calls visit with each line. It returns the number of unreadable lines: those that
+// are too long, cut off at the end of a process, or not a JSON object. Text before the
+// first brace of a line, such as the name of its host, is ignored.
 func Scan(in io.Reader, visit func(Line), progress Progress) (unreadable int64, err error) {
 	reader := bufio.NewReaderSize(in, mostLine)
-	var lines, size int64
+	var lines, bytesRead int64
 	for {
 		text, err := reader.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
@@ -65,12 +66,12 @@
 			text = nil
 		}
 		if len(text) > 0 {
-			lines, size = lines+1, size+int64(len(text))
+			lines, bytesRead = lines+1, bytesRead+int64(len(text))
 			if !visitLine(text, visit) {
 				unreadable++
 			}
 			if progress != nil && lines%progressEvery == 0 {
-				progress(lines, size)
+				progress(lines, bytesRead)
 			}
 		}
 		if errors.Is(err, io.EOF) {
@@ -82,7 +83,7 @@
 	}
 }
 
-// skipLine reads up to the end of a line.
+// skipLine discards the rest of a line.
 func skipLine(reader *bufio.Reader) error {
 	for {
 		_, err := reader.ReadSlice('\n')
@@ -92,20 +93,22 @@
 	}
 }
 
+// visitLine decodes one line and calls visit with it. It returns false if the line isn't
+// readable, and ignores empty ones.
 func visitLine(text []byte, visit func(Line)) bool {
 	text = bytes.TrimSpace(text)
 	if len(text) == 0 {
 		return true
 	}
-	at := bytes.IndexByte(text, '{')
-	if at < 0 {
+	start := bytes.IndexByte(text, '{')
+	if start < 0 {
 		return false
 	}
 	var line Line
-	if json.Unmarshal(text[at:], &line) != nil {
+	if json.Unmarshal(text[start:], &line) != nil {
 		return false
 	}
-	line.Raw = string(text[at:])
+	line.Raw = string(text[start:])
 	visit(line)
 	return true
 }
--- a/logread/logread_test.go
+++ b/logread/logread_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// recorded are lines of two hosts as they were written; one is cut off, and one
-// stands behind its host's name.
-const recorded = `{"time":"2026-12-03T00:00:01.5Z","level":"info","msg":"assignment known","program":"cicada-gateway","host":"one","service":"owned","revision":6,"term":1,"controller":"two","ranges":32}
+// hostLogs contains log lines of two hosts; one line is cut off, and one follows the name
+// of its host.
+const hostLogs = `{"time":"2026-12-03T00:00:01.5Z","level":"info","msg":"assignment known","program":"cicada-gateway","host":"one","service":"owned","revision":6,"term":1,"controller":"two","ranges":32}
 {"time":"2026-12-03T00:00:02Z","level":"info","msg":"in control","program":"cicada-gateway","host":"two","service":"owned","term":1,"revision":6,"ranges":32}
 one: {"time":"2026-12-03T00:00:03.1Z","level":"info","msg":"request","program":"cicada-gateway","host":"one","request":"r-1","outcome":"answered","status":200,"ms":12,"configuration":3,"route":"keyed","service":"owned","sends":1,"servers":["k1"],"key":7,"assignment":6,"assignment-age-ms":1600}
 {"time":"2026-12-03T00:00:03.2Z","level":"info","msg":"attempt repeated","program":"cicada-gateway","host":"one","request":"r-2","server":"k1","sent":true,"not-run":true,"left-ms":3610,"outcome":"server-refused","status":503}
@@ -21,7 +21,7 @@
 
 func TestSummary(t *testing.T) {
 	summarizer := NewSummarizer()
-	unreadable, err := Scan(strings.NewReader(recorded), summarizer.Take, nil)
+	unreadable, err := Scan(strings.NewReader(hostLogs), summarizer.Take, nil)
 	assert.NilError(t, err)
 	assert.Equal(t, unreadable, int64(1))
 	s := summarizer.Summary()
@@ -39,17 +39,18 @@
 	assert.Assert(t, strings.Contains(out.String(), "owned\tno-owner\t1"), out.String())
 }
 
-// The story of a request has its lines in order, each with what its host believed.
-func TestStory(t *testing.T) {
-	teller := NewStoryteller("r-2")
-	_, err := Scan(strings.NewReader(recorded), teller.Take, nil)
+// TestRequestTrace checks that a trace contains the lines of the request in order, each
+// with the state that its host had logged before.
+func TestRequestTrace(t *testing.T) {
+	collector := NewStoryteller("r-2")
+	_, err := Scan(strings.NewReader(hostLogs), collector.Take, nil)
 	assert.NilError(t, err)
-	story := teller.Story()
-	assert.Equal(t, len(story.Events), 2)
-	assert.Assert(t, strings.Contains(story.Events[0].Line, "attempt repeated"))
-	assert.Assert(t, strings.Contains(story.Events[1].Line, "no-owner"))
-	assert.Equal(t, len(story.Events[1].Believed), 1)
-	assert.Assert(t, strings.Contains(story.Events[1].Believed[0], "assignment known"))
+	trace := collector.Story()
+	assert.Equal(t, len(trace.Events), 2)
+	assert.Assert(t, strings.Contains(trace.Events[0].Line, "attempt repeated"))
+	assert.Assert(t, strings.Contains(trace.Events[1].Line, "no-owner"))
+	assert.Equal(t, len(trace.Events[1].Believed), 1)
+	assert.Assert(t, strings.Contains(trace.Events[1].Believed[0], "assignment known"))
 	var out bytes.Buffer
 	NewStoryteller("r-9").Story().Table(&out)
 	assert.Assert(t, strings.Contains(out.String(), "no line names request r-9"))
@@ -57,13 +58,13 @@
 
 type brokenReader struct{}
 
-var errBroken = errors.New("disk")
+var errBroken = errors.New("disk error")
 
 func (brokenReader) Read([]byte) (int, error) { return 0, errBroken }
 
-// A line that is too long is counted and passed over, and what follows is read; a
-// reader's failure is told.
-func TestScanGoesOnAfterALongLine(t *testing.T) {
+// TestScanSkipsLongLines checks that a line that is too long is counted and skipped, that
+// the following lines are read, and that an error of the reader is returned.
+func TestScanSkipsLongLines(t *testing.T) {
 	lines := 0
 	long := strings.Repeat("x", 3*mostLine) + "\n" + `{"msg":"request"}` + "\n"
 	unreadable, err := Scan(strings.NewReader(long), func(Line) { lines++ }, nil)
--- a/logread/story.go
+++ b/logread/story.go
@@ -8,58 +8,58 @@
 	"time"
 )
 
-// beliefs are the messages of lines that tell what a host came to believe.
+// beliefs are the prefixes of the messages with which a host logs changes of its view of
+// the configuration, the assignments, the servers and the store.
 var beliefs = []string{"configuration in force", "assignment known", "store followed", "store not followed", "servers changed",
 	"relay vouches for the store's state", "no relay has the store's word", "controller did not answer a report", "controller is gone", "watches were behind",
 	"source does not pass on what the store holds", "listed from a host"}
 
-// Story is all that hosts wrote of one request, in order, each line with what its
-// host believed then.
+// Story is the sequence of all log lines about one request, ordered by time.
 type Story struct {
 	Request string  `json:"request"`
 	Events  []Event `json:"events"`
 }
 
-// Event is one line of a request.
+// Event is one log line about a request.
 type Event struct {
 	Line string `json:"line"`
 	Host string `json:"host"`
-	// Believed are the last lines by which the host's beliefs changed before.
+	// Believed contains the lines that describe the host's view at that time: the last
+	// line of each message and service that the host logged before.
 	Believed []string `json:"believed"`
 }
 
-// Storyteller finds the lines of one request. The lines of one host must come in
-// their order; hosts may come in any.
+// Storyteller collects the lines of one request. It must receive the lines of each host in
+// the order in which they were written; the order of hosts doesn't matter.
 type Storyteller struct {
 	request string
-	// believed are the last lines by host and message.
+	// believed contains the last line of each host, message and service.
 	believed map[string]map[string]Line
 	events   []dated
 }
 
-// dated is an event with its time, by which events are put in order.
+// dated is an event with its time, by which events are sorted.
 type dated struct {
 	Event
 	at time.Time
 }
 
-// NewStoryteller returns one for a request's ID.
+// NewStoryteller returns a Storyteller for the request with the given ID.
 func NewStoryteller(request string) *Storyteller {
 	return &Storyteller{request: request, believed: map[string]map[string]Line{}}
 }
 
-// Take takes one line in.
+// Take processes one line.
 func (s *Storyteller) Take(line Line) {
 	if line.Request == s.request {
 		event := Event{Line: line.Raw, Host: line.Host}
-		known := s.believed[line.Host]
-		var last []Line
-		for _, each := range known {
-			last = append(last, each)
+		var state []Line
+		for _, stateLine := range s.believed[line.Host] {
+			state = append(state, stateLine)
 		}
-		slices.SortFunc(last, func(a, b Line) int { return a.Time.Compare(b.Time) })
-		for _, each := range last {
-			event.Believed = append(event.Believed, each.Raw)
+		slices.SortFunc(state, func(a, b Line) int { return a.Time.Compare(b.Time) })
+		for _, stateLine := range state {
+			event.Believed = append(event.Believed, stateLine.Raw)
 		}
 		s.events = append(s.events, dated{Event: event, at: line.Time})
 		return
@@ -73,17 +73,17 @@
 	s.believed[line.Host][line.Message+"/"+line.Service] = line
 }
 
-// Story returns what was found.
+// Story returns the collected lines.
 func (s *Storyteller) Story() *Story {
 	slices.SortStableFunc(s.events, func(a, b dated) int { return a.at.Compare(b.at) })
-	story := &Story{Request: s.request}
-	for _, each := range s.events {
-		story.Events = append(story.Events, each.Event)
+	trace := &Story{Request: s.request}
+	for _, event := range s.events {
+		trace.Events = append(trace.Events, event.Event)
 	}
-	return story
+	return trace
 }
 
-// Table writes the story for people.
+// Table writes the lines of the request as text.
 func (s *Story) Table(out io.Writer) {
 	if len(s.Events) == 0 {
 		fmt.Fprintf(out, "no line names request %s; hosts leave lines out under load: see the lines \"lines left out\"\n", s.Request)
@@ -91,8 +91,8 @@
 	}
 	for _, event := range s.Events {
 		fmt.Fprintf(out, "%s\n", event.Line)
-		for _, belief := range event.Believed {
-			fmt.Fprintf(out, "    before: %s\n", belief)
+		for _, stateLine := range event.Believed {
+			fmt.Fprintf(out, "    before: %s\n", stateLine)
 		}
 	}
 }
--- a/logread/summary.go
+++ b/logread/summary.go
@@ -10,38 +10,41 @@
 	"time"
 )
 
-// mostListed bounds the keys, servers and hosts that a summary lists.
+// mostListed is the maximum number of keys, of servers and of hosts that a summary lists.
 const mostListed = 10
 
-// Summary is what became of the requests in some logs, and who controlled keys.
+// Summary describes the outcomes of the requests in the logs and which hosts controlled
+// each service.
 type Summary struct {
 	First, Last time.Time
 	Lines       int64 `json:"lines"`
 	Hosts       int   `json:"hosts"`
-	// Seconds are the outcomes by second since the first line.
+	// Seconds contains the number of requests by outcome for each second since the first
+	// line.
 	Seconds []map[string]int64 `json:"seconds"`
-	// Outcomes are counts by service and outcome.
+	// Outcomes contains the number of requests by service and outcome.
 	Outcomes map[string]map[string]int64 `json:"outcomes"`
-	// Failed are the keys, servers and hosts of requests that were not answered.
+	// FailedKeys, FailedServers and FailedHosts list the keys, servers and hosts with the
+	// most failed requests: those without an answer or with a 5xx status.
 	FailedKeys    []Count `json:"failedKeys"`
 	FailedServers []Count `json:"failedServers"`
 	FailedHosts   []Count `json:"failedHosts"`
-	// Ages are the mean ages of the assignments that decided requests, in
+	// Ages contains the mean age of the assignments used to route requests, in
 	// milliseconds, by outcome.
 	Ages map[string]int64 `json:"assignmentAgesMs"`
-	// Controllers tells when which host took or gave up control.
+	// Controllers lists when hosts took and gave up control of services.
 	Controllers []Change `json:"controllers"`
-	// Messages are counts of all lines by message.
+	// Messages contains the number of lines with each message.
 	Messages []Count `json:"messages"`
 }
 
-// Count is how often something occurred.
+// Count is the number of occurrences of a name.
 type Count struct {
 	Name  string `json:"name"`
 	Count int64  `json:"count"`
 }
 
-// Change is a change of a service's controller.
+// Change is the event of a host taking or giving up control of a service.
 type Change struct {
 	At      time.Time `json:"at"`
 	Service string    `json:"service"`
@@ -49,7 +52,7 @@
 	What    string    `json:"what"`
 }
 
-// Summarizer takes lines in and makes a summary of them.
+// Summarizer computes a Summary from log lines.
 type Summarizer struct {
 	lines       int64
 	hosts       map[string]bool
@@ -66,13 +69,13 @@
 
 type mean struct{ sum, n int64 }
 
-// NewSummarizer returns one that has seen nothing.
+// NewSummarizer returns a Summarizer without any lines.
 func NewSummarizer() *Summarizer {
 	return &Summarizer{hosts: map[string]bool{}, seconds: map[int64]map[string]int64{}, outcomes: map[string]map[string]int64{}, keys: map[string]int64{},
 		servers: map[string]int64{}, failedHosts: map[string]int64{}, messages: map[string]int64{}, ages: map[string]*mean{}}
 }
 
-// Take takes one line in.
+// Take adds one line.
 func (s *Summarizer) Take(line Line) {
 	s.lines++
 	s.hosts[line.Host] = true
@@ -91,9 +94,11 @@
 	}
 }
 
-// outcomeAnswered is that of requests that a server answered.
+// outcomeAnswered is the outcome of requests that a server answered, with any status.
 const outcomeAnswered = "answered"
 
+// request adds a line about a request. A response with a server error is counted as an
+// outcome of its own, and as failed.
 func (s *Summarizer) request(line Line) {
 	outcome := line.Outcome
 	if outcome == outcomeAnswered && line.Status >= 500 {
@@ -102,12 +107,12 @@
 	add(s.seconds, line.Time.Unix(), outcome)
 	add(s.outcomes, line.Service, outcome)
 	if line.AssignmentAgeMs != nil {
-		known := s.ages[outcome]
-		if known == nil {
-			known = &mean{}
-			s.ages[outcome] = known
+		age := s.ages[outcome]
+		if age == nil {
+			age = &mean{}
+			s.ages[outcome] = age
 		}
-		known.sum, known.n = known.sum+*line.AssignmentAgeMs, known.n+1
+		age.sum, age.n = age.sum+*line.AssignmentAgeMs, age.n+1
 	}
 	if outcome == outcomeAnswered {
 		return
@@ -121,41 +126,42 @@
 	}
 }
 
-func add[K comparable](counts map[K]map[string]int64, at K, name string) {
-	if counts[at] == nil {
-		counts[at] = map[string]int64{}
+// add increments the count of a name under a key.
+func add[K comparable](counts map[K]map[string]int64, key K, name string) {
+	if counts[key] == nil {
+		counts[key] = map[string]int64{}
 	}
-	counts[at][name]++
+	counts[key][name]++
 }
 
-// Summary returns what was taken in so far.
+// Summary returns the summary of the lines added so far.
 func (s *Summarizer) Summary() *Summary {
-	made := &Summary{First: s.first, Last: s.last, Lines: s.lines, Hosts: len(s.hosts), Outcomes: s.outcomes, Ages: map[string]int64{},
+	summary := &Summary{First: s.first, Last: s.last, Lines: s.lines, Hosts: len(s.hosts), Outcomes: s.outcomes, Ages: map[string]int64{},
 		FailedKeys: top(s.keys, mostListed), FailedServers: top(s.servers, mostListed), FailedHosts: top(s.failedHosts, mostListed),
 		Messages: top(s.messages, len(s.messages)), Controllers: s.controllers}
-	for outcome, known := range s.ages {
-		made.Ages[outcome] = known.sum / known.n
+	for outcome, age := range s.ages {
+		summary.Ages[outcome] = age.sum / age.n
 	}
-	slices.SortStableFunc(made.Controllers, func(a, b Change) int { return a.At.Compare(b.At) })
+	slices.SortStableFunc(summary.Controllers, func(a, b Change) int { return a.At.Compare(b.At) })
 	if len(s.seconds) > 0 {
 		for second := s.first.Unix(); second <= s.last.Unix(); second++ {
-			made.Seconds = append(made.Seconds, s.seconds[second])
+			summary.Seconds = append(summary.Seconds, s.seconds[second])
 		}
 	}
-	return made
+	return summary
 }
 
-// top returns the greatest counts.
-func top(counts map[string]int64, most int) []Count {
+// top returns the highest counts, at most limit of them.
+func top(counts map[string]int64, limit int) []Count {
 	var all []Count
 	for name, count := range counts {
 		all = append(all, Count{Name: name, Count: count})
 	}
 	slices.SortFunc(all, func(a, b Count) int { return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Name, b.Name)) })
-	return all[:min(len(all), most)]
+	return all[:min(len(all), limit)]
 }
 
-// Table writes the summary for people, in columns divided by tabs.
+// Table writes the summary as text, in columns separated by tabs.
 func (s *Summary) Table(out io.Writer) {
 	fmt.Fprintf(out, "%d lines of %d hosts, %s to %s\n\nSERVICE\tOUTCOME\tREQUESTS\n", s.Lines, s.Hosts, s.First.Format(time.RFC3339Nano), s.Last.Format(time.RFC3339Nano))
 	for _, service := range slices.Sorted(maps.Keys(s.Outcomes)) {
