--- a/cmd/cicada-standin/hosted.go
+++ b/cmd/cicada-standin/hosted.go
@@ -44,15 +44,15 @@
 	loading, end := context.WithTimeout(ctx, c.Duration)
 	defer end()
 	load := &platformtest.Load{Hosts: strings.Split(c.Hosts, ","), Callers: c.Callers}
-	joined := make(chan error, 1)
-	go func() { joined <- c.trouble(loading, ctx, site) }()
+	eventsDone := make(chan error, 1)
+	go func() { eventsDone <- c.trouble(loading, ctx, site) }()
 	violations := make(chan []string, 1)
 	go func() { violations <- watchKeys(loading, site) }()
 	load.Run(loading)
 	report := load.Check(site.RunsByID())
 	report.Broken = append(report.Broken, <-violations...)
 	report.Broken = append(report.Broken, site.Overlaps()...)
-	if err := <-joined; err != nil {
+	if err := <-eventsDone; err != nil {
 		return err
 	}
 	used, keyed := site.ServersUsed()
--- a/cmd/cicada-standin/main.go
+++ b/cmd/cicada-standin/main.go
@@ -52,14 +52,14 @@
 }
 
 // followHosts updates the host list whenever its file changes, until the context ends.
-func followHosts(ctx context.Context, platform *standin.Platform, file string) {
+func followHosts(ctx context.Context, standIn *standin.Platform, file string) {
 	const pollInterval = 200 * time.Millisecond
 	var modified time.Time
 	for ctx.Err() == nil {
 		if info, err := os.Stat(file); err == nil && !info.ModTime().Equal(modified) {
 			modified = info.ModTime()
 			if hosts, err := readHosts(file); err == nil {
-				platform.SetHosts(hosts)
+				standIn.SetHosts(hosts)
 			}
 		}
 		time.Sleep(pollInterval)
--- a/host/daemon_test.go
+++ b/host/daemon_test.go
@@ -26,17 +26,17 @@
 		links.Control(address)
 	}
 	const enoughCalls = 20
-	keep := func(calls int) {
+	keepInUse := func(calls int) {
 		for range calls {
 			links.Keep(addressesInUse(dir, []string{"127.0.0.1:3"}))
 		}
 	}
-	keep(enoughCalls)
+	keepInUse(enoughCalls)
 	assert.Equal(t, links.Len(), 4, "no connection is closed without a host list")
 	dir.SetHosts([]platform.Host{{Name: "h", Link: "127.0.0.1:1", RouterLink: "127.0.0.1:2"}})
-	keep(1)
+	keepInUse(1)
 	assert.Equal(t, links.Len(), 4, "a host that has just left the list may still be finishing requests")
-	keep(enoughCalls)
+	keepInUse(enoughCalls)
 	assert.Equal(t, links.Len(), 3)
 }
 
--- a/host/keys.go
+++ b/host/keys.go
@@ -36,8 +36,8 @@
 	if !keys.Enabled() {
 		return insecure.NewCredentials(), nil
 	}
-	store := &keyStore{settings: keys}
-	if _, err := store.certificate(); err != nil {
+	cache := &keyStore{settings: keys}
+	if _, err := cache.certificate(); err != nil {
 		return nil, err
 	}
 	authority, err := loadAuthority(keys.Authority)
@@ -51,10 +51,10 @@
 		RootCAs:    authority,
 		ServerName: linkServerName,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return store.certificate()
+			return cache.certificate()
 		},
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return store.certificate()
+			return cache.certificate()
 		},
 	}), nil
 }
@@ -77,8 +77,8 @@
 
 var errNoCertificate = fmt.Errorf("contains no PEM certificate")
 
-// keyStore caches the process's certificate and reloads it when its file has changed, so
-// that certificates can be renewed without a restart.
+// keyStore caches the process's certificate and reloads it when its file has changed,
+// so that certificates can be renewed without a restart.
 type keyStore struct {
 	settings TLSSettings
 
@@ -87,30 +87,30 @@
 	modified time.Time
 }
 
-func (s *keyStore) certificate() (*tls.Certificate, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	info, err := os.Stat(s.settings.Certificate)
+func (c *keyStore) certificate() (*tls.Certificate, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	info, err := os.Stat(c.settings.Certificate)
 	if err != nil {
-		return s.lastGood(&KeyError{File: s.settings.Certificate, Cause: err})
+		return c.lastGood(&KeyError{File: c.settings.Certificate, Cause: err})
 	}
-	if s.loaded != nil && info.ModTime().Equal(s.modified) {
-		return s.loaded, nil
+	if c.loaded != nil && info.ModTime().Equal(c.modified) {
+		return c.loaded, nil
 	}
-	pair, err := tls.LoadX509KeyPair(s.settings.Certificate, s.settings.Key)
+	pair, err := tls.LoadX509KeyPair(c.settings.Certificate, c.settings.Key)
 	if err != nil {
-		return s.lastGood(&KeyError{File: s.settings.Certificate, Cause: err})
+		return c.lastGood(&KeyError{File: c.settings.Certificate, Cause: err})
 	}
-	s.loaded = &pair
-	s.modified = info.ModTime()
-	return s.loaded, nil
+	c.loaded = &pair
+	c.modified = info.ModTime()
+	return c.loaded, nil
 }
 
-// lastGood returns the last certificate that was loaded, or err if there is none. It
-// keeps that certificate in use while its files are being replaced or are invalid.
-func (s *keyStore) lastGood(err error) (*tls.Certificate, error) {
-	if s.loaded != nil {
-		return s.loaded, nil
+// lastGood returns the last certificate that was loaded, or err if there is none.
+// It keeps that certificate in use while its files are being replaced or are invalid.
+func (c *keyStore) lastGood(err error) (*tls.Certificate, error) {
+	if c.loaded != nil {
+		return c.loaded, nil
 	}
 	return nil, err
 }
--- a/host/keys_test.go
+++ b/host/keys_test.go
@@ -120,9 +120,9 @@
 func TestKeysAreReplacedWithoutRestart(t *testing.T) {
 	ours := newAuthority(t, "ours")
 	settings := ours.issue(1)
-	store := &keyStore{settings: settings}
+	cache := &keyStore{settings: settings}
 	serial := func() int64 {
-		pair, err := store.certificate()
+		pair, err := cache.certificate()
 		assert.NilError(t, err)
 		leaf, err := x509.ParseCertificate(pair.Certificate[0])
 		assert.NilError(t, err)
--- a/logread/story.go
+++ b/logread/story.go
@@ -44,52 +44,53 @@
 	at time.Time
 }
 
-// NewStoryteller returns a Storyteller for the request with the given ID.
+// NewStoryteller returns a collector for the request with the given ID.
 func NewStoryteller(request string) *Storyteller {
 	return &Storyteller{request: request, believed: map[string]map[string]Line{}}
 }
 
 // Take processes one line.
-func (s *Storyteller) Take(line Line) {
-	if line.Request == s.request {
+func (c *Storyteller) Take(line Line) {
+	if line.Request == c.request {
 		event := Event{Line: line.Raw, Host: line.Host}
+		lastLines := c.believed[line.Host]
 		var state []Line
-		for _, stateLine := range s.believed[line.Host] {
+		for _, stateLine := range lastLines {
 			state = append(state, stateLine)
 		}
 		slices.SortFunc(state, func(a, b Line) int { return a.Time.Compare(b.Time) })
 		for _, stateLine := range state {
 			event.Believed = append(event.Believed, stateLine.Raw)
 		}
-		s.events = append(s.events, dated{Event: event, at: line.Time})
+		c.events = append(c.events, dated{Event: event, at: line.Time})
 		return
 	}
 	if !slices.ContainsFunc(beliefs, func(message string) bool { return strings.HasPrefix(line.Message, message) }) {
 		return
 	}
-	if s.believed[line.Host] == nil {
-		s.believed[line.Host] = map[string]Line{}
+	if c.believed[line.Host] == nil {
+		c.believed[line.Host] = map[string]Line{}
 	}
-	s.believed[line.Host][line.Message+"/"+line.Service] = line
+	c.believed[line.Host][line.Message+"/"+line.Service] = line
 }
 
 // Story returns the collected lines.
-func (s *Storyteller) Story() *Story {
-	slices.SortStableFunc(s.events, func(a, b dated) int { return a.at.Compare(b.at) })
-	trace := &Story{Request: s.request}
-	for _, event := range s.events {
+func (c *Storyteller) Story() *Story {
+	slices.SortStableFunc(c.events, func(a, b dated) int { return a.at.Compare(b.at) })
+	trace := &Story{Request: c.request}
+	for _, event := range c.events {
 		trace.Events = append(trace.Events, event.Event)
 	}
 	return trace
 }
 
 // Table writes the lines of the request as text.
-func (s *Story) Table(out io.Writer) {
-	if len(s.Events) == 0 {
-		fmt.Fprintf(out, "no line names request %s; hosts leave lines out under load: see the lines \"lines left out\"\n", s.Request)
+func (t *Story) Table(out io.Writer) {
+	if len(t.Events) == 0 {
+		fmt.Fprintf(out, "no line names request %s; hosts leave lines out under load: see the lines \"lines left out\"\n", t.Request)
 		return
 	}
-	for _, event := range s.Events {
+	for _, event := range t.Events {
 		fmt.Fprintf(out, "%s\n", event.Line)
 		for _, stateLine := range event.Believed {
 			fmt.Fprintf(out, "    before: %s\n", stateLine)
--- a/operator/check.go
+++ b/operator/check.go
@@ -22,13 +22,13 @@
 	if len(found.fields) > 0 {
 		return nil, &record.CheckError{Fields: found.fields}
 	}
-	world := worldAfter(documents, existing)
-	found.servers(world)
+	records := worldAfter(documents, existing)
+	found.servers(records)
 	found.immutable(documents, existing)
 	if len(found.fields) > 0 {
 		return nil, &record.CheckError{Fields: found.fields}
 	}
-	return found.warnings(world), nil
+	return found.warnings(records), nil
 }
 
 // world holds the services and servers as they are once documents are applied to the
@@ -38,6 +38,7 @@
 	servers  map[string]record.Server
 }
 
+// worldAfter applies documents to the existing records.
 func worldAfter(documents []Document, existing []platform.Object) world {
 	result := world{services: map[string]record.Service{}, servers: map[string]record.Server{}}
 	for _, object := range existing {
@@ -49,15 +50,15 @@
 	return result
 }
 
-func (w world) put(envelope record.Envelope) {
+func (r world) put(envelope record.Envelope) {
 	switch envelope.Kind {
 	case record.KindService:
 		if service, err := record.DecodeService(envelope); err == nil {
-			w.services[envelope.Name] = service
+			r.services[envelope.Name] = service
 		}
 	case record.KindServer:
 		if server, err := record.DecodeServer(envelope); err == nil {
-			w.servers[envelope.Name] = server
+			r.servers[envelope.Name] = server
 		}
 	}
 }
--- a/operator/client.go
+++ b/operator/client.go
@@ -86,15 +86,15 @@
 		return nil, nil, err
 	}
 	var changes []Change
-	for _, step := range plan {
-		if !options.DryRun && step.change.Action != Unchanged {
-			version, err := c.write(ctx, step)
+	for _, planned := range plan {
+		if !options.DryRun && planned.change.Action != Unchanged {
+			version, err := c.write(ctx, planned)
 			if err != nil {
 				return changes, warnings, err
 			}
-			step.change.Version = version
+			planned.change.Version = version
 		}
-		changes = append(changes, step.change)
+		changes = append(changes, planned.change)
 	}
 	return changes, warnings, nil
 }
@@ -105,7 +105,7 @@
 	for _, object := range existing {
 		current[object.Ref()] = object
 	}
-	var steps []step
+	var plan []step
 	for _, document := range documents {
 		stored, exists := current[document.Ref()]
 		change := Change{Ref: document.Ref(), Action: Created}
@@ -121,9 +121,9 @@
 		if conflicts {
 			return nil, &RaceError{Ref: document.Ref(), Base: document.Version, Current: stored.Version, Diff: change.Diff}
 		}
-		steps = append(steps, step{document: document, change: change})
+		plan = append(plan, step{document: document, change: change})
 	}
-	return steps, nil
+	return plan, nil
 }
 
 // attemptField is the field of a record that holds the ID of its last write. If the
@@ -132,22 +132,22 @@
 
 // write writes one document. If the store's response is lost, it reads the record back
 // and compares the ID of the write.
-func (c *Client) write(ctx context.Context, s step) (uint64, error) {
+func (c *Client) write(ctx context.Context, planned step) (uint64, error) {
 	writeID := uuid.Must(uuid.NewV7()).String()
-	envelope := s.document.Envelope
+	envelope := planned.document.Envelope
 	spec, err := withField(envelope.Spec, attemptField, writeID)
 	if err != nil {
 		return 0, err
 	}
 	envelope.Spec = spec
-	version, err := c.store.Update(ctx, envelope, s.change.Version)
+	version, err := c.store.Update(ctx, envelope, planned.change.Version)
 	var conflict *platform.ConflictError
 	switch {
 	case err == nil:
 		return version, nil
 	case errors.As(err, &conflict):
 		return 0, &RaceError{Ref: conflict.Ref, Base: conflict.Given, Current: conflict.Current.Version,
-			Diff: Diff(conflict.Current.Envelope, s.document.Envelope)}
+			Diff: Diff(conflict.Current.Envelope, planned.document.Envelope)}
 	case errors.Is(err, platform.ErrUnavailable):
 		return c.settle(ctx, envelope, writeID, err)
 	}
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -84,12 +84,12 @@
 	_, _, err = client.Apply(context.Background(), edit(record.WeighChurn, record.SchemaV2), operator.Options{})
 	assert.NilError(t, err)
 	_, _, err = client.Apply(context.Background(), edit(record.WeighUnavailability, record.SchemaV1), operator.Options{})
-	var race *operator.RaceError
-	assert.Assert(t, errors.As(err, &race), "got %v", err)
-	assert.Assert(t, strings.Contains(race.Error(), "weigh"), race.Error())
-	kept, err := client.Get(context.Background(), object.Ref())
+	var conflict *operator.RaceError
+	assert.Assert(t, errors.As(err, &conflict), "got %v", err)
+	assert.Assert(t, strings.Contains(conflict.Error(), "weigh"), conflict.Error())
+	stored, err := client.Get(context.Background(), object.Ref())
 	assert.NilError(t, err)
-	service, err := record.DecodeService(kept.Envelope)
+	service, err := record.DecodeService(stored.Envelope)
 	assert.NilError(t, err)
 	assert.Equal(t, service.Weigh, record.WeighChurn)
 }
@@ -100,9 +100,9 @@
 	once sync.Once
 }
 
-func (l *lossyStore) Update(ctx context.Context, e record.Envelope, version uint64) (uint64, error) {
-	written, err := l.Store.Update(ctx, e, version)
-	l.once.Do(func() { err = platform.ErrUnavailable })
+func (s *lossyStore) Update(ctx context.Context, e record.Envelope, version uint64) (uint64, error) {
+	written, err := s.Store.Update(ctx, e, version)
+	s.once.Do(func() { err = platform.ErrUnavailable })
 	return written, err
 }
 
