--- a/cmd/cicada-bench/main.go
+++ b/cmd/cicada-bench/main.go
@@ -128,12 +128,12 @@
 		if err != nil {
 			return err
 		}
-		times := median(runs, func(r bench.Recovery) int64 { return r.Unavailable.Milliseconds() })
-		fmt.Fprintf(table, "%s\t%d\t%d ms\t%d ms\t%d\t%d\t%d\t%d\n", loss, len(runs), times.middle, times.most,
-			median(runs, func(r bench.Recovery) int64 { return r.Writes }).middle,
-			median(runs, func(r bench.Recovery) int64 { return r.Reads }).middle,
-			median(runs, func(r bench.Recovery) int64 { return r.Watches }).middle,
-			median(runs, func(r bench.Recovery) int64 { return int64(r.Moved) }).middle)
+		times := summarize(runs, func(r bench.Recovery) int64 { return r.Unavailable.Milliseconds() })
+		fmt.Fprintf(table, "%s\t%d\t%d ms\t%d ms\t%d\t%d\t%d\t%d\n", loss, len(runs), times.median, times.max,
+			summarize(runs, func(r bench.Recovery) int64 { return r.Writes }).median,
+			summarize(runs, func(r bench.Recovery) int64 { return r.Reads }).median,
+			summarize(runs, func(r bench.Recovery) int64 { return r.Watches }).median,
+			summarize(runs, func(r bench.Recovery) int64 { return int64(r.Moved) }).median)
 		if err := table.Flush(); err != nil {
 			return err
 		}
@@ -141,16 +141,16 @@
 	return nil
 }
 
-// spread is the median and the maximum of a set of numbers.
-type spread struct{ middle, most int64 }
+// medianAndMax is the median and the maximum of a set of numbers.
+type medianAndMax struct{ median, max int64 }
 
-func median(runs []bench.Recovery, value func(bench.Recovery) int64) spread {
+func summarize(runs []bench.Recovery, value func(bench.Recovery) int64) medianAndMax {
 	values := make([]int64, len(runs))
 	for i, run := range runs {
 		values[i] = value(run)
 	}
 	slices.Sort(values)
-	return spread{middle: values[len(values)/2], most: values[len(values)-1]}
+	return medianAndMax{median: values[len(values)/2], max: values[len(values)-1]}
 }
 
 func (c *failoverCommand) repeat(loss bench.Loss) ([]bench.Recovery, error) {
--- a/cmd/cicada-soak/main.go
+++ b/cmd/cicada-soak/main.go
@@ -37,7 +37,7 @@
 	if _, err := flags.Parse(&opts); err != nil {
 		os.Exit(program.ExitUsage)
 	}
-	failed, err := play(opts)
+	failed, err := runSeeds(opts)
 	if err != nil {
 		os.Exit(program.Fail(err))
 	}
@@ -46,8 +46,8 @@
 	}
 }
 
-// play runs all seeds and returns how many of them violated a guarantee.
-func play(opts options) (failed int, err error) {
+// runSeeds runs all seeds and returns how many of them violated a guarantee.
+func runSeeds(opts options) (failed int, err error) {
 	ctx, stop := program.Signals()
 	defer stop()
 	var runs []soak.Regression
--- a/cmd/cicada-standin/hosted.go
+++ b/cmd/cicada-standin/hosted.go
@@ -29,8 +29,8 @@
 	JoinAfter time.Duration `long:"join-at" default:"9s" description:"time after which a backend server joins"`
 }
 
-// heldTwiceEvery is the interval of the check for keys that two servers hold.
-const heldTwiceEvery = 20 * time.Millisecond
+// ownershipCheckInterval is the interval of the check for keys that two servers hold.
+const ownershipCheckInterval = 20 * time.Millisecond
 
 // Execute implements flags.Commander.
 func (c *hostedCommand) Execute([]string) error {
@@ -45,9 +45,9 @@
 	defer end()
 	load := &platformtest.Load{Hosts: strings.Split(c.Hosts, ","), Callers: c.Callers}
 	eventsDone := make(chan error, 1)
-	go func() { eventsDone <- c.trouble(loading, ctx, site) }()
+	go func() { eventsDone <- c.injectEvents(loading, ctx, site) }()
 	violations := make(chan []string, 1)
-	go func() { violations <- watchKeys(loading, site) }()
+	go func() { violations <- checkKeyOwnership(loading, site) }()
 	load.Run(loading)
 	report := load.Check(site.RunsByID())
 	report.Broken = append(report.Broken, <-violations...)
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// trouble makes the store unavailable for some time, then adds a backend server.
-func (c *hostedCommand) trouble(loading, serving context.Context, site *platformtest.Site) error {
+// injectEvents makes the store unavailable for some time, then adds a backend server.
+func (c *hostedCommand) injectEvents(loading, serving context.Context, site *platformtest.Site) error {
 	clock.Sleep(loading, c.AwayAt)
 	site.Store.SetFaults(platformtest.Faults{Refuse: true})
 	fmt.Println("the store turns calls away")
@@ -81,15 +81,15 @@
 	return site.AddKeyed(serving)
 }
 
-// watchKeys checks until the context ends that no two servers hold the same key, and
+// checkKeyOwnership checks until the context ends that no two servers hold the same key, and
 // returns the violations.
-func watchKeys(ctx context.Context, site *platformtest.Site) []string {
+func checkKeyOwnership(ctx context.Context, site *platformtest.Site) []string {
 	var violations []string
 	for ctx.Err() == nil {
 		if key, held := site.HeldTwice(); held {
 			violations = append(violations, fmt.Sprintf("key %d is held by two servers", key))
 		}
-		clock.Sleep(ctx, heldTwiceEvery)
+		clock.Sleep(ctx, ownershipCheckInterval)
 	}
 	return violations
 }
--- a/cmd/cicadactl/commands.go
+++ b/cmd/cicadactl/commands.go
@@ -142,7 +142,7 @@
 	defer cancel()
 	changes, warnings, err := shared.client().Apply(ctx, documents, options)
 	if err != nil {
-		return asUsage(err)
+		return asInputError(err)
 	}
 	warn(warnings)
 	return shared.print(changes, func(out io.Writer) {
@@ -161,8 +161,8 @@
 	})
 }
 
-// asUsage marks invalid records as an error in the operator's input.
-func asUsage(err error) error {
+// asInputError marks invalid records as an error in the operator's input.
+func asInputError(err error) error {
 	var check *record.CheckError
 	var field *record.FieldError
 	if errors.As(err, &check) || errors.As(err, &field) {
@@ -204,7 +204,7 @@
 	if c.Schema != "" {
 		object.Envelope, err = operator.Convert(object.Envelope, record.Schema(c.Schema))
 		if err != nil {
-			return asUsage(err)
+			return asInputError(err)
 		}
 	}
 	encoder := json.NewEncoder(os.Stdout)
@@ -250,7 +250,7 @@
 	ctx, cancel := callContext()
 	defer cancel()
 	if err := c.globals.client().Delete(ctx, ref, c.Version); err != nil {
-		return asUsage(err)
+		return asInputError(err)
 	}
 	fmt.Println(ref, "deleted")
 	return nil
--- a/cmd/cicadactl/hosted.go
+++ b/cmd/cicadactl/hosted.go
@@ -26,9 +26,9 @@
 
 // hostedState is the state of the gateways in a hosted platform's store.
 type hostedState struct {
-	Configuration uint64                `json:"configuration"`
-	Services      []hostedService       `json:"services"`
-	Assignments   map[string]hostedKeys `json:"assignments"`
+	Configuration uint64                   `json:"configuration"`
+	Services      []hostedService          `json:"services"`
+	Assignments   map[string]keyAssignment `json:"assignments"`
 	// Evacuated describes what is left in each evacuated failure domain.
 	Evacuated map[string]*hostedEvacuation `json:"evacuated,omitempty"`
 	// Quarantines are the requests that are rejected because servers crashed while running
@@ -57,8 +57,8 @@
 	Slots    int    `json:"slots"`
 }
 
-// hostedKeys describes which servers own the keys of a service.
-type hostedKeys struct {
+// keyAssignment describes which servers own the keys of a service.
+type keyAssignment struct {
 	Revision uint64          `json:"revision"`
 	Record   keyspace.Record `json:"record"`
 	// Moving is the number of keys that are being moved between owners.
@@ -75,12 +75,12 @@
 	if err != nil {
 		return err
 	}
-	return c.globals.print(state, state.table)
+	return c.globals.print(state, state.writeTable)
 }
 
 func readHosted(ctx context.Context, store objects.Store) (*hostedState, error) {
 	registry := platform.Registry{}
-	state := &hostedState{Assignments: map[string]hostedKeys{}, Evacuated: map[string]*hostedEvacuation{}, Quarantines: map[string]gateway.Quarantine{}}
+	state := &hostedState{Assignments: map[string]keyAssignment{}, Evacuated: map[string]*hostedEvacuation{}, Quarantines: map[string]gateway.Quarantine{}}
 	object, err := store.Get(ctx, registry.Configurations(), registry.Current())
 	if err != nil {
 		return nil, eris.Wrap(err, "reading the configuration")
@@ -94,29 +94,29 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "listing the registry")
 	}
-	state.count(configuration, servers)
+	state.addServices(configuration, servers)
 	records, err := store.List(ctx, gateway.Assignments)
 	if err != nil {
 		return nil, eris.Wrap(err, "listing the assignments")
 	}
 	for _, record := range records.Objects {
-		state.add(record)
+		state.addAssignment(record)
 	}
 	evacuations, err := store.List(ctx, registry.Evacuations())
 	if err != nil {
 		return nil, eris.Wrap(err, "listing the evacuations")
 	}
-	state.evacuate(evacuations, servers)
+	state.countEvacuations(evacuations, servers)
 	quarantines, err := store.List(ctx, gateway.Quarantines)
 	if err != nil {
 		return nil, eris.Wrap(err, "listing the quarantines")
 	}
-	state.quarantine(quarantines)
+	state.addQuarantines(quarantines)
 	return state, nil
 }
 
-// quarantine adds the requests in quarantine.
-func (s *hostedState) quarantine(listing objects.Listing) {
+// addQuarantines adds the requests in quarantine.
+func (s *hostedState) addQuarantines(listing objects.Listing) {
 	for _, object := range listing.Objects {
 		quarantine, err := gateway.ReadQuarantine(object.Spec)
 		if err != nil {
@@ -127,8 +127,8 @@
 	}
 }
 
-// evacuate counts the servers and keys that evacuated domains still have.
-func (s *hostedState) evacuate(evacuations, servers objects.Listing) {
+// countEvacuations counts the servers and keys that evacuated domains still have.
+func (s *hostedState) countEvacuations(evacuations, servers objects.Listing) {
 	registry := platform.Registry{}
 	for _, object := range evacuations.Objects {
 		domain, err := registry.Evacuation(object)
@@ -168,8 +168,8 @@
 	}
 }
 
-// count counts the servers of each service.
-func (s *hostedState) count(configuration *routing.Configuration, listing objects.Listing) {
+// addServices counts the servers of each service.
+func (s *hostedState) addServices(configuration *routing.Configuration, listing objects.Listing) {
 	byName := map[string]*hostedService{}
 	for name, service := range configuration.Services {
 		byName[name] = &hostedService{Name: name, Keyed: service.Keyed}
@@ -196,9 +196,9 @@
 	}
 }
 
-// add adds the assignment of a service.
-func (s *hostedState) add(object objects.Object) {
-	keys := hostedKeys{Revision: object.Revision, KeysOf: map[string]int{}}
+// addAssignment adds the assignment of a service.
+func (s *hostedState) addAssignment(object objects.Object) {
+	keys := keyAssignment{Revision: object.Revision, KeysOf: map[string]int{}}
 	if err := json.Unmarshal(object.Spec, &keys.Record); err != nil {
 		s.Faults = append(s.Faults, "assignment "+object.Name+": "+err.Error())
 		return
@@ -217,8 +217,8 @@
 	s.Assignments[object.Name] = keys
 }
 
-// table writes the state as tables.
-func (s *hostedState) table(out io.Writer) {
+// writeTable writes the state as tables.
+func (s *hostedState) writeTable(out io.Writer) {
 	fmt.Fprintf(out, "configuration\t%d\n\nSERVICE\tKEYED\tSERVERS\tDRAINING\tSLOTS\n", s.Configuration)
 	for _, service := range s.Services {
 		fmt.Fprintf(out, "%s\t%t\t%d\t%d\t%d\n", service.Name, service.Keyed, service.Servers, service.Draining, service.Slots)
--- a/cmd/cicadactl/hosted_test.go
+++ b/cmd/cicadactl/hosted_test.go
@@ -54,7 +54,7 @@
 	assert.Equal(t, len(state.Faults), 2)
 	assert.Equal(t, len(state.Quarantines["owned"].Cases), 1)
 	var out bytes.Buffer
-	state.table(&out)
+	state.writeTable(&out)
 	assert.Assert(t, strings.Contains(out.String(), "controller one"), out.String())
 	assert.Assert(t, strings.Contains(out.String(), "quarantined 00112233445566778899aabbccddeeff"), out.String())
 	assert.Assert(t, strings.Contains(out.String(), "1970-01-01T00:01:00Z"), out.String())
@@ -65,9 +65,9 @@
 func TestAssignmentOfAnEarlierEraIsShownAsSuch(t *testing.T) {
 	record := keyspace.NewRecord(keyspace.Controller{Host: "one"}, 1, []keyspace.Server{{ID: "a", Slots: 1}})
 	for era, want := range map[uint64]bool{1: false, 2: true} {
-		state := &hostedState{Assignments: map[string]hostedKeys{"owned": {Revision: revision.New(era, 55), Record: *record}}}
+		state := &hostedState{Assignments: map[string]keyAssignment{"owned": {Revision: revision.New(era, 55), Record: *record}}}
 		var out bytes.Buffer
-		state.table(&out)
+		state.writeTable(&out)
 		assert.Equal(t, strings.Contains(out.String(), "not written again"), want, out.String())
 		assert.Assert(t, strings.Contains(out.String(), fmt.Sprintf("revision 55 of era %d", era)), out.String())
 	}
--- a/cmd/cicadactl/logs.go
+++ b/cmd/cicadactl/logs.go
@@ -28,19 +28,19 @@
 		return err
 	}
 	if c.Request != "" {
-		collector := logread.NewStoryteller(c.Request)
-		if err := c.scan(files, collector.Take); err != nil {
+		collector := logread.NewTraceCollector(c.Request)
+		if err := c.scan(files, collector.Add); err != nil {
 			return err
 		}
-		story := collector.Story()
-		return c.globals.print(story, story.Table)
+		story := collector.Trace()
+		return c.globals.print(story, story.WriteTable)
 	}
 	summarizer := logread.NewSummarizer()
-	if err := c.scan(files, summarizer.Take); err != nil {
+	if err := c.scan(files, summarizer.Add); err != nil {
 		return err
 	}
 	summary := summarizer.Summary()
-	return c.globals.print(summary, summary.Table)
+	return c.globals.print(summary, summary.WriteTable)
 }
 
 // standardInput is the file name that stands for standard input.
--- a/cmd/cicadactl/status.go
+++ b/cmd/cicadactl/status.go
@@ -52,7 +52,7 @@
 	return report.WriteText(os.Stdout, lines)
 }
 
-func writePage(path string, lines []report.Line) error {
+func writePage(path string, lines []report.ServiceBurn) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return err
--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -59,12 +59,12 @@
 	gateway  *gateway.Gateway
 	store    *platform.Store
 	log      *log.Logger
-	logQueue *logs.Bounded
+	logQueue *logs.BoundedWriter
 }
 
-func newLines() *logs.Bounded { return logs.NewBounded(maxQueuedLogLines) }
+func newLines() *logs.BoundedWriter { return logs.NewBoundedWriter(maxQueuedLogLines) }
 
-func newLog(s Settings, lines *logs.Bounded) *log.Logger {
+func newLog(s Settings, lines *logs.BoundedWriter) *log.Logger {
 	return logs.New(lines, "cicada-gateway", s.Host, logs.Level(s.LogLevel))
 }
 
@@ -81,7 +81,7 @@
 	return gateway.Platform{Store: store, Registry: platform.Registry{}, Codec: platform.Codec{}, Keys: platform.NewKeys()}
 }
 
-func newDaemon(s Settings, g *gateway.Gateway, store *platform.Store, logger *log.Logger, lines *logs.Bounded) *Daemon {
+func newDaemon(s Settings, g *gateway.Gateway, store *platform.Store, logger *log.Logger, lines *logs.BoundedWriter) *Daemon {
 	return &Daemon{settings: s, gateway: g, store: store, log: logger, logQueue: lines}
 }
 
--- a/gateway/daemon/settings.go
+++ b/gateway/daemon/settings.go
@@ -57,8 +57,8 @@
 // Options returns the options of the settings file.
 func (s *Settings) Options() []settings.Option {
 	return []settings.Option{
-		{Section: "host", Name: "name", Required: true, Allowed: nameAllowed, Set: settings.Text(&s.Host)},
-		{Section: "host", Name: "domain", Required: true, Allowed: nameAllowed, Set: settings.Text(&s.Domain)},
+		{Section: "host", Name: "name", Required: true, Allowed: nameAllowed, Set: settings.RequiredText(&s.Host)},
+		{Section: "host", Name: "domain", Required: true, Allowed: nameAllowed, Set: settings.RequiredText(&s.Domain)},
 		{Section: "host", Name: "memory-mb", Default: "128", Allowed: "16 to 1048576", Set: settings.Int(&s.MemoryMB, 16, 1<<20)},
 		{Section: "host", Name: "processor", Default: "1", Allowed: "0.01 to 1024 cores", Set: settings.Float(&s.Processor, 0.01, 1024)},
 		{Section: "host", Name: "link-mbps", Default: "1000", Allowed: "1 to 1000000 Mbit/s", Set: settings.Float(&s.LinkMbps, 1, 1e6)},
@@ -77,7 +77,7 @@
 		{Section: "stop", Name: "leave-for", Default: "3300ms", Allowed: "0s to 1h", Set: settings.Duration(&s.LeaveFor, 0, time.Hour)},
 		{Section: "stop", Name: "within", Default: "6s", Allowed: "1s to 1h", Set: settings.Duration(&s.StopWithin, time.Second, time.Hour)},
 		{Section: "log", Name: "level", Default: "info", Allowed: "debug, info, warn or error",
-			Set: settings.Choice(&s.LogLevel, "debug", "info", "warn", "error")},
+			Set: settings.OneOf(&s.LogLevel, "debug", "info", "warn", "error")},
 	}
 }
 
--- a/host/controller.go
+++ b/host/controller.go
@@ -50,15 +50,15 @@
 
 func newLinks(creds LinkCredentials) *link.Pool { return link.NewPool(creds) }
 
-// serverIdleConnections is the number of idle connections that a controller keeps open
+// maxIdleServerConnections is the number of idle connections that a controller keeps open
 // to each backend server.
-const serverIdleConnections = 2
+const maxIdleServerConnections = 2
 
 // newServerDialer returns a dialer whose clients share one HTTP transport.
 func newServerDialer() domain.ServerDialer {
 	const idleConnTimeout = 10 * time.Second
 	transport := &http.Transport{
-		MaxIdleConnsPerHost: serverIdleConnections,
+		MaxIdleConnsPerHost: maxIdleServerConnections,
 		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
@@ -67,8 +67,8 @@
 	}
 }
 
-// stopWait bounds the shutdown of a controller's administrative interface.
-const stopWait = 5 * time.Second
+// shutdownTimeout bounds the shutdown of a controller's administrative interface.
+const shutdownTimeout = 5 * time.Second
 
 // Run serves until the context ends, then stops. It doesn't hand its pages over: peers
 // take them over once they no longer hear from this controller, long before a lease
@@ -89,13 +89,13 @@
 		status:  func() any { return d.controller.Status() },
 		extra:   func(out io.Writer) { d.controller.WriteMetrics(out) },
 	}))
-	go tidyLinks(ctx, d.directory, d.links, d.settings.Peers)
+	go closeUnusedLinks(ctx, d.directory, d.links, d.settings.Peers)
 	go serveGRPC(server, linkListener, d.log)
 	go serveHTTP(admin, adminListener, d.log)
 	d.log.Info("controller started", "domain", d.settings.Domain, "link", d.settings.Link)
 	d.controller.Run(ctx)
 	d.log.Info("controller stops")
-	stopping, cancel := context.WithTimeout(context.Background(), stopWait)
+	stopping, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	server.Stop()
 	d.links.Close()
--- a/host/daemon.go
+++ b/host/daemon.go
@@ -75,17 +75,17 @@
 	}
 }
 
-// tidyEvery is the interval at which connections are compared with the host list.
+// closeUnusedInterval is the interval at which connections are compared with the host list.
 // links.Keep closes a connection after 12 comparisons in a row that don't find its
 // address. That takes two minutes, which is longer than any request's deadline, so no
 // request is cut off.
-const tidyEvery = 10 * time.Second
+const closeUnusedInterval = 10 * time.Second
 
-// tidyLinks closes connections to hosts that have left the host list, until the context
+// closeUnusedLinks closes connections to hosts that have left the host list, until the context
 // ends. Hosts are replaced often, and each new one has its own addresses; without this,
 // the attempts to reconnect to the old ones would never end.
-func tidyLinks(ctx context.Context, dir *directory.Directory, links *link.Pool, seeds []string) {
-	ticker := time.NewTicker(tidyEvery)
+func closeUnusedLinks(ctx context.Context, dir *directory.Directory, links *link.Pool, seeds []string) {
+	ticker := time.NewTicker(closeUnusedInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/host/keys.go
+++ b/host/keys.go
@@ -36,7 +36,7 @@
 	if !keys.Enabled() {
 		return insecure.NewCredentials(), nil
 	}
-	cache := &keyStore{settings: keys}
+	cache := &certificateCache{settings: keys}
 	if _, err := cache.certificate(); err != nil {
 		return nil, err
 	}
@@ -77,9 +77,9 @@
 
 var errNoCertificate = fmt.Errorf("contains no PEM certificate")
 
-// keyStore caches the process's certificate and reloads it when its file has changed,
+// certificateCache caches the process's certificate and reloads it when its file has changed,
 // so that certificates can be renewed without a restart.
-type keyStore struct {
+type certificateCache struct {
 	settings TLSSettings
 
 	mu       sync.Mutex
@@ -87,28 +87,28 @@
 	modified time.Time
 }
 
-func (c *keyStore) certificate() (*tls.Certificate, error) {
+func (c *certificateCache) certificate() (*tls.Certificate, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	info, err := os.Stat(c.settings.Certificate)
 	if err != nil {
-		return c.lastGood(&KeyError{File: c.settings.Certificate, Cause: err})
+		return c.lastCertificate(&KeyError{File: c.settings.Certificate, Cause: err})
 	}
 	if c.loaded != nil && info.ModTime().Equal(c.modified) {
 		return c.loaded, nil
 	}
 	pair, err := tls.LoadX509KeyPair(c.settings.Certificate, c.settings.Key)
 	if err != nil {
-		return c.lastGood(&KeyError{File: c.settings.Certificate, Cause: err})
+		return c.lastCertificate(&KeyError{File: c.settings.Certificate, Cause: err})
 	}
 	c.loaded = &pair
 	c.modified = info.ModTime()
 	return c.loaded, nil
 }
 
-// lastGood returns the last certificate that was loaded, or err if there is none.
+// lastCertificate returns the last certificate that was loaded, or err if there is none.
 // It keeps that certificate in use while its files are being replaced or are invalid.
-func (c *keyStore) lastGood(err error) (*tls.Certificate, error) {
+func (c *certificateCache) lastCertificate(err error) (*tls.Certificate, error) {
 	if c.loaded != nil {
 		return c.loaded, nil
 	}
--- a/host/keys_test.go
+++ b/host/keys_test.go
@@ -120,7 +120,7 @@
 func TestKeysAreReplacedWithoutRestart(t *testing.T) {
 	ours := newAuthority(t, "ours")
 	settings := ours.issue(1)
-	cache := &keyStore{settings: settings}
+	cache := &certificateCache{settings: settings}
 	serial := func() int64 {
 		pair, err := cache.certificate()
 		assert.NilError(t, err)
--- a/host/logs/bounded.go
+++ b/host/logs/bounded.go
@@ -7,19 +7,19 @@
 	"cicadarouter/host/ring"
 )
 
-// Bounded is an io.Writer that queues log lines for a slow output, so that logging never
+// BoundedWriter is an io.Writer that queues log lines for a slow output, so that logging never
 // blocks. Lines that don't fit into the queue are dropped and counted.
-type Bounded struct {
+type BoundedWriter struct {
 	lines   *ring.Ring[[]byte]
 	dropped atomic.Uint64
 }
 
-// NewBounded returns a writer that queues at most size lines. The caller must start Run,
+// NewBoundedWriter returns a writer that queues at most size lines. The caller must start Run,
 // which writes them out.
-func NewBounded(size int) *Bounded { return &Bounded{lines: ring.New[[]byte](size)} }
+func NewBoundedWriter(size int) *BoundedWriter { return &BoundedWriter{lines: ring.New[[]byte](size)} }
 
 // Write implements io.Writer. It never blocks and never fails.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *BoundedWriter) Write(line []byte) (int, error) {
 	if !b.lines.Offer(append([]byte(nil), line...)) {
 		b.dropped.Add(1)
 	}
@@ -27,11 +27,11 @@
 }
 
 // Dropped returns the number of dropped lines.
-func (b *Bounded) Dropped() uint64 { return b.dropped.Load() }
+func (b *BoundedWriter) Dropped() uint64 { return b.dropped.Load() }
 
 // Run writes queued lines to out until stop is closed and the queue is empty. A line
 // that can't be written counts as dropped.
-func (b *Bounded) Run(out io.Writer, stop <-chan struct{}) {
+func (b *BoundedWriter) Run(out io.Writer, stop <-chan struct{}) {
 	for {
 		select {
 		case line := <-b.lines.Out():
@@ -45,7 +45,7 @@
 	}
 }
 
-func (b *Bounded) write(out io.Writer, line []byte) {
+func (b *BoundedWriter) write(out io.Writer, line []byte) {
 	if _, err := out.Write(line); err != nil {
 		b.dropped.Add(1)
 	}
--- a/host/logs/bounded_test.go
+++ b/host/logs/bounded_test.go
@@ -27,7 +27,7 @@
 func TestBlockedOutputDoesNotBlockWriters(t *testing.T) {
 	const size, lines = 8, 1000
 	out := &blockedWriter{release: make(chan struct{})}
-	b := NewBounded(size)
+	b := NewBoundedWriter(size)
 	stop := make(chan struct{})
 	var writing sync.WaitGroup
 	writing.Go(func() { b.Run(out, stop) })
@@ -50,7 +50,7 @@
 func (failingWriter) Write([]byte) (int, error) { return 0, errors.New("no reader") }
 
 func TestFailedLinesAreCounted(t *testing.T) {
-	b := NewBounded(2)
+	b := NewBoundedWriter(2)
 	_, err := b.Write([]byte("x"))
 	assert.NilError(t, err)
 	stop := make(chan struct{})
--- a/host/options.go
+++ b/host/options.go
@@ -42,26 +42,26 @@
 }
 
 const (
-	addressAllowed  = "an IP address and port, such as 127.0.0.1:7001"
-	addressesAdvice = "IP addresses and ports, separated by commas"
-	nameAllowed     = "a name, not empty"
-	levelAllowed    = "debug, info, warn or error"
+	addressAllowed   = "an IP address and port, such as 127.0.0.1:7001"
+	addressesAllowed = "IP addresses and ports, separated by commas"
+	nameAllowed      = "a name, not empty"
+	levelAllowed     = "debug, info, warn or error"
 )
 
 func hostOptions(host, domain, level *string) []settings.Option {
 	return []settings.Option{
-		{Section: "host", Name: "name", Required: true, Allowed: nameAllowed, Set: settings.Text(host)},
-		{Section: "host", Name: "domain", Required: true, Allowed: nameAllowed, Set: settings.Text(domain)},
-		{Section: "log", Name: "level", Default: "info", Allowed: levelAllowed, Set: settings.Choice(level, "debug", "info", "warn", "error")},
+		{Section: "host", Name: "name", Required: true, Allowed: nameAllowed, Set: settings.RequiredText(host)},
+		{Section: "host", Name: "domain", Required: true, Allowed: nameAllowed, Set: settings.RequiredText(domain)},
+		{Section: "log", Name: "level", Default: "info", Allowed: levelAllowed, Set: settings.OneOf(level, "debug", "info", "warn", "error")},
 	}
 }
 
 func tlsOptions(keys *TLSSettings) []settings.Option {
 	const allowed = "the path of a PEM file"
 	return []settings.Option{
-		{Section: "tls", Name: "certificate", Allowed: allowed, Set: settings.Optional(&keys.Certificate)},
-		{Section: "tls", Name: "key", Allowed: allowed, Set: settings.Optional(&keys.Key)},
-		{Section: "tls", Name: "authority", Allowed: allowed, Set: settings.Optional(&keys.Authority)},
+		{Section: "tls", Name: "certificate", Allowed: allowed, Set: settings.OptionalText(&keys.Certificate)},
+		{Section: "tls", Name: "key", Allowed: allowed, Set: settings.OptionalText(&keys.Key)},
+		{Section: "tls", Name: "authority", Allowed: allowed, Set: settings.OptionalText(&keys.Authority)},
 	}
 }
 
@@ -88,7 +88,7 @@
 		settings.Option{Section: "listen", Name: "link", Required: true, Allowed: addressAllowed, Set: settings.Address(&s.Link)},
 		settings.Option{Section: "listen", Name: "admin", Required: true, Allowed: addressAllowed, Set: settings.Address(&s.Admin)},
 		settings.Option{Section: "platform", Name: "store", Required: true, Allowed: addressAllowed, Set: settings.Address(&s.Store)},
-		settings.Option{Section: "platform", Name: "peers", Allowed: addressesAdvice, Set: settings.Addresses(&s.Peers)},
+		settings.Option{Section: "platform", Name: "peers", Allowed: addressesAllowed, Set: settings.Addresses(&s.Peers)},
 	)
 	if err := settings.Load(file, options); err != nil {
 		return ControllerSettings{}, err
@@ -105,7 +105,7 @@
 		settings.Option{Section: "listen", Name: "callers", Required: true, Allowed: addressAllowed, Set: settings.Address(&s.Callers)},
 		settings.Option{Section: "listen", Name: "link", Required: true, Allowed: addressAllowed, Set: settings.Address(&s.Link)},
 		settings.Option{Section: "listen", Name: "admin", Required: true, Allowed: addressAllowed, Set: settings.Address(&s.Admin)},
-		settings.Option{Section: "control", Name: "controllers", Required: true, Allowed: addressesAdvice + "; at least one", Set: nonEmpty(settings.Addresses(&s.Controllers), &s.Controllers)},
+		settings.Option{Section: "control", Name: "controllers", Required: true, Allowed: addressesAllowed + "; at least one", Set: nonEmpty(settings.Addresses(&s.Controllers), &s.Controllers)},
 		settings.Option{Section: "stop", Name: "balancer-wait", Default: "1s", Allowed: "a duration from 0s to 60s", Set: settings.Duration(&s.BalancerWait, 0, time.Minute)},
 		settings.Option{Section: "stop", Name: "drain-wait", Default: "30s", Allowed: "a duration from 1s to 10m", Set: settings.Duration(&s.DrainWait, time.Second, 10*time.Minute)},
 		settings.Option{Section: "limits", Name: "in-flight", Default: "8192", Allowed: "a whole number from 1 to 1000000", Set: settings.Int(&s.InFlight, 1, maxInFlight)},
--- a/host/program/program.go
+++ b/host/program/program.go
@@ -63,10 +63,10 @@
 // the returned code.
 func Parse(options any) (code int, done bool) {
 	_, err := flags.NewParser(options, flags.HelpFlag|flags.PassDoubleDash).Parse()
-	return parsed(err)
+	return parseResult(err)
 }
 
-func parsed(err error) (code int, done bool) {
+func parseResult(err error) (code int, done bool) {
 	if err == nil {
 		return ExitOK, false
 	}
--- a/host/router.go
+++ b/host/router.go
@@ -68,7 +68,7 @@
 	}
 	feeding, stopFeed := context.WithCancel(context.Background())
 	defer stopFeed()
-	go tidyLinks(feeding, d.directory, d.links, d.settings.Controllers)
+	go closeUnusedLinks(feeding, d.directory, d.links, d.settings.Controllers)
 	go router.Feed(feeding, d.directory, d.links, d.identity, d.settings.Controllers)
 
 	linkServer := link.NewServer(d.creds)
--- a/host/settings/settings.go
+++ b/host/settings/settings.go
@@ -55,16 +55,16 @@
 	Set func(value string) bool
 }
 
-// Text returns a Set function that accepts any non-empty text.
-func Text(target *string) func(string) bool {
+// RequiredText returns a Set function that accepts any non-empty text.
+func RequiredText(target *string) func(string) bool {
 	return func(value string) bool {
 		*target = strings.TrimSpace(value)
 		return *target != ""
 	}
 }
 
-// Optional returns a Set function that accepts any text.
-func Optional(target *string) func(string) bool {
+// OptionalText returns a Set function that accepts any text.
+func OptionalText(target *string) func(string) bool {
 	return func(value string) bool {
 		*target = strings.TrimSpace(value)
 		return true
@@ -134,8 +134,8 @@
 	}
 }
 
-// Choice returns a Set function that accepts one of the given words.
-func Choice(target *string, words ...string) func(string) bool {
+// OneOf returns a Set function that accepts one of the given words.
+func OneOf(target *string, words ...string) func(string) bool {
 	return func(value string) bool {
 		*target = value
 		return slices.Contains(words, value)
@@ -158,7 +158,7 @@
 	if err != nil {
 		return &FileError{File: file, Cause: err}
 	}
-	if err := checkKnown(file, loaded, options); err != nil {
+	if err := rejectUnknown(file, loaded, options); err != nil {
 		return err
 	}
 	for _, option := range options {
@@ -185,11 +185,11 @@
 	return nil
 }
 
-func checkKnown(file string, loaded *ini.File, options []Option) error {
+func rejectUnknown(file string, loaded *ini.File, options []Option) error {
 	for _, section := range loaded.Sections() {
-		names := namesIn(section.Name(), options)
+		names := optionNames(section.Name(), options)
 		if len(names) == 0 && (section.Name() != ini.DefaultSection || len(section.Keys()) > 0) {
-			return &Error{File: file, Section: section.Name(), Allowed: "unknown section; known are " + strings.Join(sections(options), ", ")}
+			return &Error{File: file, Section: section.Name(), Allowed: "unknown section; known are " + strings.Join(sectionNames(options), ", ")}
 		}
 		for _, key := range section.Keys() {
 			if !slices.Contains(names, key.Name()) {
@@ -201,7 +201,7 @@
 	return nil
 }
 
-func namesIn(section string, options []Option) []string {
+func optionNames(section string, options []Option) []string {
 	var names []string
 	for _, option := range options {
 		if option.Section == section {
@@ -211,7 +211,7 @@
 	return names
 }
 
-func sections(options []Option) []string {
+func sectionNames(options []Option) []string {
 	var names []string
 	for _, option := range options {
 		if !slices.Contains(names, option.Section) {
--- a/load/experiment.go
+++ b/load/experiment.go
@@ -132,10 +132,10 @@
 	return []settings.Option{
 		{Section: "run", Name: "duration", Default: "20s", Allowed: "a duration from 1s to 1h", Set: settings.Duration(&e.Duration, time.Second, longest)},
 		{Section: "run", Name: "seed", Default: "1", Allowed: "a whole number of at least 0", Set: settings.Int(&e.Seed, 0, 1<<31-1)},
-		{Section: "run", Name: "output", Allowed: "a path for the results, without ending", Set: settings.Optional(&e.Output)},
+		{Section: "run", Name: "output", Allowed: "a path for the results, without ending", Set: settings.OptionalText(&e.Output)},
 		{Section: "system", Name: "entries", Required: true, Allowed: "pairs CALLERS/ADMIN of IP numbers and ports, separated by commas", Set: setEntries(&e.Entries)},
 		{Section: "system", Name: "fleets", Allowed: addresses, Set: settings.Addresses(&e.Fleets)},
-		{Section: "system", Name: "store", Allowed: "an IP number and port", Set: settings.Optional(&e.Store)},
+		{Section: "system", Name: "store", Allowed: "an IP number and port", Set: settings.OptionalText(&e.Store)},
 	}
 }
 
@@ -156,7 +156,7 @@
 func streamOptions(section string, s *Stream) []settings.Option {
 	const most = 10_000_000
 	return []settings.Option{
-		{Section: section, Name: "service", Required: true, Allowed: "the name of a service", Set: settings.Text(&s.Service)},
+		{Section: section, Name: "service", Required: true, Allowed: "the name of a service", Set: settings.RequiredText(&s.Service)},
 		{Section: section, Name: "rate", Required: true, Allowed: "requests per second, from 0.1 to 1000000", Set: settings.Float(&s.Rate, 0.1, 1e6)},
 		{Section: section, Name: "keyed", Default: "true", Allowed: "true or false", Set: settings.Bool(&s.Keyed)},
 		{Section: section, Name: "keys", Default: "10000", Allowed: "a whole number from 1 to 10000000", Set: settings.Int(&s.Keys, 1, most)},
@@ -181,7 +181,7 @@
 	return []settings.Option{
 		{Section: section, Name: "at", Required: true, Allowed: "a duration from 0s to 1h", Set: settings.Duration(&f.At, 0, longest)},
 		{Section: section, Name: "for", Default: "3s", Allowed: "a duration from 0s to 1h", Set: settings.Duration(&f.For, 0, longest)},
-		{Section: section, Name: "action", Required: true, Allowed: strings.Join(actions, ", "), Set: settings.Choice(&f.Action, actions...)},
-		{Section: section, Name: "target", Allowed: "the name of a backend server", Set: settings.Optional(&f.Target)},
+		{Section: section, Name: "action", Required: true, Allowed: strings.Join(actions, ", "), Set: settings.OneOf(&f.Action, actions...)},
+		{Section: section, Name: "target", Allowed: "the name of a backend server", Set: settings.OptionalText(&f.Target)},
 	}
 }
--- a/logread/line.go
+++ b/logread/line.go
@@ -16,9 +16,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// mostLine is the maximum length of a line in bytes; longer ones are skipped and counted
+// maxLineBytes is the maximum length of a line in bytes; longer ones are skipped and counted
 // as unreadable. Hosts write lines of some hundreds of bytes.
-const mostLine = 1 << 20
+const maxLineBytes = 1 << 20
 
 // Line contains the fields of a log line that this package uses.
 type Line struct {
@@ -41,9 +41,9 @@
 
 // Messages of the lines that the summary evaluates.
 const (
-	messageRequest = "request"
-	messageControl = "in control"
-	messageGaveUp  = "control given up"
+	messageRequest        = "request"
+	messageInControl      = "in control"
+	messageControlGivenUp = "control given up"
 )
 
 // Progress is called with the numbers of lines and bytes read so far.
@@ -56,7 +56,7 @@
 // are too long, cut off at the end of a process, or not a JSON object. Text before the
 // first brace of a line, such as the name of its host, is ignored.
 func Scan(in io.Reader, visit func(Line), progress Progress) (unreadable int64, err error) {
-	reader := bufio.NewReaderSize(in, mostLine)
+	reader := bufio.NewReaderSize(in, maxLineBytes)
 	var lines, bytesRead int64
 	for {
 		text, err := reader.ReadSlice('\n')
--- a/logread/logread_test.go
+++ b/logread/logread_test.go
@@ -21,7 +21,7 @@
 
 func TestSummary(t *testing.T) {
 	summarizer := NewSummarizer()
-	unreadable, err := Scan(strings.NewReader(hostLogs), summarizer.Take, nil)
+	unreadable, err := Scan(strings.NewReader(hostLogs), summarizer.Add, nil)
 	assert.NilError(t, err)
 	assert.Equal(t, unreadable, int64(1))
 	s := summarizer.Summary()
@@ -35,24 +35,24 @@
 	assert.Equal(t, len(s.Controllers), 2)
 	assert.Equal(t, s.Controllers[0].What, "in control")
 	var out bytes.Buffer
-	s.Table(&out)
+	s.WriteTable(&out)
 	assert.Assert(t, strings.Contains(out.String(), "owned\tno-owner\t1"), out.String())
 }
 
 // TestRequestTrace checks that a trace contains the lines of the request in order, each
 // with the state that its host had logged before.
 func TestRequestTrace(t *testing.T) {
-	collector := NewStoryteller("r-2")
-	_, err := Scan(strings.NewReader(hostLogs), collector.Take, nil)
+	collector := NewTraceCollector("r-2")
+	_, err := Scan(strings.NewReader(hostLogs), collector.Add, nil)
 	assert.NilError(t, err)
-	trace := collector.Story()
+	trace := collector.Trace()
 	assert.Equal(t, len(trace.Events), 2)
 	assert.Assert(t, strings.Contains(trace.Events[0].Line, "attempt repeated"))
 	assert.Assert(t, strings.Contains(trace.Events[1].Line, "no-owner"))
-	assert.Equal(t, len(trace.Events[1].Believed), 1)
-	assert.Assert(t, strings.Contains(trace.Events[1].Believed[0], "assignment known"))
+	assert.Equal(t, len(trace.Events[1].HostState), 1)
+	assert.Assert(t, strings.Contains(trace.Events[1].HostState[0], "assignment known"))
 	var out bytes.Buffer
-	NewStoryteller("r-9").Story().Table(&out)
+	NewTraceCollector("r-9").Trace().WriteTable(&out)
 	assert.Assert(t, strings.Contains(out.String(), "no line names request r-9"))
 }
 
@@ -66,7 +66,7 @@
 // the following lines are read, and that an error of the reader is returned.
 func TestScanSkipsLongLines(t *testing.T) {
 	lines := 0
-	long := strings.Repeat("x", 3*mostLine) + "\n" + `{"msg":"request"}` + "\n"
+	long := strings.Repeat("x", 3*maxLineBytes) + "\n" + `{"msg":"request"}` + "\n"
 	unreadable, err := Scan(strings.NewReader(long), func(Line) { lines++ }, nil)
 	assert.NilError(t, err)
 	assert.Equal(t, unreadable, int64(1))
--- a/logread/summary.go
+++ b/logread/summary.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// mostListed is the maximum number of keys, of servers and of hosts that a summary lists.
-const mostListed = 10
+// maxListed is the maximum number of keys, of servers and of hosts that a summary lists.
+const maxListed = 10
 
 // Summary describes the outcomes of the requests in the logs and which hosts controlled
 // each service.
@@ -75,8 +75,8 @@
 		servers: map[string]int64{}, failedHosts: map[string]int64{}, messages: map[string]int64{}, ages: map[string]*mean{}}
 }
 
-// Take adds one line.
-func (s *Summarizer) Take(line Line) {
+// Add adds one line.
+func (s *Summarizer) Add(line Line) {
 	s.lines++
 	s.hosts[line.Host] = true
 	s.messages[line.Message]++
@@ -88,8 +88,8 @@
 	}
 	switch line.Message {
 	case messageRequest:
-		s.request(line)
-	case messageControl, messageGaveUp:
+		s.addRequest(line)
+	case messageInControl, messageControlGivenUp:
 		s.controllers = append(s.controllers, Change{At: line.Time, Service: line.Service, Host: line.Host, What: line.Message})
 	}
 }
@@ -97,15 +97,15 @@
 // outcomeAnswered is the outcome of requests that a server answered, with any status.
 const outcomeAnswered = "answered"
 
-// request adds a line about a request. A response with a server error is counted as an
+// addRequest adds a line about a request. A response with a server error is counted as an
 // outcome of its own, and as failed.
-func (s *Summarizer) request(line Line) {
+func (s *Summarizer) addRequest(line Line) {
 	outcome := line.Outcome
 	if outcome == outcomeAnswered && line.Status >= 500 {
 		outcome = "answered with " + strconv.Itoa(line.Status)
 	}
-	add(s.seconds, line.Time.Unix(), outcome)
-	add(s.outcomes, line.Service, outcome)
+	increment(s.seconds, line.Time.Unix(), outcome)
+	increment(s.outcomes, line.Service, outcome)
 	if line.AssignmentAgeMs != nil {
 		age := s.ages[outcome]
 		if age == nil {
@@ -126,8 +126,8 @@
 	}
 }
 
-// add increments the count of a name under a key.
-func add[K comparable](counts map[K]map[string]int64, key K, name string) {
+// increment increments the count of a name under a key.
+func increment[K comparable](counts map[K]map[string]int64, key K, name string) {
 	if counts[key] == nil {
 		counts[key] = map[string]int64{}
 	}
@@ -137,8 +137,8 @@
 // Summary returns the summary of the lines added so far.
 func (s *Summarizer) Summary() *Summary {
 	summary := &Summary{First: s.first, Last: s.last, Lines: s.lines, Hosts: len(s.hosts), Outcomes: s.outcomes, Ages: map[string]int64{},
-		FailedKeys: top(s.keys, mostListed), FailedServers: top(s.servers, mostListed), FailedHosts: top(s.failedHosts, mostListed),
-		Messages: top(s.messages, len(s.messages)), Controllers: s.controllers}
+		FailedKeys: highest(s.keys, maxListed), FailedServers: highest(s.servers, maxListed), FailedHosts: highest(s.failedHosts, maxListed),
+		Messages: highest(s.messages, len(s.messages)), Controllers: s.controllers}
 	for outcome, age := range s.ages {
 		summary.Ages[outcome] = age.sum / age.n
 	}
@@ -151,8 +151,8 @@
 	return summary
 }
 
-// top returns the highest counts, at most limit of them.
-func top(counts map[string]int64, limit int) []Count {
+// highest returns the highest counts, at most limit of them.
+func highest(counts map[string]int64, limit int) []Count {
 	var all []Count
 	for name, count := range counts {
 		all = append(all, Count{Name: name, Count: count})
@@ -161,25 +161,25 @@
 	return all[:min(len(all), limit)]
 }
 
-// Table writes the summary as text, in columns separated by tabs.
-func (s *Summary) Table(out io.Writer) {
+// WriteTable writes the summary as text, in columns separated by tabs.
+func (s *Summary) WriteTable(out io.Writer) {
 	fmt.Fprintf(out, "%d lines of %d hosts, %s to %s\n\nSERVICE\tOUTCOME\tREQUESTS\n", s.Lines, s.Hosts, s.First.Format(time.RFC3339Nano), s.Last.Format(time.RFC3339Nano))
 	for _, service := range slices.Sorted(maps.Keys(s.Outcomes)) {
-		for _, count := range top(s.Outcomes[service], len(s.Outcomes[service])) {
+		for _, count := range highest(s.Outcomes[service], len(s.Outcomes[service])) {
 			fmt.Fprintf(out, "%s\t%s\t%d\n", service, count.Name, count.Count)
 		}
 	}
 	fmt.Fprintf(out, "\nSECOND\tOUTCOMES\n")
 	for i, second := range s.Seconds {
 		fmt.Fprintf(out, "%d", i)
-		for _, count := range top(second, len(second)) {
+		for _, count := range highest(second, len(second)) {
 			fmt.Fprintf(out, "\t%s %d", count.Name, count.Count)
 		}
 		fmt.Fprintln(out)
 	}
-	list(out, "KEY OF REQUESTS NOT ANSWERED", s.FailedKeys)
-	list(out, "SERVER OF REQUESTS NOT ANSWERED", s.FailedServers)
-	list(out, "HOST OF REQUESTS NOT ANSWERED", s.FailedHosts)
+	writeCounts(out, "KEY OF REQUESTS NOT ANSWERED", s.FailedKeys)
+	writeCounts(out, "SERVER OF REQUESTS NOT ANSWERED", s.FailedServers)
+	writeCounts(out, "HOST OF REQUESTS NOT ANSWERED", s.FailedHosts)
 	fmt.Fprintf(out, "\nOUTCOME\tMEAN AGE OF THE ASSIGNMENT, MS\n")
 	for _, outcome := range slices.Sorted(maps.Keys(s.Ages)) {
 		fmt.Fprintf(out, "%s\t%d\n", outcome, s.Ages[outcome])
@@ -188,10 +188,10 @@
 	for _, change := range s.Controllers {
 		fmt.Fprintf(out, "%s\t%s\t%s\t%s\n", change.At.Format(time.RFC3339Nano), change.Service, change.Host, change.What)
 	}
-	list(out, "LINE", s.Messages)
+	writeCounts(out, "LINE", s.Messages)
 }
 
-func list(out io.Writer, title string, counts []Count) {
+func writeCounts(out io.Writer, title string, counts []Count) {
 	fmt.Fprintf(out, "\n%s\tCOUNT\n", title)
 	for _, count := range counts {
 		fmt.Fprintf(out, "%s\t%d\n", count.Name, count.Count)
--- a/operator/client.go
+++ b/operator/client.go
@@ -36,9 +36,9 @@
 	Diff    []string   `json:"diff,omitempty"`
 }
 
-// RaceError reports that a record has changed since the version on which an
+// ConflictError reports that a record has changed since the version on which an
 // operator's edit is based. The edit of that record was not written.
-type RaceError struct {
+type ConflictError struct {
 	Ref record.Ref
 	// Base is the version on which the edit is based, Current the stored one.
 	Base, Current uint64
@@ -47,7 +47,7 @@
 }
 
 // Error implements error.
-func (e *RaceError) Error() string {
+func (e *ConflictError) Error() string {
 	text := fmt.Sprintf("%s: the edit is based on version %d, but version %d is stored; get that version, merge the edit and apply again (or use --replace).", e.Ref, e.Base, e.Current)
 	for _, line := range e.Diff {
 		text += "\n  " + line
@@ -63,8 +63,8 @@
 	Replace bool
 }
 
-// step is one document of an Apply call and its effect on the stored record.
-type step struct {
+// plannedWrite is one document of an Apply call and its effect on the stored record.
+type plannedWrite struct {
 	document Document
 	change   Change
 }
@@ -81,7 +81,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	plan, err := prepare(documents, snapshot.Objects, options)
+	plan, err := planWrites(documents, snapshot.Objects, options)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -99,13 +99,13 @@
 	return changes, warnings, nil
 }
 
-// prepare compares the documents with the stored records.
-func prepare(documents []Document, existing []platform.Object, options Options) ([]step, error) {
+// planWrites compares the documents with the stored records.
+func planWrites(documents []Document, existing []platform.Object, options Options) ([]plannedWrite, error) {
 	current := map[record.Ref]platform.Object{}
 	for _, object := range existing {
 		current[object.Ref()] = object
 	}
-	var plan []step
+	var plan []plannedWrite
 	for _, document := range documents {
 		stored, exists := current[document.Ref()]
 		change := Change{Ref: document.Ref(), Action: Created}
@@ -119,23 +119,23 @@
 		}
 		conflicts := document.Version != stored.Version && !options.Replace && change.Action != Unchanged
 		if conflicts {
-			return nil, &RaceError{Ref: document.Ref(), Base: document.Version, Current: stored.Version, Diff: change.Diff}
+			return nil, &ConflictError{Ref: document.Ref(), Base: document.Version, Current: stored.Version, Diff: change.Diff}
 		}
-		plan = append(plan, step{document: document, change: change})
+		plan = append(plan, plannedWrite{document: document, change: change})
 	}
 	return plan, nil
 }
 
-// attemptField is the field of a record that holds the ID of its last write. If the
+// writeIDField is the field of a record that holds the ID of its last write. If the
 // response to a write is lost, the ID tells whether the write took effect.
-const attemptField = "appliedBy"
+const writeIDField = "appliedBy"
 
 // write writes one document. If the store's response is lost, it reads the record back
 // and compares the ID of the write.
-func (c *Client) write(ctx context.Context, planned step) (uint64, error) {
+func (c *Client) write(ctx context.Context, planned plannedWrite) (uint64, error) {
 	writeID := uuid.Must(uuid.NewV7()).String()
 	envelope := planned.document.Envelope
-	spec, err := withField(envelope.Spec, attemptField, writeID)
+	spec, err := setField(envelope.Spec, writeIDField, writeID)
 	if err != nil {
 		return 0, err
 	}
@@ -146,38 +146,38 @@
 	case err == nil:
 		return version, nil
 	case errors.As(err, &conflict):
-		return 0, &RaceError{Ref: conflict.Ref, Base: conflict.Given, Current: conflict.Current.Version,
+		return 0, &ConflictError{Ref: conflict.Ref, Base: conflict.Given, Current: conflict.Current.Version,
 			Diff: Diff(conflict.Current.Envelope, planned.document.Envelope)}
 	case errors.Is(err, platform.ErrUnavailable):
-		return c.settle(ctx, envelope, writeID, err)
+		return c.confirmWrite(ctx, envelope, writeID, err)
 	}
 	return 0, err
 }
 
-// settle finds out whether a write took effect whose response was lost.
-func (c *Client) settle(ctx context.Context, envelope record.Envelope, writeID string, cause error) (uint64, error) {
+// confirmWrite finds out whether a write took effect whose response was lost.
+func (c *Client) confirmWrite(ctx context.Context, envelope record.Envelope, writeID string, cause error) (uint64, error) {
 	object, err := c.store.Get(ctx, envelope.Ref())
 	if err == nil && bytes.Contains(object.Spec, []byte(writeID)) {
 		return object.Version, nil
 	}
-	return 0, &UnsettledError{Ref: envelope.Ref(), Cause: cause}
+	return 0, &UnknownOutcomeError{Ref: envelope.Ref(), Cause: cause}
 }
 
-// UnsettledError reports a write of which it is unknown whether it took effect.
-type UnsettledError struct {
+// UnknownOutcomeError reports a write of which it is unknown whether it took effect.
+type UnknownOutcomeError struct {
 	Ref   record.Ref
 	Cause error
 }
 
 // Error implements error.
-func (e *UnsettledError) Error() string {
+func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("%s: the store's response was lost, and reading the record back did not show whether the write took effect (%v); it is safe to run the same apply again", e.Ref, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *UnsettledError) Unwrap() error { return e.Cause }
+func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
-func withField(spec json.RawMessage, name, value string) (json.RawMessage, error) {
+func setField(spec json.RawMessage, name, value string) (json.RawMessage, error) {
 	fields := map[string]json.RawMessage{}
 	if len(spec) > 0 {
 		if err := json.Unmarshal(spec, &fields); err != nil {
--- a/operator/diff.go
+++ b/operator/diff.go
@@ -29,11 +29,11 @@
 		newValue, inNew := after[name]
 		switch {
 		case !inOld:
-			lines = append(lines, fmt.Sprintf("+ %s: %v", name, show(newValue)))
+			lines = append(lines, fmt.Sprintf("+ %s: %v", name, formatValue(newValue)))
 		case !inNew:
-			lines = append(lines, fmt.Sprintf("- %s: %v", name, show(oldValue)))
+			lines = append(lines, fmt.Sprintf("- %s: %v", name, formatValue(oldValue)))
 		case !reflect.DeepEqual(oldValue, newValue):
-			lines = append(lines, fmt.Sprintf("~ %s: %v -> %v", name, show(oldValue), show(newValue)))
+			lines = append(lines, fmt.Sprintf("~ %s: %v -> %v", name, formatValue(oldValue), formatValue(newValue)))
 		}
 	}
 	return lines
@@ -56,12 +56,12 @@
 	}
 	fields := map[string]any{}
 	_ = json.Unmarshal(converted.Spec, &fields)
-	delete(fields, attemptField)
+	delete(fields, writeIDField)
 	fields["(schema)"] = string(schema)
 	return fields
 }
 
-func show(value any) string {
+func formatValue(value any) string {
 	text, err := json.Marshal(value)
 	if err != nil {
 		return fmt.Sprint(value)
--- a/operator/documents.go
+++ b/operator/documents.go
@@ -67,9 +67,9 @@
 	return []Document{document}, err
 }
 
-// decode checks that a document is a valid record of its kind. It accepts only the
+// checkDocument checks that a document is a valid record of its kind. It accepts only the
 // kinds that operators write.
-func decode(document Document) error {
+func checkDocument(document Document) error {
 	var err error
 	switch document.Kind {
 	case record.KindService:
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -84,7 +84,7 @@
 	_, _, err = client.Apply(context.Background(), edit(record.WeighChurn, record.SchemaV2), operator.Options{})
 	assert.NilError(t, err)
 	_, _, err = client.Apply(context.Background(), edit(record.WeighUnavailability, record.SchemaV1), operator.Options{})
-	var conflict *operator.RaceError
+	var conflict *operator.ConflictError
 	assert.Assert(t, errors.As(err, &conflict), "got %v", err)
 	assert.Assert(t, strings.Contains(conflict.Error(), "weigh"), conflict.Error())
 	stored, err := client.Get(context.Background(), object.Ref())
--- a/operator/status.go
+++ b/operator/status.go
@@ -59,33 +59,33 @@
 }
 
 // Burn returns the error budget burn of each service in each failure domain.
-func (c *Client) Burn(ctx context.Context, now time.Time) ([]report.Line, error) {
+func (c *Client) Burn(ctx context.Context, now time.Time) ([]report.ServiceBurn, error) {
 	snapshot, err := c.store.List(ctx)
 	if err != nil {
 		return nil, err
 	}
-	services := worldAfter(nil, snapshot.Objects).services
-	var lines []report.Line
+	services := recordsAfter(nil, snapshot.Objects).services
+	var lines []report.ServiceBurn
 	for _, object := range snapshot.Objects {
 		if object.Kind != record.KindBurn {
 			continue
 		}
-		line, err := burnLine(now, services, object)
+		line, err := decodeBurn(now, services, object)
 		if err != nil {
 			return nil, err
 		}
 		lines = append(lines, line)
 	}
-	slices.SortFunc(lines, func(a, b report.Line) int {
+	slices.SortFunc(lines, func(a, b report.ServiceBurn) int {
 		return strings.Compare(a.Service+a.Domain, b.Service+b.Domain)
 	})
 	return lines, nil
 }
 
-func burnLine(now time.Time, services map[string]record.Service, object platform.Object) (report.Line, error) {
+func decodeBurn(now time.Time, services map[string]record.Service, object platform.Object) (report.ServiceBurn, error) {
 	var series report.Series
 	if err := json.Unmarshal(object.Spec, &series); err != nil {
-		return report.Line{}, &record.FieldError{Record: object.Ref(), Field: "spec", Fix: err.Error()}
+		return report.ServiceBurn{}, &record.FieldError{Record: object.Ref(), Field: "spec", Fix: err.Error()}
 	}
 	return report.Burn(now, services[series.Service], series), nil
 }
--- a/report/burn.go
+++ b/report/burn.go
@@ -27,8 +27,8 @@
 
 // Burn rates above which the alarms are raised.
 const (
-	pageBurn   = 14.4
-	ticketBurn = 6
+	pageBurnRate   = 14.4
+	ticketBurnRate = 6
 )
 
 // Cause is a reason for bad requests and the number of requests that it affected.
@@ -37,8 +37,8 @@
 	Count  uint64 `json:"count"`
 }
 
-// Line is the error budget burn of one service in one failure domain.
-type Line struct {
+// ServiceBurn is the error budget burn of one service in one failure domain.
+type ServiceBurn struct {
 	Service string `json:"service"`
 	Domain  string `json:"domain"`
 	// Availability and Latency are the burn rates by window: 1 spends the
@@ -55,43 +55,43 @@
 }
 
 // Burn computes the error budget burn of one service in one failure domain.
-func Burn(now time.Time, service record.Service, series Series) Line {
-	line := Line{Service: series.Service, Domain: series.Domain, Causes: topCauses(series.Causes)}
+func Burn(now time.Time, service record.Service, series Series) ServiceBurn {
+	line := ServiceBurn{Service: series.Service, Domain: series.Domain, Causes: topCauses(series.Causes)}
 	objectives := service.Objectives
 	for _, window := range Windows {
 		count := series.Within(now, window)
-		line.Availability = append(line.Availability, rate(count.Bad, count.Total, objectives.Availability))
-		line.Latency = append(line.Latency, rate(count.Slow, count.Total, objectives.LatencyShare))
+		line.Availability = append(line.Availability, burnRate(count.Bad, count.Total, objectives.Availability))
+		line.Latency = append(line.Latency, burnRate(count.Slow, count.Total, objectives.LatencyShare))
 		line.Requests = count.Total
 	}
 	line.BudgetLeft = 1 - line.Availability[len(Windows)-1]
-	line.Alarm = alarm(line.Availability, line.Latency)
+	line.Alarm = highestAlarm(line.Availability, line.Latency)
 	return line
 }
 
-// rate returns the ratio of the failure rate to the one that the objective allows.
-func rate(failed, total uint64, objective float64) float64 {
+// burnRate returns the ratio of the failure rate to the one that the objective allows.
+func burnRate(failed, total uint64, objective float64) float64 {
 	if total == 0 {
 		return 0
 	}
 	return float64(failed) / float64(total) / (1 - objective)
 }
 
-func alarm(rates ...[]float64) Alarm {
+func highestAlarm(rates ...[]float64) Alarm {
 	worst := AlarmNone
 	for _, burn := range rates {
 		switch {
-		case burn[0] > pageBurn && burn[1] > pageBurn:
+		case burn[0] > pageBurnRate && burn[1] > pageBurnRate:
 			return AlarmPage
-		case burn[1] > ticketBurn && burn[2] > ticketBurn:
+		case burn[1] > ticketBurnRate && burn[2] > ticketBurnRate:
 			worst = AlarmTicket
 		}
 	}
 	return worst
 }
 
-// mostCauses is the maximum number of causes in a Line.
-const mostCauses = 3
+// maxCauses is the maximum number of causes in a Line.
+const maxCauses = 3
 
 func topCauses(causes map[string]uint64) []Cause {
 	list := make([]Cause, 0, len(causes))
@@ -99,5 +99,5 @@
 		list = append(list, Cause{Reason: reason, Count: causes[reason]})
 	}
 	slices.SortStableFunc(list, func(a, b Cause) int { return cmp.Compare(b.Count, a.Count) })
-	return list[:min(mostCauses, len(list))]
+	return list[:min(maxCauses, len(list))]
 }
--- a/report/series.go
+++ b/report/series.go
@@ -50,8 +50,8 @@
 
 // Add adds a count at the given time.
 func (s *Series) Add(now time.Time, count Count, causes map[string]uint64) {
-	s.Minutes = addTo(s.Minutes, now.Unix()/60, count, minuteBuckets)
-	s.Hours = addTo(s.Hours, now.Unix()/3600, count, hourBuckets)
+	s.Minutes = addToBuckets(s.Minutes, now.Unix()/60, count, minuteBuckets)
+	s.Hours = addToBuckets(s.Hours, now.Unix()/3600, count, hourBuckets)
 	if s.Causes == nil {
 		s.Causes = map[string]uint64{}
 	}
@@ -60,10 +60,10 @@
 	}
 }
 
-// addTo adds a count to the newest bucket, or to a new one if start is later, and drops
+// addToBuckets adds a count to the newest bucket, or to a new one if start is later, and drops
 // the buckets beyond the limit. A count whose start is older than the newest bucket is
 // added to that bucket.
-func addTo(buckets []Bucket, start int64, count Count, limit int) []Bucket {
+func addToBuckets(buckets []Bucket, start int64, count Count, limit int) []Bucket {
 	last := len(buckets) - 1
 	if last < 0 || buckets[last].Start < start {
 		buckets = append(buckets, Bucket{Start: start})
--- a/report/text.go
+++ b/report/text.go
@@ -9,17 +9,17 @@
 )
 
 // WriteText writes the lines as a plain text table.
-func WriteText(out io.Writer, lines []Line) error {
+func WriteText(out io.Writer, lines []ServiceBurn) error {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "SERVICE\tDOMAIN\tREQUESTS\tAVAILABILITY BURN 5m/1h/6h/72h\tLATENCY BURN 5m/1h/6h/72h\tBUDGET LEFT\tALARM\tCAUSES")
 	for _, line := range lines {
 		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%s\t%.1f%%\t%s\t%s\n", line.Service, line.Domain, line.Requests,
-			rates(line.Availability), rates(line.Latency), 100*line.BudgetLeft, line.Alarm, causes(line.Causes))
+			formatRates(line.Availability), formatRates(line.Latency), 100*line.BudgetLeft, line.Alarm, formatCauses(line.Causes))
 	}
 	return table.Flush()
 }
 
-func rates(burn []float64) string {
+func formatRates(burn []float64) string {
 	parts := make([]string, len(burn))
 	for i, rate := range burn {
 		parts[i] = fmt.Sprintf("%.2f", rate)
@@ -27,7 +27,7 @@
 	return strings.Join(parts, "/")
 }
 
-func causes(list []Cause) string {
+func formatCauses(list []Cause) string {
 	parts := make([]string, len(list))
 	for i, cause := range list {
 		parts[i] = fmt.Sprintf("%s %d", cause.Reason, cause.Count)
@@ -35,8 +35,8 @@
 	return strings.Join(parts, ", ")
 }
 
-var page = template.Must(template.New("burn").Funcs(template.FuncMap{
-	"rates": rates, "causes": causes, "percent": func(share float64) string { return fmt.Sprintf("%.1f%%", 100*share) },
+var htmlTemplate = template.Must(template.New("burn").Funcs(template.FuncMap{
+	"rates": formatRates, "causes": formatCauses, "percent": func(share float64) string { return fmt.Sprintf("%.1f%%", 100*share) },
 }).Parse(`<!doctype html><html lang="en"><meta charset="utf-8"><title>Service-level burn</title>
 <style>body{font:15px sans-serif;margin:2em}table{border-collapse:collapse}td,th{padding:.4em .8em;text-align:left;border-bottom:1px solid #ccc}
 .page{background:#fbb}.ticket{background:#fec}</style>
@@ -48,4 +48,4 @@
 `))
 
 // WriteHTML writes the lines as an HTML page.
-func WriteHTML(out io.Writer, lines []Line) error { return page.Execute(out, lines) }
+func WriteHTML(out io.Writer, lines []ServiceBurn) error { return htmlTemplate.Execute(out, lines) }
