--- a/cmd/cicadactl/logs.go
+++ b/cmd/cicadactl/logs.go
@@ -32,8 +32,8 @@
 		if err := c.scan(files, collector.Add); err != nil {
 			return err
 		}
-		story := collector.Trace()
-		return c.globals.print(story, story.WriteTable)
+		trace := collector.Trace()
+		return c.globals.print(trace, trace.WriteTable)
 	}
 	summarizer := logread.NewSummarizer()
 	if err := c.scan(files, summarizer.Add); err != nil {
--- a/host/settings/settings.go
+++ b/host/settings/settings.go
@@ -172,11 +172,11 @@
 func setOption(file string, loaded *ini.File, option Option) error {
 	section := loaded.Section(option.Section)
 	value := option.Default
-	given := section.HasKey(option.Name)
-	if given {
+	present := section.HasKey(option.Name)
+	if present {
 		value = section.Key(option.Name).String()
 	}
-	if !given && option.Required {
+	if !present && option.Required {
 		return &Error{File: file, Section: option.Section, Option: option.Name, Allowed: "is required: " + option.Allowed}
 	}
 	if !option.Set(value) {
