--- a/cmd/cicadactl/status.go
+++ b/cmd/cicadactl/status.go
@@ -32,7 +32,7 @@
 
 type reportCommand struct {
 	globals *globals
-	HTML    string `long:"html" value-name:"FILE" description:"write a page for a browser instead"`
+	HTML    string `long:"html" value-name:"FILE" description:"write the report as an HTML page to this file"`
 }
 
 // Execute implements flags.Commander.
@@ -52,7 +52,7 @@
 	return report.WriteText(os.Stdout, lines)
 }
 
-func writePage(path string, lines []report.Line) error {
+func writePage(path string, lines []report.ServiceBurn) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return err
--- a/operator/client.go
+++ b/operator/client.go
@@ -13,16 +13,15 @@
 	"cicadarouter/record"
 )
 
-// Client writes operators' records to the platform's store.
+// Client reads and writes operators' records in the platform's store.
 type Client struct{ store platform.Store }
 
-// NewClient returns a client on a store.
+// NewClient returns a client of a store.
 func NewClient(store platform.Store) *Client { return &Client{store: store} }
 
-// Action is what an apply did, or would do, to one record.
+// Action is what Apply did, or in a dry run would do, to one record.
 type Action string
 
-// The actions.
 const (
 	Created   Action = "created"
 	Updated   Action = "updated"
@@ -37,41 +36,42 @@
 	Diff    []string   `json:"diff,omitempty"`
 }
 
-// RaceError reports that a record changed under an operator's edit. It shows
-// both sides and nothing of the edit was written.
-type RaceError struct {
+// ConflictError reports that a record has changed since the version on which an
+// operator's edit is based. The edit of that record was not written.
+type ConflictError struct {
 	Ref record.Ref
-	// Base is the version that the edit started from, Current the one found.
+	// Base is the version on which the edit is based, Current the stored one.
 	Base, Current uint64
-	// Diff leads from the record in force to the edit.
+	// Diff lists the differences between the stored record and the edit.
 	Diff []string
 }
 
 // Error implements error.
-func (e *RaceError) Error() string {
-	text := fmt.Sprintf("%s: your edit starts from version %d, but version %d is in force; get it, merge your edit and apply again (or use --replace).", e.Ref, e.Base, e.Current)
+func (e *ConflictError) Error() string {
+	text := fmt.Sprintf("%s: the edit is based on version %d, but version %d is stored; get that version, merge the edit and apply again (or use --replace).", e.Ref, e.Base, e.Current)
 	for _, line := range e.Diff {
 		text += "\n  " + line
 	}
 	return text
 }
 
-// Options of an apply.
+// Options are the options of Apply.
 type Options struct {
 	// DryRun checks and compares, but writes nothing.
 	DryRun bool
-	// Replace overwrites whatever version is in force.
+	// Replace overwrites the stored record, whatever its version.
 	Replace bool
 }
 
-// step is one document of an apply, with what it does to the record in force.
-type step struct {
+// plannedWrite is one document of an Apply call and its effect on the stored record.
+type plannedWrite struct {
 	document Document
 	change   Change
 }
 
-// Apply checks all documents, then writes those that differ. Nothing is
-// written unless every document passes and none races another operator's edit.
+// Apply checks all documents, then writes those that differ from the stored records.
+// It writes nothing if a document is invalid or is not based on the stored version. It
+// stops at the first write that fails, and returns the changes made until then.
 func (c *Client) Apply(ctx context.Context, documents []Document, options Options) ([]Change, []string, error) {
 	snapshot, err := c.store.List(ctx)
 	if err != nil {
@@ -81,101 +81,103 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	plan, err := prepare(documents, snapshot.Objects, options)
+	plan, err := planWrites(documents, snapshot.Objects, options)
 	if err != nil {
 		return nil, nil, err
 	}
 	var changes []Change
-	for _, step := range plan {
-		if !options.DryRun && step.change.Action != Unchanged {
-			version, err := c.write(ctx, step)
+	for _, planned := range plan {
+		if !options.DryRun && planned.change.Action != Unchanged {
+			version, err := c.write(ctx, planned)
 			if err != nil {
 				return changes, warnings, err
 			}
-			step.change.Version = version
+			planned.change.Version = version
 		}
-		changes = append(changes, step.change)
+		changes = append(changes, planned.change)
 	}
 	return changes, warnings, nil
 }
 
-// prepare compares documents with the records in force.
-func prepare(documents []Document, existing []platform.Object, options Options) ([]step, error) {
+// planWrites compares the documents with the stored records.
+func planWrites(documents []Document, existing []platform.Object, options Options) ([]plannedWrite, error) {
 	current := map[record.Ref]platform.Object{}
 	for _, object := range existing {
 		current[object.Ref()] = object
 	}
-	var steps []step
+	var plan []plannedWrite
 	for _, document := range documents {
-		known, exists := current[document.Ref()]
+		stored, exists := current[document.Ref()]
 		change := Change{Ref: document.Ref(), Action: Created}
 		if exists {
 			change.Action = Updated
-			change.Version = known.Version
-			change.Diff = Diff(known.Envelope, document.Envelope)
+			change.Version = stored.Version
+			change.Diff = Diff(stored.Envelope, document.Envelope)
 		}
 		if exists && len(change.Diff) == 0 {
 			change.Action = Unchanged
 		}
-		raced := document.Version != known.Version && !options.Replace && change.Action != Unchanged
-		if raced {
-			return nil, &RaceError{Ref: document.Ref(), Base: document.Version, Current: known.Version, Diff: change.Diff}
+		conflicts := document.Version != stored.Version && !options.Replace && change.Action != Unchanged
+		if conflicts {
+			return nil, &ConflictError{Ref: document.Ref(), Base: document.Version, Current: stored.Version, Diff: change.Diff}
 		}
-		steps = append(steps, step{document: document, change: change})
+		plan = append(plan, plannedWrite{document: document, change: change})
 	}
-	return steps, nil
+	return plan, nil
 }
 
-// attemptField carries the id of a write, so that a lost reply can be settled.
-const attemptField = "appliedBy"
+// writeIDField is the field of a record that holds the ID of its last write. If the
+// response to a write is lost, the ID tells whether the write took effect.
+const writeIDField = "appliedBy"
 
-// write writes one document. A lost reply is settled by reading the record back
-// and comparing the id of the write.
-func (c *Client) write(ctx context.Context, s step) (uint64, error) {
-	attempt := uuid.Must(uuid.NewV7()).String()
-	envelope := s.document.Envelope
-	spec, err := withField(envelope.Spec, attemptField, attempt)
+// write writes one document. If the store's response is lost, it reads the record back
+// and compares the ID of the write.
+func (c *Client) write(ctx context.Context, planned plannedWrite) (uint64, error) {
+	writeID := uuid.Must(uuid.NewV7()).String()
+	envelope := planned.document.Envelope
+	spec, err := setField(envelope.Spec, writeIDField, writeID)
 	if err != nil {
 		return 0, err
 	}
 	envelope.Spec = spec
-	version, err := c.store.Update(ctx, envelope, s.change.Version)
+	version, err := c.store.Update(ctx, envelope, planned.change.Version)
 	var conflict *platform.ConflictError
 	switch {
 	case err == nil:
 		return version, nil
 	case errors.As(err, &conflict):
-		return 0, &RaceError{Ref: conflict.Ref, Base: conflict.Expected, Current: conflict.Current.Version,
-			Diff: Diff(conflict.Current.Envelope, s.document.Envelope)}
+		return 0, &ConflictError{Ref: conflict.Ref, Base: conflict.Expected, Current: conflict.Current.Version,
+			Diff: Diff(conflict.Current.Envelope, planned.document.Envelope)}
 	case errors.Is(err, platform.ErrUnavailable):
-		return c.settle(ctx, envelope, attempt, err)
+		return c.confirmWrite(ctx, envelope, writeID, err)
 	}
 	return 0, err
 }
 
-func (c *Client) settle(ctx context.Context, envelope record.Envelope, attempt string, cause error) (uint64, error) {
+// confirmWrite finds out whether a write took effect whose response was lost.
+func (c *Client) confirmWrite(ctx context.Context, envelope record.Envelope, writeID string, cause error) (uint64, error) {
 	object, err := c.store.Get(ctx, envelope.Ref())
-	if err == nil && bytes.Contains(object.Spec, []byte(attempt)) {
+	if err == nil && bytes.Contains(object.Spec, []byte(writeID)) {
 		return object.Version, nil
 	}
-	return 0, &UnsettledError{Ref: envelope.Ref(), Cause: cause}
+	return 0, &UnknownOutcomeError{Ref: envelope.Ref(), Cause: cause}
 }
 
-// UnsettledError reports a write whose outcome could not be found out.
-type UnsettledError struct {
+// UnknownOutcomeError reports a write of which it is unknown whether it took effect.
+type UnknownOutcomeError struct {
 	Ref   record.Ref
 	Cause error
 }
 
 // Error implements error.
-func (e *UnsettledError) Error() string {
-	return fmt.Sprintf("%s: the store's reply was lost and reading back did not settle it (%v); run the same apply again, which is safe", e.Ref, e.Cause)
+func (e *UnknownOutcomeError) Error() string {
+	return fmt.Sprintf("%s: the store's response was lost, and reading the record back did not show whether the write took effect (%v); it is safe to run the same apply again", e.Ref, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *UnsettledError) Unwrap() error { return e.Cause }
+func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
-func withField(spec json.RawMessage, name, value string) (json.RawMessage, error) {
+func setField(spec json.RawMessage, name, value string) (json.RawMessage, error) {
 	fields := map[string]json.RawMessage{}
 	if len(spec) > 0 {
 		if err := json.Unmarshal(spec, &fields); err != nil {
@@ -195,7 +197,7 @@
 	return c.store.Get(ctx, ref)
 }
 
-// List returns the records of a kind, or all if it is empty.
+// List returns the records of a kind, or all records if kind is empty.
 func (c *Client) List(ctx context.Context, kind record.Kind) ([]platform.Object, error) {
 	snapshot, err := c.store.List(ctx)
 	if err != nil {
@@ -210,11 +212,12 @@
 	return found, nil
 }
 
-// Delete removes a record at the given version.
+// Delete removes a record if it is still at the given version. It refuses pages, which
+// hold the tokens that fence off former owners.
 func (c *Client) Delete(ctx context.Context, ref record.Ref, version uint64) error {
 	if ref.Kind == record.KindPage {
 		return &record.FieldError{Record: ref, Field: "kind", Value: string(ref.Kind),
-			Fix: "pages are written by controllers only: deleting one would forget its tokens"}
+			Fix: "pages are written by controllers only: deleting one would lose its tokens"}
 	}
 	return c.store.Delete(ctx, ref, version)
 }
--- a/operator/status.go
+++ b/operator/status.go
@@ -12,22 +12,23 @@
 	"cicadarouter/report"
 )
 
-// DomainStatus tells which configuration is in force in a failure domain.
+// DomainStatus describes the configuration that is in force in a failure domain.
 type DomainStatus struct {
 	record.Enforced
-	// InForce is set when every daemon of the domain has the newest configuration.
+	// InForce reports whether every daemon of the domain has applied the newest
+	// configuration.
 	InForce bool `json:"inForce"`
 }
 
-// Status tells where the configuration is in force.
+// Status describes in which failure domains the newest configuration is in force.
 type Status struct {
-	// Config is the newest version of an operator's record.
+	// Config is the highest version among the records that operators write.
 	Config  uint64         `json:"config"`
 	Domains []DomainStatus `json:"domains"`
 }
 
-// Status reads the failure domains' reports: one read of the store, however many
-// daemons there are.
+// Status summarizes the failure domains' reports. It reads the store once, however
+// many daemons there are.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	snapshot, err := c.store.List(ctx)
 	if err != nil {
@@ -57,34 +58,34 @@
 	return status, nil
 }
 
-// Burn reads the burn report.
-func (c *Client) Burn(ctx context.Context, now time.Time) ([]report.Line, error) {
+// Burn returns the error budget burn of each service in each failure domain.
+func (c *Client) Burn(ctx context.Context, now time.Time) ([]report.ServiceBurn, error) {
 	snapshot, err := c.store.List(ctx)
 	if err != nil {
 		return nil, err
 	}
-	services := worldAfter(nil, snapshot.Objects).services
-	var lines []report.Line
+	services := recordsAfter(nil, snapshot.Objects).services
+	var lines []report.ServiceBurn
 	for _, object := range snapshot.Objects {
 		if object.Kind != record.KindBurn {
 			continue
 		}
-		line, err := burnLine(now, services, object)
+		line, err := decodeBurn(now, services, object)
 		if err != nil {
 			return nil, err
 		}
 		lines = append(lines, line)
 	}
-	slices.SortFunc(lines, func(a, b report.Line) int {
+	slices.SortFunc(lines, func(a, b report.ServiceBurn) int {
 		return strings.Compare(a.Service+a.Domain, b.Service+b.Domain)
 	})
 	return lines, nil
 }
 
-func burnLine(now time.Time, services map[string]record.Service, object platform.Object) (report.Line, error) {
+func decodeBurn(now time.Time, services map[string]record.Service, object platform.Object) (report.ServiceBurn, error) {
 	var series report.Series
 	if err := json.Unmarshal(object.Spec, &series); err != nil {
-		return report.Line{}, &record.FieldError{Record: object.Ref(), Field: "spec", Fix: err.Error()}
+		return report.ServiceBurn{}, &record.FieldError{Record: object.Ref(), Field: "spec", Fix: err.Error()}
 	}
 	return report.Burn(now, services[series.Service], series), nil
 }
