--- a/bench/changes.go
+++ b/bench/changes.go
@@ -7,9 +7,9 @@
 	"cicadarouter/record"
 )
 
-// Changes starts a site, changes a record again and again, and returns how long
-// each change took until every daemon had it in force. Half-way a controller is
-// lost, with the streams that hung on it.
+// Changes starts a site, changes a record count times, and returns how long each change
+// took until every daemon had it in force. Halfway through it kills a controller, and with
+// it the record streams that the controller served.
 func Changes(config Config, count int) ([]time.Duration, error) {
 	site, err := Start(config)
 	if err != nil {
@@ -20,14 +20,14 @@
 	if err := site.Settle(settle); err != nil {
 		return nil, err
 	}
-	lost := -1
+	killed := -1
 	var times []time.Duration
 	for i := range count {
 		if i == count/2 {
-			lost = config.Hosts - 1
-			site.killController(site.hosts[lost])
+			killed = config.Hosts - 1
+			site.killController(site.hosts[killed])
 		}
-		took, err := site.change(i, lost)
+		took, err := site.change(i, killed)
 		if err != nil {
 			return times, err
 		}
@@ -36,9 +36,9 @@
 	return times, nil
 }
 
-// change writes a new number of slots for a server and waits until it is in
-// force.
-func (s *Site) change(number, lost int) (time.Duration, error) {
+// change writes a new number of slots for a server and waits until it is in force. killed is
+// the index of the host whose controller was killed, or -1.
+func (s *Site) change(number, killed int) (time.Duration, error) {
 	ctx := context.Background()
 	ref := record.Ref{Kind: record.KindServer, Name: s.fleetConfig().ServerName(0)}
 	object, err := s.store.Store.Get(ctx, ref)
@@ -58,7 +58,7 @@
 	if _, err := s.store.Store.Update(ctx, envelope, object.Version); err != nil {
 		return 0, err
 	}
-	return s.waitInForce(ref.Name, server.Slots, lost, began)
+	return s.waitInForce(ref.Name, server.Slots, killed, began)
 }
 
 // NotInForceError reports a change that did not reach every daemon in time.
@@ -67,35 +67,36 @@
 // Error implements error.
 func (e *NotInForceError) Error() string { return "a change is not in force after 30 s" }
 
-func (s *Site) waitInForce(server string, wanted, lost int, began time.Time) (time.Duration, error) {
+func (s *Site) waitInForce(server string, slots, killed int, began time.Time) (time.Duration, error) {
 	const (
-		poll  = time.Millisecond
-		limit = 30 * time.Second
+		pollInterval = time.Millisecond
+		timeout      = 30 * time.Second
 	)
-	for time.Since(began) < limit {
+	for time.Since(began) < timeout {
 		missing := 0
 		for i, h := range s.hosts {
-			if !h.hasSlots(server, wanted, i != lost) {
+			if !h.hasSlots(server, slots, i != killed) {
 				missing++
 			}
 		}
 		if missing == 0 {
 			return time.Since(began), nil
 		}
-		time.Sleep(poll)
+		time.Sleep(pollInterval)
 	}
 	return 0, &NotInForceError{}
 }
 
-// hasSlots reports whether the host's daemons have the server's new record.
-func (h *entryHost) hasSlots(server string, wanted int, controllerToo bool) bool {
+// hasSlots reports whether the host's router, and its controller if checkController is set,
+// have the server's new record.
+func (h *entryHost) hasSlots(server string, slots int, checkController bool) bool {
 	found, ok := h.routerDirectory.Server(server)
-	if !ok || found.Slots != wanted {
+	if !ok || found.Slots != slots {
 		return false
 	}
-	if !controllerToo {
+	if !checkController {
 		return true
 	}
 	found, ok = h.controllerDirectory.Server(server)
-	return ok && found.Slots == wanted
+	return ok && found.Slots == slots
 }
--- a/bench/doc.go
+++ b/bench/doc.go
@@ -1,4 +1,4 @@
-// Package bench measures the control plane and its reactions to losses. It runs
-// the real controllers and routers of one failure domain in one process, joined
-// by links that call directly and count what a wire would carry.
+// Package bench benchmarks the control plane and its failover. It runs the real controllers
+// and routers of one failure domain in one process. Their links are direct calls that count
+// the messages and bytes that a network would carry.
 package bench
--- a/bench/failover.go
+++ b/bench/failover.go
@@ -12,10 +12,10 @@
 	"cicadarouter/standin"
 )
 
-// Loss is a kind of loss that a failover is measured for.
+// Loss is a kind of failure, or planned move, for which the recovery is measured.
 type Loss string
 
-// The losses.
+// The kinds of losses.
 const (
 	LoseServer        Loss = "server frozen"
 	LoseController    Loss = "assigning controller lost"
@@ -36,19 +36,18 @@
 // testKey is the key whose unavailability is measured.
 const testKey = "key-1"
 
-// Recovery is what a loss cost.
+// Recovery is the cost of a loss.
 type Recovery struct {
-	// Unavailable is the longest time for which a key that the loss concerned
-	// was not served.
+	// Unavailable is the longest time for which an affected key was not served.
 	Unavailable time.Duration
-	// Writes, Reads and Watches are the calls of the store in the seconds
-	// around the loss, the idle ones included.
+	// Writes, Reads and Watches are the calls to the store in the seconds around the loss,
+	// including those that are made without a loss too.
 	Writes, Reads, Watches int64
-	// Moved is the number of shards that got a new owner.
+	// Moved is the number of shards whose owner changed.
 	Moved int
 }
 
-// FailOver starts a site, causes a loss, and returns what it cost.
+// FailOver starts a site, causes a loss and returns its cost.
 func FailOver(loss Loss, config Config) (Recovery, error) {
 	config.HTTP = true
 	site, err := Start(config)
@@ -78,7 +77,7 @@
 	return recovery, nil
 }
 
-// owners returns the owner of each shard of the service, by its first hash.
+// owners returns the owner of each shard of the service, by the shard's lowest hash.
 func (s *Site) owners() map[uint64]string {
 	owners := map[uint64]string{}
 	for _, page := range s.pages() {
@@ -89,13 +88,13 @@
 	return owners
 }
 
-// measureLoss sends a request every few milliseconds and returns the longest
-// time between two that were done.
+// measureLoss sends requests in quick succession, causes the loss, and returns the longest
+// time between two requests that were answered.
 func (s *Site) measureLoss(loss Loss, entry *entryHost) time.Duration {
 	const (
 		before = 300 * time.Millisecond
 		after  = 4 * time.Second
-		every  = 3 * time.Millisecond
+		pause  = 3 * time.Millisecond
 	)
 	began := time.Now()
 	last := began
@@ -110,12 +109,12 @@
 			longest = max(longest, time.Since(last))
 			last = time.Now()
 		}
-		time.Sleep(every)
+		time.Sleep(pause)
 	}
 	return max(longest, time.Since(last))
 }
 
-// cause makes the loss happen.
+// cause causes the loss.
 func (s *Site) cause(loss Loss) {
 	page := s.testPage()
 	switch loss {
@@ -181,12 +180,12 @@
 	return s.hosts[0].name
 }
 
-// entryFor returns a host that neither assigns nor dispatches the test page, if
-// there is one: it plays the entry host of the callers.
+// entryFor returns the host to which callers send their requests. It is one that neither
+// assigns nor dispatches the test page, if there is one.
 func (s *Site) entryFor() *entryHost {
 	page := s.testPage()
-	const tries = 100
-	for range tries {
+	const maxTries = 100
+	for range maxTries {
 		for _, h := range s.hosts {
 			if h.name != page.Group[0] && h.name != s.dispatcher(page) {
 				return h
@@ -197,7 +196,7 @@
 	return s.hosts[len(s.hosts)-1]
 }
 
-// ask sends one idempotent request and reports whether it was done.
+// ask sends one idempotent request and reports whether its outcome is "done".
 func (s *Site) ask(entry *entryHost, deadline time.Duration) bool {
 	request := httptest.NewRequest(http.MethodGet, "/s/"+serviceName+"/item", nil)
 	request.Header.Set(caller.HeaderKey, testKey)
@@ -207,7 +206,7 @@
 	return recorder.Header().Get(caller.HeaderOutcome) == string(caller.Done)
 }
 
-// NotServedError reports a site that serves nothing.
+// NotServedError reports a site that did not serve a request in time.
 type NotServedError struct{}
 
 // Error implements error.
--- a/bench/links.go
+++ b/bench/links.go
@@ -15,11 +15,11 @@
 	"cicadarouter/link/linkpb"
 )
 
-// frameBytes is what HTTP/2 and gRPC add to a message on an open connection:
-// two frame headers, the message prefix, and indexed headers.
+// frameBytes is the overhead of HTTP/2 and gRPC for a message on an open connection: two
+// frame headers, the message prefix and indexed headers.
 const frameBytes = 45
 
-// traffic counts messages and their bytes on all links.
+// traffic counts messages and their bytes.
 type traffic struct {
 	messages atomic.Int64
 	bytes    atomic.Int64
@@ -30,7 +30,7 @@
 	t.bytes.Add(int64(proto.Size(message) + frameBytes))
 }
 
-// network joins the processes of a site by direct calls.
+// network connects the daemons of a site by direct calls.
 type network struct {
 	control traffic
 	relays  traffic
@@ -80,7 +80,7 @@
 	return server, nil
 }
 
-// exchange calls a handler and counts both messages.
+// exchange calls a handler and counts the request and the response.
 func exchange[I, O proto.Message](ctx context.Context, count *traffic, in I, handler func(context.Context, I) (O, error)) (O, error) {
 	count.note(in)
 	out, err := handler(ctx, in)
@@ -141,7 +141,7 @@
 	return s, nil
 }
 
-// stream is both ends of a stream of records.
+// stream implements both ends of a stream of records.
 type stream struct {
 	ctx     context.Context
 	updates chan *linkpb.RecordsUpdate
@@ -149,12 +149,12 @@
 	address string
 }
 
-// Send implements the server's end.
+// Send implements the server end of the stream.
 func (s *stream) Send(update *linkpb.RecordsUpdate) error {
 	s.network.mu.Lock()
-	_, there := s.network.controls[s.address]
+	_, reachable := s.network.controls[s.address]
 	s.network.mu.Unlock()
-	if !there {
+	if !reachable {
 		return errUnreachable
 	}
 	s.network.relays.note(update)
@@ -166,7 +166,7 @@
 	}
 }
 
-// Recv implements the client's end.
+// Recv implements the client end of the stream.
 func (s *stream) Recv() (*linkpb.RecordsUpdate, error) {
 	select {
 	case update, ok := <-s.updates:
@@ -179,7 +179,7 @@
 	}
 }
 
-// The rest of both ends' interfaces, which nothing here uses.
+// The remaining methods of the stream interfaces are not used here.
 
 func (s *stream) Context() context.Context     { return s.ctx }
 func (s *stream) SetHeader(metadata.MD) error  { return nil }
@@ -224,7 +224,8 @@
 	return exchange(ctx, &c.network.control, in, server.Counts)
 }
 
-// Forward implements linkpb.DispatchClient. It is data, not control, and not counted.
+// Forward implements linkpb.DispatchClient. It is not counted, because it carries requests
+// and not control traffic.
 func (c *dispatchClient) Forward(ctx context.Context, in *linkpb.ForwardRequest, _ ...grpc.CallOption) (*linkpb.ForwardReply, error) {
 	server, err := c.server()
 	if err != nil {
--- a/bench/orders.go
+++ b/bench/orders.go
@@ -10,17 +10,20 @@
 	"cicadarouter/dispatch"
 )
 
-// OrderResult is what an order does to calm callers while another one bursts.
+// OrderResult is the effect of a queue order on callers with steady load ("calm" callers)
+// while another caller sends a burst.
 type OrderResult struct {
 	Order string
-	// Goodput is the share of the server's capacity that went to requests
-	// answered in time, CalmDone the share of calm callers' requests that were.
+	// Goodput is the fraction of the server's capacity that was used for requests answered
+	// in time. CalmDone and BurstDone are the fractions of the calm callers' and of the
+	// burst's requests that were answered in time.
 	Goodput, CalmDone, BurstDone float64
-	// CalmP50 and CalmP99 are the waiting and service times of calm callers.
+	// CalmP50 and CalmP99 are the latencies, queueing included, of the calm callers'
+	// requests that were answered in time.
 	CalmP50, CalmP99 time.Duration
 }
 
-// The load that orders are compared under: one gate, in virtual time.
+// The load under which queue orders are compared: one concurrency limiter in virtual time.
 const (
 	orderSlots    = 4
 	orderService  = 2 * time.Millisecond
@@ -31,7 +34,7 @@
 	burstRate     = 3000.0
 )
 
-// arrival is a request of the comparison.
+// arrival is a request that arrives at the limiter.
 type arrival struct {
 	at     time.Duration
 	caller string
@@ -45,8 +48,8 @@
 	calm    bool
 }
 
-// CompareOrders puts the same arrivals through a gate with each order. The calm
-// callers need half of the server; the burst needs one and a half.
+// CompareOrders simulates the same arrivals with each queue order. The calm callers need
+// half of the server's capacity, the burst one and a half times the capacity.
 func CompareOrders(seed uint64) []OrderResult {
 	arrivals := orderArrivals(seed)
 	fair := float64(orderSlots) / orderService.Seconds() / (calmCallers + 1)
@@ -84,62 +87,62 @@
 	return arrivals
 }
 
-// waiting pairs a waiter with its arrival.
+// waiting is a queued request with its arrival.
 type waiting struct {
 	waiter  *dispatch.Waiter
 	arrival arrival
 }
 
-// simulate runs the gate in virtual time.
+// simulate runs the limiter with a queue order in virtual time.
 func simulate(arrivals []arrival, order dispatch.Order) OrderResult {
-	gate := dispatch.NewConcurrencyLimiter(dispatch.DefaultLimiterPolicy(), orderSlots, order)
-	var inside []running
+	limiter := dispatch.NewConcurrencyLimiter(dispatch.DefaultLimiterPolicy(), orderSlots, order)
+	var active []running
 	var queue []waiting
 	var calm []time.Duration
 	done := map[bool]int{}
 	admit := func(now time.Duration) {
-		kept := queue[:0]
+		stillQueued := queue[:0]
 		for _, w := range queue {
 			select {
 			case <-w.waiter.Admitted:
 				if !w.waiter.Shed {
-					inside = append(inside, running{ends: now + orderService, arrived: w.arrival.at, calm: w.arrival.calm})
+					active = append(active, running{ends: now + orderService, arrived: w.arrival.at, calm: w.arrival.calm})
 				}
 			default:
-				kept = append(kept, w)
+				stillQueued = append(stillQueued, w)
 			}
 		}
-		queue = kept
+		queue = stillQueued
 	}
 	finishUntil := func(until time.Duration) {
 		for {
 			next := -1
-			for i, r := range inside {
-				if r.ends <= until && (next < 0 || r.ends < inside[next].ends) {
+			for i, r := range active {
+				if r.ends <= until && (next < 0 || r.ends < active[next].ends) {
 					next = i
 				}
 			}
 			if next < 0 {
 				return
 			}
-			ended := inside[next]
-			inside = slices.Delete(inside, next, next+1)
+			ended := active[next]
+			active = slices.Delete(active, next, next+1)
 			if took := ended.ends - ended.arrived; took <= orderDeadline {
 				done[ended.calm]++
 				if ended.calm {
 					calm = append(calm, took)
 				}
 			}
-			gate.Release(ended.ends, orderService)
+			limiter.Release(ended.ends, orderService)
 			admit(ended.ends)
 		}
 	}
-	asked := map[bool]int{}
+	arrived := map[bool]int{}
 	for _, a := range arrivals {
 		finishUntil(a.at)
-		asked[a.calm]++
+		arrived[a.calm]++
 		w := &dispatch.Waiter{Caller: a.caller, Deadline: a.at + orderDeadline, Admitted: make(chan struct{})}
-		if ok, _ := gate.Enqueue(a.at, w); ok {
+		if ok, _ := limiter.Enqueue(a.at, w); ok {
 			queue = append(queue, waiting{waiter: w, arrival: a})
 			admit(a.at)
 		}
@@ -148,8 +151,8 @@
 	capacity := float64(orderSlots) * orderLength.Seconds() / orderService.Seconds()
 	return OrderResult{
 		Goodput:   float64(done[true]+done[false]) / capacity,
-		CalmDone:  float64(done[true]) / float64(asked[true]),
-		BurstDone: float64(done[false]) / float64(asked[false]),
+		CalmDone:  float64(done[true]) / float64(arrived[true]),
+		BurstDone: float64(done[false]) / float64(arrived[false]),
 		CalmP50:   calm[len(calm)/2],
 		CalmP99:   calm[len(calm)*99/100],
 	}
--- a/bench/site.go
+++ b/bench/site.go
@@ -23,20 +23,21 @@
 	"cicadarouter/standin"
 )
 
-// Config is the size of a site: one failure domain with one keyed service.
+// Config is the configuration of a site: one failure domain with one keyed service.
 type Config struct {
 	Hosts   int
 	Pages   int
 	Servers int
 	// Shards is the number of shards for each server.
 	Shards int
-	// HTTP has the servers listen on loopback, for requests and for grants.
+	// HTTP makes the servers listen on loopback for requests and grants, instead of being
+	// called directly.
 	HTTP bool
 	// BasePort is the port of the first server.
 	BasePort int
 }
 
-// The names that a site uses.
+// The fixed parameters of a site.
 const (
 	domainName  = "a"
 	serviceName = "split"
@@ -44,13 +45,13 @@
 	connections = 130
 )
 
-// entryHost is the two daemons of a host.
+// entryHost is a host: its router and controller daemons.
 type entryHost struct {
 	name       string
 	router     *router.Router
 	front      *router.Front
 	controller *domain.Controller
-	// The two daemons' copies of the records.
+	// The records as each of the two daemons knows them.
 	routerDirectory      *directory.Directory
 	controllerDirectory  *directory.Directory
 	stop, stopController context.CancelFunc
@@ -107,9 +108,9 @@
 		return err
 	}
 	for i := range config.Count {
-		single := config.ServerConfig
-		single.Name = config.ServerName(i)
-		s.servers[single.Name] = standin.NewServer(single, clock.System(), rand.Uint64()|1)
+		serverConfig := config.ServerConfig
+		serverConfig.Name = config.ServerName(i)
+		s.servers[serverConfig.Name] = standin.NewServer(serverConfig, clock.System(), rand.Uint64()|1)
 	}
 	return nil
 }
@@ -143,12 +144,12 @@
 
 func hostName(index int) string { return fmt.Sprintf("a-%03d", index) }
 
-// hostList is the platform's list without one host.
-func (s *Site) hostList(gone string) []platform.Host {
+// hostList returns the platform's host list without the excluded host.
+func (s *Site) hostList(excluded string) []platform.Host {
 	var hosts []platform.Host
 	for i := range s.config.Hosts {
 		name := hostName(i)
-		if name != gone {
+		if name != excluded {
 			hosts = append(hosts, platform.Host{Name: name, Domain: domainName, Link: name + "/c", RouterLink: name + "/r"})
 		}
 	}
@@ -158,7 +159,7 @@
 func (s *Site) startHost(index int) *entryHost {
 	name := hostName(index)
 	ctx, stop := context.WithCancel(context.Background())
-	controlling, stopController := context.WithCancel(ctx)
+	controllerCtx, stopController := context.WithCancel(ctx)
 	dir := directory.New()
 	h := &entryHost{name: name, stop: stop, stopController: stopController, routerDirectory: dir, controllerDirectory: directory.New()}
 	h.controller = domain.NewController(link.Identity{Host: name, Domain: domainName}, ownership.DefaultTerms(),
@@ -170,12 +171,13 @@
 	s.network.controls[name+"/c"] = domain.NewLinkServer(h.controller)
 	s.network.dispatchs[name+"/r"] = router.NewLinkServer(h.router)
 	s.network.mu.Unlock()
-	s.running.Go(func() { h.controller.Run(controlling) })
+	s.running.Go(func() { h.controller.Run(controllerCtx) })
 	s.running.Go(func() { router.Feed(ctx, dir, s.network, identity, []string{name + "/c"}) })
 	return h
 }
 
-// seeds are the links of the first hosts, as the settings of a host would name them.
+// seeds returns the controller addresses of the first hosts, as they would be in a host's
+// settings.
 func (s *Site) seeds() domain.Seeds {
 	var seeds domain.Seeds
 	for i := range min(s.config.Hosts, 3) {
@@ -184,8 +186,8 @@
 	return seeds
 }
 
-// dialer returns the way to backend servers, which counts what a grant and its
-// answer take.
+// dialer returns how controllers reach the servers: over HTTP, or by direct calls whose
+// messages are counted.
 func (s *Site) dialer() domain.ServerDialer {
 	if s.config.HTTP {
 		transport := &http.Transport{MaxIdleConnsPerHost: 2}
@@ -198,10 +200,11 @@
 	}
 }
 
-// httpBytes is what HTTP/1.1 headers add to a grant and its answer.
+// httpBytes is the overhead of HTTP/1.1 headers for a grant and its response.
 const httpBytes = 310
 
-// countedControl calls a server directly and counts what a wire would carry.
+// countedControl calls a server directly and counts the messages and bytes that a network
+// would carry.
 type countedControl struct {
 	server *standin.Server
 	count  *traffic
@@ -222,38 +225,38 @@
 }
 
 func (c *countedControl) note(in, out any) {
-	sent, _ := json.Marshal(in)
-	got, _ := json.Marshal(out)
+	request, _ := json.Marshal(in)
+	response, _ := json.Marshal(out)
 	c.count.messages.Add(2)
-	c.count.bytes.Add(int64(len(sent) + len(got) + httpBytes))
+	c.count.bytes.Add(int64(len(request) + len(response) + httpBytes))
 }
 
-// kill ends a host's daemons at once, as a lost host would.
+// kill makes a host's daemons unreachable and stops them, like the failure of the host.
 func (s *Site) kill(h *entryHost) {
 	s.network.remove(h.name + "/c")
 	s.network.remove(h.name + "/r")
 	h.stop()
 }
 
-// killController ends only a host's controller.
+// killController makes a host's controller unreachable and stops it.
 func (s *Site) killController(h *entryHost) {
 	s.network.remove(h.name + "/c")
 	h.stopController()
 }
 
-// killRouter makes only a host's router unreachable.
+// killRouter makes a host's router unreachable.
 func (s *Site) killRouter(h *entryHost) { s.network.remove(h.name + "/r") }
 
-// replace starts empty daemons at a lost host's name and addresses.
-func (s *Site) replace(lost *entryHost) {
+// replace starts new daemons, without records, under a killed host's name and addresses.
+func (s *Site) replace(killed *entryHost) {
 	for i, h := range s.hosts {
-		if h == lost {
+		if h == killed {
 			s.hosts[i] = s.startHost(i)
 		}
 	}
 }
 
-// Close ends the site.
+// Close stops the site and waits until it has stopped.
 func (s *Site) Close() {
 	for _, h := range s.hosts {
 		h.stop()
@@ -264,7 +267,7 @@
 	}
 }
 
-// pages returns the pages as the store has them.
+// pages returns the page records in the store.
 func (s *Site) pages() []record.Page {
 	snapshot, _ := s.store.Store.List(context.Background())
 	var pages []record.Page
@@ -289,7 +292,7 @@
 
 // Settle waits until every shard has an owner.
 func (s *Site) Settle(limit time.Duration) error {
-	const poll = 50 * time.Millisecond
+	const pollInterval = 50 * time.Millisecond
 	until := time.Now().Add(limit)
 	for {
 		pages := s.pages()
@@ -307,6 +310,6 @@
 		if time.Now().After(until) {
 			return &SettleError{Pages: len(pages), Unowned: unowned}
 		}
-		time.Sleep(poll)
+		time.Sleep(pollInterval)
 	}
 }
--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -7,25 +7,26 @@
 	"time"
 )
 
-// Sample is what one site costs, for each daemon (two to a host).
+// Sample is the cost of one site without requests. CPU, Heap, Bytes and Messages are per
+// daemon; a host has two daemons.
 type Sample struct {
 	Config
-	// CPU is in share of a core, Heap in bytes, Bytes and Messages per second.
+	// CPU is a fraction of a core. Heap is in bytes. Bytes and Messages are per second.
 	CPU      float64
 	Heap     float64
 	Bytes    float64
 	Messages float64
 	// LinkBytes, RelayBytes and ServerBytes are the parts of Bytes.
 	LinkBytes, RelayBytes, ServerBytes float64
-	// Reads, Writes and Watches are the whole site's calls of the store per second.
+	// Reads, Writes and Watches are the whole site's calls to the store per second.
 	Reads, Writes, Watches float64
-	// Waiting is the number of watches that wait at a time.
+	// Waiting is the number of watches that are waiting at the end of the measurement.
 	Waiting int64
-	// PageBytes is the size of the largest page record.
+	// PageBytes is the size of the largest page record, encoded as JSON.
 	PageBytes int
 }
 
-// reading is the counters at a time.
+// reading is the values of the counters at a time.
 type reading struct {
 	at                     time.Time
 	cpu                    time.Duration
@@ -50,7 +51,7 @@
 	}
 }
 
-// heap returns the live heap.
+// heap returns the size of the live heap in bytes.
 func heap() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -58,8 +59,7 @@
 	return stats.HeapAlloc
 }
 
-// quieten waits until the store has had no writes for a while, at most for a
-// bounded time.
+// quieten waits until the store has had no writes for 3 s, or for about a minute at most.
 func (s *Site) quieten() {
 	const (
 		quiet = 3 * time.Second
@@ -74,7 +74,7 @@
 	}
 }
 
-// Measure starts a site, lets it settle and measures its idle cost for a time.
+// Measure starts a site, waits until it has settled and measures its idle cost.
 func Measure(config Config, settle, measured time.Duration) (Sample, error) {
 	before := heap()
 	site, err := Start(config)
--- a/bench/store.go
+++ b/bench/store.go
@@ -9,7 +9,7 @@
 	"cicadarouter/record"
 )
 
-// countedStore counts calls and can be taken down.
+// countedStore is a store that counts calls and can be made unavailable.
 type countedStore struct {
 	platform.Store
 	reads, writes, watches atomic.Int64
--- a/bench/tagged.go
+++ b/bench/tagged.go
@@ -6,16 +6,17 @@
 	"cicadarouter/dispatch"
 )
 
-// Tagged is the order of the High-throughput Token Bucket Scheduler (HTBS), as
-// far as it applies to slots: each request gets a start and a finish tag from
-// its caller's token bucket, and the smallest finish tag goes first. Waiting
-// for a caller's next request, HTBS's other half, saves seeks of a disk and has
-// no counterpart here. It is kept as a baseline.
+// Tagged is the queue order of the High-throughput Token Bucket Scheduler (HTBS), as far as
+// it applies to slots: each request gets a start and a finish tag from its caller's token
+// bucket, and the request with the smallest finish tag goes first. The other half of HTBS,
+// waiting for a caller's next request, saves disk seeks and has no counterpart here. Tagged
+// is a baseline for comparisons.
 //
 // Source: "A QoS-Aware Disk Scheduler: High-throughput Token Bucket Scheduler",
 // section III, figures 1 and 2.
 type Tagged struct {
-	// Rate is each caller's requests per second, Burst its bucket, Delay its delta.
+	// Rate is each caller's requests per second and Burst its bucket size. Delay is the time
+	// from the start tag to the finish tag, delta in the paper.
 	Rate  float64
 	Burst float64
 	Delay time.Duration
@@ -54,7 +55,7 @@
 	q.queue = append(q.queue, tagged{waiter: waiter, finish: start + q.Delay})
 }
 
-// bucketOf returns a caller's bucket, filled up to now.
+// bucketOf returns a caller's bucket, refilled up to now.
 func (q *Tagged) bucketOf(now time.Duration, caller string) *bucket {
 	b, known := q.buckets[caller]
 	if !known {
@@ -87,8 +88,8 @@
 	return ahead
 }
 
-// Evict implements dispatch.Order: the largest finish tag goes, if the newcomer
-// would get a smaller one.
+// Evict implements dispatch.Order: it removes the request with the largest finish tag if a
+// new request of the caller would get a smaller one.
 func (q *Tagged) Evict(now time.Duration, caller string) *dispatch.Waiter {
 	worst := -1
 	for i, entry := range q.queue {
--- a/load/balancer.go
+++ b/load/balancer.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// balancer stands in for the platform's balancer: it sends callers to entry
-// hosts whose health check passes.
+// balancer simulates the platform's load balancer: it chooses among the entry hosts that
+// pass the health check.
 type balancer struct {
 	entries []Entry
 	client  *http.Client
@@ -22,7 +22,7 @@
 	return &balancer{entries: entries, client: client}
 }
 
-// Pace of the health checks.
+// Interval and timeout of the health checks.
 const (
 	checkEvery   = 300 * time.Millisecond
 	checkTimeout = 200 * time.Millisecond
@@ -68,11 +68,10 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// wait returns once all entry hosts are healthy, or after a while with those
-// that are.
+// wait waits until all entry hosts are healthy, at most for a limited time.
 func (b *balancer) wait(ctx context.Context) {
-	const longestWait = 15 * time.Second
-	until := time.Now().Add(longestWait)
+	const maxWait = 15 * time.Second
+	until := time.Now().Add(maxWait)
 	for ctx.Err() == nil && time.Now().Before(until) && b.count() < len(b.entries) {
 		time.Sleep(checkTimeout)
 	}
@@ -84,7 +83,9 @@
 	return len(b.healthy)
 }
 
-// pick returns the callers' address of an entry host, other than avoid if there is one.
+// pick returns the callers' address of a random healthy entry host, or of any entry host if
+// none is healthy. Among healthy hosts it draws again, up to three times, to get one other
+// than avoid.
 func (b *balancer) pick(avoid string) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/load/call.go
+++ b/load/call.go
@@ -15,9 +15,9 @@
 	"cicadarouter/standin"
 )
 
-// call is what a caller wants done once. It may take several requests: a caller
-// that is told "not run" comes back with a new request, and one that does not
-// know sends the same request again.
+// call is one operation of a caller. It may take several requests: after the outcome "not
+// run" the caller sends a new request, and after an unknown outcome it sends the same
+// request again.
 type call struct {
 	stream   Stream
 	due      time.Time
@@ -27,58 +27,63 @@
 	attempts int
 }
 
-// Result is what became of one request id.
+// Result is the result of one request ID.
 type Result struct {
 	Stream  string
 	Service string
 	ID      string
 	Key     string
 	Writes  bool
-	// Outcomes are what each attempt was told; "" means the connection to the
-	// entry host broke.
+	// Outcomes are the outcomes of the attempts. "" means that the connection to the entry
+	// host failed.
 	Outcomes []caller.Outcome
 	Reason   caller.Reason
-	// Foreign is set when an answer belonged to another request.
+	// Foreign is set if a response belonged to another request.
 	Foreign bool
-	// Partial is set when an answer that was said to be whole was not.
+	// Partial is set if the body of a response with the outcome "done" could not be
+	// parsed.
 	Partial bool
 	Server  string
-	// Due and Took count from when the call was due, not from when it was sent.
+	// Due is when the call was scheduled, and Took is measured from then, not from when
+	// the request was sent.
 	Due  time.Time
 	Took time.Duration
-	// Last is set on the last request of a call.
+	// Last marks the last request of a call.
 	Last bool
 }
 
-// Final returns what the last attempt was told.
+// Final returns the outcome of the last attempt.
 func (r Result) Final() caller.Outcome { return r.Outcomes[len(r.Outcomes)-1] }
 
-// Done reports whether the caller got its answer.
+// Done reports whether the final outcome is "done".
 func (r Result) Done() bool { return r.Final() == caller.Done }
 
-// How callers come back.
+// How callers retry: the attempts with one request ID, the requests of one call, and the
+// delay before a request is sent again.
 const (
 	mostAttempts = 3
 	mostRequests = 4
 	resendPause  = 50 * time.Millisecond
 )
 
-// perform makes requests until one is done or the caller's patience ends.
+// perform sends requests until one gets an outcome other than "not run", the deadline would
+// pass before a retry, or the maximum number of requests is reached.
 func (c *call) perform(ctx context.Context, r *Runner) []Result {
 	var results []Result
 	for len(results) < mostRequests {
-		result, comeBack := c.request(ctx, r)
+		result, retryAfter := c.request(ctx, r)
 		results = append(results, result)
-		if result.Final() != caller.NotRun || time.Since(c.due)+comeBack > c.stream.Deadline {
+		if result.Final() != caller.NotRun || time.Since(c.due)+retryAfter > c.stream.Deadline {
 			break
 		}
-		time.Sleep(comeBack)
+		time.Sleep(retryAfter)
 	}
 	results[len(results)-1].Last = true
 	return results
 }
 
-// request sends one request, again if its outcome is not known.
+// request sends one request, and sends it again if its outcome is unknown. It returns the
+// result and how long to wait before a new request.
 func (c *call) request(ctx context.Context, r *Runner) (Result, time.Duration) {
 	result := Result{
 		Stream:  c.stream.Name,
@@ -88,11 +93,11 @@
 		Writes:  c.writes,
 		Due:     c.due,
 	}
-	var comeBack time.Duration
+	var retryAfter time.Duration
 	entry := ""
 	for attempt := 1; attempt <= mostAttempts; attempt++ {
 		entry = r.balancer.pick(entry)
-		comeBack = c.send(ctx, r, entry, attempt, &result)
+		retryAfter = c.send(ctx, r, entry, attempt, &result)
 		if result.Final() == caller.Done || result.Final() == caller.NotRun {
 			break
 		}
@@ -102,13 +107,14 @@
 		time.Sleep(resendPause)
 	}
 	result.Took = time.Since(c.due)
-	return result, comeBack
+	return result, retryAfter
 }
 
-// send makes one attempt and notes what it was told.
+// send makes one attempt and adds its outcome to the result. It returns how long to wait
+// before a new request.
 func (c *call) send(ctx context.Context, r *Runner, entry string, attempt int, result *Result) time.Duration {
-	patience := max(c.stream.Deadline-time.Since(c.due), 50*time.Millisecond)
-	ctx, cancel := context.WithTimeout(ctx, patience+500*time.Millisecond)
+	remaining := max(c.stream.Deadline-time.Since(c.due), 50*time.Millisecond)
+	ctx, cancel := context.WithTimeout(ctx, remaining+500*time.Millisecond)
 	defer cancel()
 	method := http.MethodGet
 	if c.writes {
@@ -123,7 +129,7 @@
 	request.Header.Set(caller.HeaderRequestID, result.ID)
 	request.Header.Set(caller.HeaderAttempt, strconv.Itoa(attempt))
 	request.Header.Set(caller.HeaderCaller, c.caller)
-	request.Header.Set(caller.HeaderDeadlineMs, strconv.FormatInt(max(1, patience.Milliseconds()), 10))
+	request.Header.Set(caller.HeaderDeadlineMs, strconv.FormatInt(max(1, remaining.Milliseconds()), 10))
 	response, err := r.client.Do(request)
 	if err != nil {
 		result.Outcomes = append(result.Outcomes, "")
@@ -133,7 +139,7 @@
 	return result.take(response)
 }
 
-// take notes an answer and returns when to come back.
+// take adds a response to the result and returns its retry delay.
 func (result *Result) take(response *http.Response) time.Duration {
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
@@ -151,7 +157,7 @@
 	return time.Duration(millis) * time.Millisecond
 }
 
-// check compares a whole answer with its request.
+// check compares the body of a response with the request.
 func (result *Result) check(body []byte) {
 	var run standin.Run
 	if err := json.Unmarshal(body, &run); err != nil {
--- a/load/doc.go
+++ b/load/doc.go
@@ -1,5 +1,5 @@
-// Package load is the load and experiment tool: it sends requests at times that
-// do not depend on the answers (open loop, so that a stalled system is not
-// spared the requests that would have come), injects faults on a schedule, and
-// checks what callers were told against what the servers did.
+// Package load implements the load testing tool. It generates open-loop load: requests are
+// sent at times that do not depend on responses, so that a stalled system still gets the
+// requests that would have arrived. It injects faults on a schedule and checks the responses
+// that callers got against the requests that the servers ran.
 package load
--- a/load/experiment.go
+++ b/load/experiment.go
@@ -10,21 +10,23 @@
 	"cicadarouter/host/settings"
 )
 
-// Experiment is what an experiment file describes.
+// Experiment is the content of an experiment file.
 type Experiment struct {
 	Duration time.Duration
 	Seed     int
-	// Entries are entry hosts, each "callers-address admin-address".
+	// Entries are the entry hosts, each written "callers-address/admin-address".
 	Entries []Entry
-	// Fleets are the switches of the backend server stand-ins.
-	Fleets  []string
-	Store   string
+	// Fleets are the addresses of the fake backend servers' control APIs.
+	Fleets []string
+	// Store is the address of the fake platform.
+	Store string
+	// Output is the path of the results, without extension.
 	Output  string
 	Streams []Stream
 	Faults  []Fault
 }
 
-// Entry is an entry host as the balancer sees it.
+// Entry is the pair of addresses of an entry host.
 type Entry struct {
 	Callers string
 	Admin   string
@@ -37,21 +39,24 @@
 	// Rate is in requests per second.
 	Rate float64
 	Keys int
-	// Zipf is the exponent of the keys' popularity; 0 means all alike.
+	// Zipf is the exponent of the keys' Zipf distribution; 0 means a uniform one.
 	Zipf float64
-	// Writes is the share of non-idempotent requests.
+	// Writes is the fraction of requests that are not idempotent.
 	Writes   float64
 	Deadline time.Duration
 	Callers  int
-	// HotShare is the part of requests for the one hot key, which moves every HotEvery.
+	// HotShare is the fraction of requests for the hot key. Another key becomes the hot one
+	// every HotEvery.
 	HotShare float64
 	HotEvery time.Duration
-	// From and Until bound the stream in time; Until 0 means to the end.
+	// From and Until are the start and the end of the stream. If Until is 0, it ends with
+	// the run.
 	From, Until time.Duration
-	Keyed       bool
+	// Keyed is set if requests have keys.
+	Keyed bool
 }
 
-// Fault is something that happens to a backend server stand-in or to the store.
+// Fault is a fault that is injected into a fake backend server or into the store.
 type Fault struct {
 	Name   string
 	At     time.Duration
@@ -60,7 +65,7 @@
 	Target string
 }
 
-// The actions of faults.
+// The kinds of faults.
 const (
 	ActionFreeze = "freeze"
 	ActionDrain  = "drain"
@@ -81,7 +86,8 @@
 	return ParseExperiment(file, data)
 }
 
-// ParseExperiment is ReadExperiment on data already read.
+// ParseExperiment parses the content of an experiment file. The file name is only for
+// error messages.
 func ParseExperiment(file string, data []byte) (Experiment, error) {
 	var experiment Experiment
 	var entries []string
--- a/load/fault.go
+++ b/load/fault.go
@@ -10,7 +10,7 @@
 	"cicadarouter/standin"
 )
 
-// fault makes one fault happen and, after its time, ends it.
+// fault injects a fault at its time and ends it after its duration.
 func (r *Runner) fault(ctx context.Context, fault Fault) {
 	defer r.working.Done()
 	clock.Sleep(ctx, fault.At)
--- a/load/keys.go
+++ b/load/keys.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// keyChooser draws keys with the popularity that a stream describes.
+// keyChooser draws keys from a stream's key distribution.
 type keyChooser struct {
 	stream Stream
 	random *rand.Rand
--- a/load/oracle.go
+++ b/load/oracle.go
@@ -10,13 +10,13 @@
 	"cicadarouter/standin"
 )
 
-// Violation is a broken promise.
+// Violation is a violation of a guarantee.
 type Violation struct {
 	Promise string `json:"promise"`
 	Detail  string `json:"detail"`
 }
 
-// The promises that the oracle checks.
+// The system's guarantees. Judge checks all but PromiseOutcome.
 const (
 	PromiseOnce    = "a non-idempotent request runs at most once"
 	PromiseNotRun  = "a request that was told not run did not run"
@@ -26,7 +26,7 @@
 	PromiseOutcome = "every answer tells an outcome"
 )
 
-// fetchRuns reads what the servers did.
+// fetchRuns reads from the fleets which requests took effect on the servers.
 func (r *Runner) fetchRuns() ([]standin.Run, error) {
 	var runs []standin.Run
 	for _, fleet := range r.experiment.Fleets {
@@ -48,7 +48,8 @@
 	return runs, nil
 }
 
-// Judge compares what callers were told with what the servers did.
+// Judge checks the outcomes that callers got against the requests that took effect on the
+// servers, and returns all violations.
 func Judge(results []Result, runs []standin.Run) []Violation {
 	count := map[string]int{}
 	for _, run := range runs {
@@ -61,19 +62,19 @@
 	return append(found, judgeOwners(results, runs)...)
 }
 
-func judgeResult(result Result, ran int) []Violation {
+func judgeResult(result Result, runCount int) []Violation {
 	var found []Violation
 	add := func(promise string) {
-		detail := fmt.Sprintf("request %s (key %q, writes %t) ran %d times, was told %v", result.ID, result.Key, result.Writes, ran, result.Outcomes)
+		detail := fmt.Sprintf("request %s (key %q, writes %t) ran %d times, was told %v", result.ID, result.Key, result.Writes, runCount, result.Outcomes)
 		found = append(found, Violation{Promise: promise, Detail: detail})
 	}
-	if result.Writes && ran > 1 {
+	if result.Writes && runCount > 1 {
 		add(PromiseOnce)
 	}
-	if slices.Contains(result.Outcomes, caller.NotRun) && ran > 0 {
+	if slices.Contains(result.Outcomes, caller.NotRun) && runCount > 0 {
 		add(PromiseNotRun)
 	}
-	if result.Done() && ran == 0 {
+	if result.Done() && runCount == 0 {
 		add(PromiseDone)
 	}
 	if result.Foreign || result.Partial {
@@ -82,9 +83,9 @@
 	return found
 }
 
-// judgeOwners checks that the tokens under which a key's requests ran never
-// fall, and that no token is used by two servers. The stand-ins share one
-// clock, so that their times can be compared.
+// judgeOwners checks that the fencing tokens under which a key's requests ran never
+// decrease, and that no two servers use the same token in succession. The fake servers share
+// one clock, so their times can be compared.
 func judgeOwners(results []Result, runs []standin.Run) []Violation {
 	service := map[string]string{}
 	for _, result := range results {
--- a/load/oracle_test.go
+++ b/load/oracle_test.go
@@ -11,8 +11,7 @@
 	"cicadarouter/standin"
 )
 
-// TestJudge: the oracle of the runs finds each kind of broken promise, and
-// nothing in a run that kept all.
+// TestJudge checks that Judge finds each kind of violation, and none in a correct run.
 func TestJudge(t *testing.T) {
 	at := func(ms int) time.Time { return time.UnixMilli(int64(ms)) }
 	run := func(id, key, server string, token uint64, ms int) standin.Run {
@@ -27,20 +26,20 @@
 		runs    []standin.Run
 		want    string
 	}{
-		{"kept", []load.Result{result("1", true, caller.Done), result("2", true, caller.NotRun)},
+		{"no violation", []load.Result{result("1", true, caller.Done), result("2", true, caller.NotRun)},
 			[]standin.Run{run("1", "k", "a", 1, 1)}, ""},
-		{"ran twice", []load.Result{result("1", true, caller.Unknown, caller.Done)},
+		{"non-idempotent request runs twice", []load.Result{result("1", true, caller.Unknown, caller.Done)},
 			[]standin.Run{run("1", "k", "a", 1, 1), run("1", "k", "a", 1, 2)}, load.PromiseOnce},
-		{"an idempotent one may run twice", []load.Result{result("1", false, caller.Done)},
+		{"idempotent request runs twice", []load.Result{result("1", false, caller.Done)},
 			[]standin.Run{run("1", "k", "a", 1, 1), run("1", "k", "a", 1, 2)}, ""},
-		{"not run, but ran", []load.Result{result("1", true, caller.NotRun)},
+		{"outcome is not run, but request ran", []load.Result{result("1", true, caller.NotRun)},
 			[]standin.Run{run("1", "k", "a", 1, 1)}, load.PromiseNotRun},
-		{"done, but did not run", []load.Result{result("1", true, caller.Done)}, nil, load.PromiseDone},
-		{"a stranger's answer", []load.Result{{ID: "1", Outcomes: []caller.Outcome{caller.Done}, Foreign: true}},
+		{"outcome is done, but request did not run", []load.Result{result("1", true, caller.Done)}, nil, load.PromiseDone},
+		{"response to another request", []load.Result{{ID: "1", Outcomes: []caller.Outcome{caller.Done}, Foreign: true}},
 			[]standin.Run{run("1", "", "a", 0, 1)}, load.PromiseAnswer},
-		{"an older token later", []load.Result{result("1", true, caller.Done), result("2", true, caller.Done)},
+		{"token decreases", []load.Result{result("1", true, caller.Done), result("2", true, caller.Done)},
 			[]standin.Run{run("1", "k", "a", 2, 1), run("2", "k", "b", 1, 2)}, load.PromiseOwner},
-		{"one token at two servers", []load.Result{result("1", true, caller.Done), result("2", true, caller.Done)},
+		{"two servers use the same token", []load.Result{result("1", true, caller.Done), result("2", true, caller.Done)},
 			[]standin.Run{run("1", "k", "a", 2, 1), run("2", "k", "b", 2, 2)}, load.PromiseOwner},
 	}
 	for _, row := range rows {
--- a/load/plot.go
+++ b/load/plot.go
@@ -14,7 +14,7 @@
 	"cicadarouter/host/settings"
 )
 
-// PlotFiles plots JSON results side by side into an HTML page.
+// PlotFiles reads JSON results and writes an HTML page that plots them side by side.
 func PlotFiles(page string, files []string) error {
 	var runs []plotted
 	for _, file := range files {
@@ -39,7 +39,7 @@
 	return out.Close()
 }
 
-// plotted is a run with its plots.
+// plotted is a report with its plots.
 type plotted struct {
 	Name       string
 	Report     Report
@@ -92,7 +92,7 @@
 	plotMargin = 46.0
 )
 
-// lines draws series over time, with a logarithmic scale if asked.
+// lines draws a line chart of series over time, optionally with a logarithmic scale.
 func lines(title string, logarithmic bool, all ...series) template.HTML {
 	most := 1.0
 	count := 1
@@ -124,7 +124,7 @@
 	return template.HTML(svg.String())
 }
 
-// bars draws one bar for each server.
+// bars draws a bar chart with one bar for each server.
 func bars(title string, served map[string]int) template.HTML {
 	most := 1
 	for _, count := range served {
--- a/load/report.go
+++ b/load/report.go
@@ -22,27 +22,28 @@
 	Splits     int            `json:"splits"`
 	Runs       int            `json:"runs"`
 	Violations []Violation    `json:"violations"`
-	// Timeline tells of each second of the run.
+	// Timeline has an entry for each second of the run.
 	Timeline []Second `json:"timeline"`
 	// Served counts the requests that each server ran.
 	Served map[string]int `json:"served"`
-	// Problem is why the run could not be judged, if it could not.
+	// Problem is the error that kept the run from being checked, or "".
 	Problem string `json:"problem,omitempty"`
 }
 
-// StreamReport is the part of one stream.
+// StreamReport is the result of one stream.
 type StreamReport struct {
 	Name     string         `json:"name"`
 	Outcomes map[string]int `json:"outcomes"`
-	// Latencies of calls that were done, from when they were due.
+	// P50, P99 and P999 are latencies of requests with the outcome "done", measured from
+	// when their calls were due.
 	P50  time.Duration `json:"p50"`
 	P99  time.Duration `json:"p99"`
 	P999 time.Duration `json:"p999"`
-	// Imbalance is the most loaded server's requests over the mean.
+	// Imbalance is the maximum number of requests per server divided by the mean.
 	Imbalance float64 `json:"imbalance"`
 	Servers   int     `json:"servers"`
-	// Unavailable is the longest time for which a call that in the end was
-	// done, or given up, had to wait beyond its normal time, by key.
+	// Unavailable is the longest time from when a call was due to the end of one of its
+	// requests, whatever the outcome.
 	Unavailable time.Duration `json:"unavailable"`
 }
 
@@ -102,11 +103,11 @@
 
 func newHistogram() *hdrhistogram.Histogram {
 	const (
-		least  = 1
-		most   = 120_000_000 // microseconds
-		digits = 3
+		minMicros = 1
+		maxMicros = 120_000_000
+		digits    = 3
 	)
-	return hdrhistogram.New(least, most, digits)
+	return hdrhistogram.New(minMicros, maxMicros, digits)
 }
 
 func quantile(histogram *hdrhistogram.Histogram, percent float64) time.Duration {
@@ -136,7 +137,7 @@
 	return float64(most) * float64(len(served)) / float64(total)
 }
 
-// WriteText writes the report for a person.
+// WriteText writes the report as human-readable text.
 func (r Report) WriteText(out io.Writer) {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(table, "calls\t%d, of which done %d (%.3f%%)\n", r.Calls, r.CallsDone, 100*float64(r.CallsDone)/float64(max(r.Calls, 1)))
--- a/load/runner.go
+++ b/load/runner.go
@@ -28,7 +28,7 @@
 	moves      moveCounter
 }
 
-// mostConnections bounds the connections to each entry host.
+// mostConnections is the maximum number of connections to each entry host.
 const mostConnections = 4096
 
 // NewRunner returns a runner.
@@ -46,7 +46,8 @@
 	}
 }
 
-// Run sends the streams, then waits for the answers that are due.
+// Run runs the experiment, waits until all calls have ended and returns the report. It
+// calls progress every second until the duration of the run has passed.
 func (r *Runner) Run(ctx context.Context, progress func(Progress)) Report {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -68,10 +69,11 @@
 	return r.report()
 }
 
-// settleTime lets the servers note what they did last.
+// settleTime is the delay before the servers' records are read, so that the last requests
+// are in them.
 const settleTime = 300 * time.Millisecond
 
-// Progress is how far a run has come.
+// Progress is the state of a run in progress.
 type Progress struct {
 	Elapsed        time.Duration
 	Started, Ended int64
@@ -79,7 +81,7 @@
 	Entries        int
 }
 
-// tell reports progress each second until the streams end.
+// tell reports progress every second until the duration of the run has passed.
 func (r *Runner) tell(ctx context.Context, progress func(Progress)) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -116,7 +118,7 @@
 	return now
 }
 
-// stream sends one stream's requests at random times with the stream's rate.
+// stream starts one stream's calls as a Poisson process with the stream's rate.
 func (r *Runner) stream(ctx context.Context, stream Stream, random *rand.Rand) {
 	defer r.working.Done()
 	keys := newKeyChooser(stream, random)
@@ -154,7 +156,8 @@
 	r.results = append(r.results, results...)
 }
 
-// moveCounter counts changes of owner in the store's pages.
+// moveCounter counts the shards that changed owner or were split, from the page records in
+// the store.
 type moveCounter struct {
 	mu      sync.Mutex
 	owners  map[string]map[uint64]string
@@ -163,7 +166,7 @@
 	movedAt []time.Time
 }
 
-// follow watches the store and counts.
+// follow watches the store and counts changes until the context is canceled.
 func (m *moveCounter) follow(ctx context.Context, address string) {
 	if address == "" {
 		return
@@ -186,28 +189,28 @@
 	}
 }
 
-// note compares a page with its last generation.
+// note compares a page with its previous version and counts the changes.
 func (m *moveCounter) note(page record.Page) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.owners == nil {
 		m.owners = map[string]map[uint64]string{}
 	}
-	known := m.owners[page.Name]
-	fresh := map[uint64]string{}
+	oldOwners := m.owners[page.Name]
+	newOwners := map[uint64]string{}
 	for _, shard := range page.Shards {
 		owner := shard.Owner
-		fresh[shard.Low] = owner
-		before, had := known[shard.Low]
+		newOwners[shard.Low] = owner
+		oldOwner, existed := oldOwners[shard.Low]
 		switch {
-		case !had && known != nil:
+		case !existed && oldOwners != nil:
 			m.splits++
-		case had && before != "" && before != owner:
+		case existed && oldOwner != "" && oldOwner != owner:
 			m.moves++
 			m.movedAt = append(m.movedAt, time.Now())
 		}
 	}
-	m.owners[page.Name] = fresh
+	m.owners[page.Name] = newOwners
 }
 
 func (m *moveCounter) counts() (moves, splits int) {
@@ -216,7 +219,7 @@
 	return m.moves, m.splits
 }
 
-// times returns when each shard moved.
+// times returns the times at which shards moved.
 func (m *moveCounter) times() []time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/load/timeline.go
+++ b/load/timeline.go
@@ -8,27 +8,27 @@
 	"cicadarouter/standin"
 )
 
-// Second is one second of a run.
+// Second is the statistics of one second of a run.
 type Second struct {
 	Done    int `json:"done"`
 	NotRun  int `json:"notRun"`
 	Unknown int `json:"unknown"`
-	// P50 and P99 are in milliseconds, of calls that were due in this second
-	// and done.
+	// P50 and P99 are latencies in milliseconds of requests that were due in this second
+	// and have the outcome "done".
 	P50   float64 `json:"p50"`
 	P99   float64 `json:"p99"`
 	Moves int     `json:"moves"`
-	// Imbalance is the most loaded server's requests over the mean, of the
-	// servers of the experiment's first stream.
+	// Imbalance is the maximum number of requests per server divided by the mean, of the
+	// servers of the first stream's service.
 	Imbalance float64 `json:"imbalance"`
 }
 
-// timeline sorts results into seconds.
+// timeline groups results and shard moves by second.
 func timeline(results []Result, moves []time.Time, began time.Time) []Second {
 	var seconds []Second
 	var took [][]time.Duration
-	at := func(when time.Time) int {
-		index := max(0, int(when.Sub(began)/time.Second))
+	indexAt := func(t time.Time) int {
+		index := max(0, int(t.Sub(began)/time.Second))
 		for len(seconds) <= index {
 			seconds = append(seconds, Second{})
 			took = append(took, nil)
@@ -36,7 +36,7 @@
 		return index
 	}
 	for _, result := range results {
-		index := at(result.Due)
+		index := indexAt(result.Due)
 		switch result.Final() {
 		case caller.Done:
 			seconds[index].Done++
@@ -49,7 +49,7 @@
 	}
 	for _, moved := range moves {
 		if moved.After(began) {
-			seconds[at(moved)].Moves++
+			seconds[indexAt(moved)].Moves++
 		}
 	}
 	for i := range seconds {
@@ -59,25 +59,25 @@
 	return seconds
 }
 
-func millisAt(times []time.Duration, share float64) float64 {
+func millisAt(times []time.Duration, fraction float64) float64 {
 	if len(times) == 0 {
 		return 0
 	}
 	slices.Sort(times)
-	return float64(times[int(share*float64(len(times)-1))].Microseconds()) / 1000
+	return float64(times[int(fraction*float64(len(times)-1))].Microseconds()) / 1000
 }
 
-// noteImbalance fills in how even the load on a service's servers was.
+// noteImbalance sets the imbalance of each second from the load on a service's servers.
 func noteImbalance(seconds []Second, results []Result, runs []standin.Run, began time.Time, service string) {
-	mine := map[string]bool{}
+	ofService := map[string]bool{}
 	for _, result := range results {
-		mine[result.ID] = result.Service == service
+		ofService[result.ID] = result.Service == service
 	}
 	served := make([]map[string]int, len(seconds))
 	servers := map[string]bool{}
 	for _, run := range runs {
 		index := int(run.At.Sub(began) / time.Second)
-		if !mine[run.ID] || index < 0 || index >= len(seconds) {
+		if !ofService[run.ID] || index < 0 || index >= len(seconds) {
 			continue
 		}
 		if served[index] == nil {
--- a/standin/fleet.go
+++ b/standin/fleet.go
@@ -15,7 +15,7 @@
 	"cicadarouter/record"
 )
 
-// FleetConfig describes backend server stand-ins that share a process.
+// FleetConfig configures fake backend servers that run in one process.
 type FleetConfig struct {
 	ServerConfig
 	Domains     []string
@@ -25,7 +25,7 @@
 	Connections int
 }
 
-// Fleet is several backend servers in one process.
+// Fleet is a group of fake backend servers in one process.
 type Fleet struct {
 	config    FleetConfig
 	servers   map[string]*Server
@@ -33,7 +33,7 @@
 	http      []*http.Server
 }
 
-// ServerName returns the name of the index-th server of a fleet.
+// ServerName returns the name of the server with the given index.
 func (c FleetConfig) ServerName(index int) string {
 	return fmt.Sprintf("%s-%02d", c.Service, index)
 }
@@ -55,7 +55,7 @@
 	return records
 }
 
-// StartFleet listens on the servers' addresses and serves.
+// StartFleet starts the servers, each listening on its own address.
 func StartFleet(config FleetConfig) (*Fleet, error) {
 	fleet := &Fleet{config: config, servers: map[string]*Server{}}
 	for _, entry := range config.Records() {
@@ -64,22 +64,22 @@
 			fleet.Close()
 			return nil, err
 		}
-		single := config.ServerConfig
-		single.Name = entry.Name
-		server := NewServer(single, clock.System(), rand.Uint64()|1)
-		served := &http.Server{Handler: server.Handler()}
+		serverConfig := config.ServerConfig
+		serverConfig.Name = entry.Name
+		server := NewServer(serverConfig, clock.System(), rand.Uint64()|1)
+		httpServer := &http.Server{Handler: server.Handler()}
 		fleet.servers[entry.Name] = server
 		fleet.listeners = append(fleet.listeners, listener)
-		fleet.http = append(fleet.http, served)
-		go func() { _ = served.Serve(listener) }()
+		fleet.http = append(fleet.http, httpServer)
+		go func() { _ = httpServer.Serve(listener) }()
 	}
 	return fleet, nil
 }
 
-// Close ends the servers at once.
+// Close stops the servers immediately, without waiting for running requests.
 func (f *Fleet) Close() {
-	for _, served := range f.http {
-		_ = served.Close()
+	for _, httpServer := range f.http {
+		_ = httpServer.Close()
 	}
 }
 
@@ -89,7 +89,7 @@
 	return server, ok
 }
 
-// Runs returns the effects of all servers, in the order of their times.
+// Runs returns the requests that took effect on all servers, ordered by time.
 func (f *Fleet) Runs() []Run {
 	var runs []Run
 	for _, server := range f.servers {
@@ -99,7 +99,8 @@
 	return runs
 }
 
-// Handler returns the fleet's switches: what ran, and faults by server.
+// Handler returns the fleet's test control API: it lists the requests that took effect and
+// sets the faults of each server.
 func (f *Fleet) Handler() http.Handler {
 	routes := new(restful.WebService)
 	routes.Path("/standin").Consumes(restful.MIME_JSON).Produces(restful.MIME_JSON)
@@ -110,7 +111,7 @@
 	return container
 }
 
-// getRuns writes one JSON line for each effect.
+// getRuns writes one JSON line for each request that took effect.
 func (f *Fleet) getRuns(_ *restful.Request, response *restful.Response) {
 	encoder := json.NewEncoder(response)
 	for _, run := range f.Runs() {
--- a/standin/passthrough.go
+++ b/standin/passthrough.go
@@ -18,20 +18,19 @@
 	"cicadarouter/contract/caller"
 )
 
-// Balance is how a Passthrough chooses a server.
+// Balance is a Passthrough's load balancing policy.
 type Balance string
 
-// The choices of Balance.
+// The load balancing policies.
 const (
-	// BalanceHash is plain consistent hashing of the key.
+	// BalanceHash is consistent hashing of the key. Requests without a key go round robin.
 	BalanceHash Balance = "hash"
-	// BalanceTurn takes servers in turn.
+	// BalanceTurn is round robin.
 	BalanceTurn Balance = "turn"
 )
 
-// Passthrough is the baseline that the system is measured against: it passes
-// each request to a server and the answer back, without leases, queues, limits
-// or memory. It is safe for concurrent use.
+// Passthrough is the baseline that the system is benchmarked against: a reverse proxy
+// without leases, queues, limits or per-request state. It is safe for concurrent use.
 type Passthrough struct {
 	servers []string
 	balance Balance
@@ -40,20 +39,21 @@
 	client  *http.Client
 }
 
-// point is a server's place on the ring of hashes.
+// point is a virtual node of a server on the hash ring.
 type point struct {
 	hash   uint64
 	server string
 }
 
-// pointsPerServer evens the ranges of plain consistent hashing out.
+// pointsPerServer is the number of virtual nodes of each server. Several of them even out
+// the shares of the hash ring.
 const pointsPerServer = 64
 
-// NewPassthrough returns a baseline before the servers at the addresses.
+// NewPassthrough returns a proxy to the servers at the given addresses.
 func NewPassthrough(servers []string, balance Balance) *Passthrough {
-	const idle = 256
+	const maxIdleConnections = 256
 	p := &Passthrough{servers: servers, balance: balance,
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idle, DisableCompression: true}}}
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections, DisableCompression: true}}}
 	for _, server := range servers {
 		for i := range pointsPerServer {
 			p.ring = append(p.ring, point{hash: xxhash.Sum64String(server + "/" + strconv.Itoa(i)), server: server})
@@ -68,7 +68,7 @@
 		return p.servers[p.turn.Add(1)%uint64(len(p.servers))]
 	}
 	hash := xxhash.Sum64String(key)
-	index, _ := slices.BinarySearchFunc(p.ring, hash, func(at point, wanted uint64) int { return cmp.Compare(at.hash, wanted) })
+	index, _ := slices.BinarySearchFunc(p.ring, hash, func(entry point, target uint64) int { return cmp.Compare(entry.hash, target) })
 	return p.ring[index%len(p.ring)].server
 }
 
@@ -79,22 +79,22 @@
 	}
 	ctx, cancel := p.deadline(in)
 	defer cancel()
-	answer, body, err := p.pass(ctx, in)
+	response, body, err := p.pass(ctx, in)
 	if err != nil {
 		out.Header().Set(caller.HeaderOutcome, string(caller.Unknown))
 		out.WriteHeader(http.StatusBadGateway)
 		return
 	}
 	outcome := caller.Done
-	if answer.Header.Get(backend.HeaderRefused) != "" {
+	if response.Header.Get(backend.HeaderRefused) != "" {
 		outcome = caller.NotRun
 	}
-	for name, values := range answer.Header {
+	for name, values := range response.Header {
 		out.Header()[name] = values
 	}
 	out.Header().Set(caller.HeaderOutcome, string(outcome))
-	out.Header().Set(caller.HeaderServer, answer.Request.URL.Host)
-	out.WriteHeader(answer.StatusCode)
+	out.Header().Set(caller.HeaderServer, response.Request.URL.Host)
+	out.WriteHeader(response.StatusCode)
 	_, _ = out.Write(body)
 }
 
@@ -112,19 +112,19 @@
 		return nil, nil, err
 	}
 	_, path, _ := strings.Cut(strings.TrimPrefix(in.URL.Path, "/s/"), "/")
-	target := "http://" + p.choose(in.Header.Get(caller.HeaderKey)) + "/" + path
-	request, err := http.NewRequestWithContext(ctx, in.Method, target, bytes.NewReader(body))
+	targetURL := "http://" + p.choose(in.Header.Get(caller.HeaderKey)) + "/" + path
+	request, err := http.NewRequestWithContext(ctx, in.Method, targetURL, bytes.NewReader(body))
 	if err != nil {
 		return nil, nil, err
 	}
 	request.Header.Set(backend.HeaderRequestID, in.Header.Get(caller.HeaderRequestID))
 	request.Header.Set(backend.HeaderKey, in.Header.Get(caller.HeaderKey))
 	request.Header.Set(backend.HeaderDeadlineMs, in.Header.Get(caller.HeaderDeadlineMs))
-	answer, err := p.client.Do(request)
+	response, err := p.client.Do(request)
 	if err != nil {
 		return nil, nil, err
 	}
-	defer answer.Body.Close()
-	whole, err := io.ReadAll(answer.Body)
-	return answer, whole, err
+	defer response.Body.Close()
+	responseBody, err := io.ReadAll(response.Body)
+	return response, responseBody, err
 }
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins for what the system runs against: the
-// platform's store and host list, and backend servers. They exist for tests,
-// for the bench and for trying the system out.
+// Package standin provides fakes of the system's dependencies for tests, benchmarks and
+// local trials: the platform's store and host list, and backend servers. It also has the
+// plain proxy that the system is benchmarked against.
 package standin
 
 import (
@@ -20,32 +20,33 @@
 	"cicadarouter/record"
 )
 
-// PlatformFaults are the faults that a platform stand-in can be given.
+// PlatformFaults are the faults that can be injected into a fake platform.
 type PlatformFaults struct {
 	// Down makes every call fail.
 	Down bool `json:"down"`
 	// SlowMillis delays every call.
 	SlowMillis int `json:"slowMillis"`
-	// LoseReplies is how many of the next writes take effect without an answer.
+	// LoseReplies is the number of writes from now on that take effect but get no response.
 	LoseReplies int `json:"loseReplies"`
-	// Cut lists failure domains whose calls fail.
+	// Cut lists the failure domains whose calls fail.
 	Cut []string `json:"cut"`
 }
 
-// PlatformCounts counts the calls that a platform stand-in has got. A watch
-// counts once when it begins to wait.
+// PlatformCounts counts the calls to a fake platform. A watch is counted once, when it
+// starts.
 type PlatformCounts struct {
 	Reads   uint64 `json:"reads"`
 	Writes  uint64 `json:"writes"`
 	Watches uint64 `json:"watches"`
-	// Waiting is the number of watches that wait now.
+	// Waiting is the number of watches that are waiting now.
 	Waiting int64 `json:"waiting"`
 }
 
-// Platform serves a memstore over HTTP. It is safe for concurrent use.
+// Platform is a fake platform: it serves an in-memory store over HTTP. It is safe for
+// concurrent use.
 type Platform struct {
 	store *memstore.Store
-	// HostLag is how late changes of the host list become visible.
+	// HostLag is the delay until changes of the host list become visible.
 	HostLag time.Duration
 
 	mu     sync.Mutex
@@ -66,14 +67,14 @@
 	p.faults = faults
 }
 
-// Counts returns the calls counted so far.
+// Counts returns the numbers of calls so far.
 func (p *Platform) Counts() PlatformCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.counts
 }
 
-// SetHosts replaces the host list after HostLag.
+// SetHosts replaces the host list after the delay HostLag.
 func (p *Platform) SetHosts(hosts []platform.Host) {
 	if p.HostLag <= 0 {
 		p.store.SetHosts(hosts)
@@ -82,8 +83,8 @@
 	time.AfterFunc(p.HostLag, func() { p.store.SetHosts(hosts) })
 }
 
-// Handler returns the HTTP interface: the store under /v1, and the switches of
-// the stand-in itself under /standin.
+// Handler returns the HTTP API: the store under /v1, and the test control API under
+// /standin.
 func (p *Platform) Handler() http.Handler {
 	container := restful.NewContainer()
 	container.Add(p.storeRoutes())
@@ -113,7 +114,7 @@
 	return routes
 }
 
-// fail applies the faults that keep a call from being taken.
+// fail is a filter that injects faults before a call is handled: delays and failures.
 func (p *Platform) fail(request *restful.Request, response *restful.Response, chain *restful.FilterChain) {
 	p.mu.Lock()
 	faults := p.faults
@@ -165,7 +166,7 @@
 	}
 	written, err := p.store.Update(request.Request.Context(), envelope, version)
 	if p.loseReply() {
-		panic(http.ErrAbortHandler) // the write took effect; its reply is lost
+		panic(http.ErrAbortHandler) // the write took effect, but its response is dropped
 	}
 	answer(response, platform.Object{Envelope: envelope, Version: written}, err)
 }
@@ -198,7 +199,7 @@
 	return true
 }
 
-// longestWatch bounds a watch.
+// longestWatch is the maximum duration of a watch.
 const longestWatch = time.Minute
 
 func (p *Platform) watch(request *restful.Request, response *restful.Response) {
@@ -216,7 +217,7 @@
 	cut := p.faults.Down || slices.Contains(p.faults.Cut, request.HeaderParameter(httpstore.DomainHeader))
 	p.mu.Unlock()
 	if cut {
-		panic(http.ErrAbortHandler) // the store went down while the watch waited
+		panic(http.ErrAbortHandler) // the store became unavailable while the watch waited
 	}
 	answer(response, snapshot, err)
 }
@@ -251,7 +252,7 @@
 	answer(response, hosts, nil)
 }
 
-// answer writes a value, or the status that stands for the error.
+// answer writes the value as JSON, or the HTTP status for the error.
 func answer(response *restful.Response, value any, err error) {
 	response.PrettyPrint(false)
 	var conflict *platform.ConflictError
--- a/standin/platform_test.go
+++ b/standin/platform_test.go
@@ -18,26 +18,26 @@
 )
 
 func open(t *testing.T, domain string) (*standin.Platform, *httpstore.Client) {
-	served := standin.NewPlatform()
-	server := httptest.NewServer(served.Handler())
+	platformServer := standin.NewPlatform()
+	server := httptest.NewServer(platformServer.Handler())
 	t.Cleanup(server.Close)
-	return served, httpstore.New(strings.TrimPrefix(server.URL, "http://"), domain)
+	return platformServer, httpstore.New(strings.TrimPrefix(server.URL, "http://"), domain)
 }
 
 func TestConformanceOverHTTP(t *testing.T) {
 	conformance.Run(t, func(t *testing.T) (platform.Store, func([]platform.Host)) {
-		served, client := open(t, "a")
-		return client, served.SetHosts
+		platformServer, client := open(t, "a")
+		return client, platformServer.SetHosts
 	})
 }
 
-// TestStoreFaults has one row for each way in which the platform fails.
+// Each injected fault makes a write fail. Only one whose response is lost takes effect.
 func TestStoreFaults(t *testing.T) {
 	envelope := record.Envelope{Kind: record.KindService, Name: "x", Schema: record.SchemaV2, Spec: []byte(`{}`)}
 	rows := []struct {
 		name    string
 		faults  standin.PlatformFaults
-		applied bool // the write took effect all the same
+		applied bool // the write took effect although it failed
 	}{
 		{"down", standin.PlatformFaults{Down: true}, false},
 		{"cut off from the caller's domain", standin.PlatformFaults{Cut: []string{"a"}}, false},
@@ -45,30 +45,30 @@
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			served, client := open(t, "a")
-			served.SetFaults(row.faults)
+			platformServer, client := open(t, "a")
+			platformServer.SetFaults(row.faults)
 			_, err := client.Update(context.Background(), envelope, 0)
 			assert.Assert(t, errors.Is(err, platform.ErrUnavailable), "got %v", err)
-			_, err = served.Store().Get(context.Background(), envelope.Ref())
+			_, err = platformServer.Store().Get(context.Background(), envelope.Ref())
 			assert.Equal(t, err == nil, row.applied)
 		})
 	}
 }
 
-// A store that goes down answers no watch: the watcher must not take the end of
-// its wait for news that nothing has changed.
+// Guards against a watch that returns an unchanged snapshot when the store is down: the
+// client would conclude that nothing has changed.
 func TestWatchFailsWhenStoreGoesDown(t *testing.T) {
-	served, client := open(t, "a")
-	served.SetFaults(standin.PlatformFaults{Down: true})
+	platformServer, client := open(t, "a")
+	platformServer.SetFaults(standin.PlatformFaults{Down: true})
 	_, err := client.Watch(context.Background(), 0, time.Millisecond)
 	assert.Assert(t, errors.Is(err, platform.ErrUnavailable), "got %v", err)
 }
 
 func TestCallsAreCounted(t *testing.T) {
-	served, client := open(t, "a")
+	platformServer, client := open(t, "a")
 	_, _ = client.List(context.Background())
 	_, _ = client.Watch(context.Background(), 0, time.Millisecond)
 	_, _ = client.Update(context.Background(), record.Envelope{Kind: record.KindService, Name: "x"}, 0)
-	counts := served.Counts()
+	counts := platformServer.Counts()
 	assert.Equal(t, counts, standin.PlatformCounts{Reads: 1, Writes: 1, Watches: 1})
 }
--- a/standin/requests.go
+++ b/standin/requests.go
@@ -13,7 +13,7 @@
 	"cicadarouter/record"
 )
 
-// serve runs one request.
+// serve handles one request.
 func (s *Server) serve(out http.ResponseWriter, in *http.Request) {
 	ctx, cancel := requestContext(in)
 	defer cancel()
@@ -59,10 +59,10 @@
 	}
 }
 
-// queueFactor is how many requests may wait for each slot.
+// queueFactor is the maximum number of queued requests per slot.
 const queueFactor = 4
 
-// admit takes a request in, or says why not.
+// admit admits a request and returns "", or returns why it is refused.
 func (s *Server) admit(request *inFlight) backend.Refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +78,8 @@
 	return ""
 }
 
-// stale reports whether a server that checks tokens must refuse the request.
+// stale reports whether the request must be refused because of its token. Only a server
+// that checks tokens refuses keyed requests for it.
 func (s *Server) stale(request *inFlight) bool {
 	if !s.config.Checked || !request.keyed {
 		return false
@@ -114,9 +115,9 @@
 	return time.Duration(work)
 }
 
-// effect is the moment at which a request takes effect. What was true when it
-// began may have changed while it waited, worked or was frozen, so that it is
-// checked again here, under the same lock as the effect.
+// effect makes a request take effect. Its deadline and token may have expired while it was
+// queued, running or frozen, so both are checked again here, under the lock under which the
+// effect is recorded.
 func (s *Server) effect(ctx context.Context, in *http.Request, request *inFlight) (Run, backend.Refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/server.go
+++ b/standin/server.go
@@ -15,37 +15,40 @@
 	"cicadarouter/ownership"
 )
 
-// ServerConfig describes a backend server stand-in.
+// ServerConfig configures a fake backend server.
 type ServerConfig struct {
 	Name    string
 	Service string
-	Slots   int
-	// Checked is set for a server that checks tokens.
+	// Slots is the number of requests that run at the same time.
+	Slots int
+	// Checked is set for a server that checks fencing tokens.
 	Checked bool
-	// Work is how long a request holds a slot.
+	// Work is the service time of a request, during which it holds a slot.
 	Work time.Duration
-	// ColdFor is how long after its start the server takes ColdFactor times as long.
+	// ColdFor is how long after the server's start service times are ColdFactor times as
+	// long.
 	ColdFor    time.Duration
 	ColdFactor float64
-	// ReportLag is how old the load in a report is.
+	// ReportLag is the sampling interval of the load in reports.
 	ReportLag time.Duration
 }
 
-// ServerFaults are the faults that a server stand-in can be given.
+// ServerFaults are the faults that can be injected into a fake server.
 type ServerFaults struct {
-	// Frozen stops all progress, as a paused process would.
+	// Frozen stops all progress, like a suspended process.
 	Frozen bool `json:"frozen"`
-	// Draining tells that the server is about to leave.
+	// Draining makes the server report that it is about to leave and refuse requests
+	// without a key.
 	Draining bool `json:"draining"`
-	// Shed refuses all requests.
+	// Shed makes the server refuse all requests.
 	Shed bool `json:"shed"`
-	// WrongID answers with another request's id.
+	// WrongID puts the ID of another request into responses.
 	WrongID bool `json:"wrongId"`
-	// SlowFactor multiplies the work, if above 0.
+	// SlowFactor multiplies service times, if above 0.
 	SlowFactor float64 `json:"slowFactor"`
 }
 
-// Run is one effect that a server has had.
+// Run records that a request took effect on a server.
 type Run struct {
 	Server string    `json:"server"`
 	ID     string    `json:"id"`
@@ -54,8 +57,8 @@
 	At     time.Time `json:"at"`
 }
 
-// Server is a backend server that holds keys exclusively. It is safe for
-// concurrent use.
+// Server is a fake backend server with exclusive leases on keys. It is safe for concurrent
+// use.
 type Server struct {
 	config ServerConfig
 	clock  clock.Clock
@@ -72,7 +75,7 @@
 	sampleAt time.Duration
 }
 
-// inFlight is a request that the server works on.
+// inFlight is a request that the server has admitted and not finished.
 type inFlight struct {
 	page  string
 	hash  uint64
@@ -80,20 +83,21 @@
 	keyed bool
 }
 
-// NewServer returns a server that holds nothing. incarnation must differ from
-// that of every earlier run at its address.
-func NewServer(config ServerConfig, clk clock.Clock, incarnation uint64) *Server {
+// NewServer returns a server without leases. incarnation must differ from that of every
+// earlier server at its address.
+func NewServer(config ServerConfig, clock clock.Clock, incarnation uint64) *Server {
 	return &Server{
 		config:  config,
-		clock:   clk,
+		clock:   clock,
 		holder:  ownership.NewHolder(incarnation),
-		started: clk.Now(),
+		started: clock.Now(),
 		running: map[*inFlight]struct{}{},
 		slots:   make(chan struct{}, config.Slots),
 	}
 }
 
-// SetFaults replaces the faults. A thaw lets all that was frozen go on.
+// SetFaults replaces the faults. Requests and calls that were frozen continue once Frozen
+// is cleared.
 func (s *Server) SetFaults(faults ServerFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,33 +110,32 @@
 	s.faults = faults
 }
 
-// Runs returns the effects that the server has had.
+// Runs returns the requests that took effect on the server.
 func (s *Server) Runs() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Run(nil), s.runs...)
 }
 
-// Holds reports whether the server believes that it owns the hash, and under
-// which token.
+// Holds returns the token under which the server holds the hash, and whether it holds it.
 func (s *Server) Holds(page string, hash uint64) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held, ok := s.holder.ShardAt(s.clock.Now(), page, hash)
-	return held.Token, ok
+	shard, ok := s.holder.ShardAt(s.clock.Now(), page, hash)
+	return shard.Token, ok
 }
 
-// frozen waits while the server is frozen, as its process would.
+// frozen blocks while the server is frozen.
 func (s *Server) frozen(ctx context.Context) {
 	for {
 		s.mu.Lock()
-		stopped := s.faults.Frozen
+		isFrozen := s.faults.Frozen
 		thawed := s.thawed
 		s.mu.Unlock()
-		if !stopped {
+		if !isFrozen {
 			return
 		}
-		// A frozen process notices neither cancellation nor deadline.
+		// A suspended process notices neither cancellation nor deadlines.
 		<-thawed
 		if ctx.Err() != nil {
 			return
@@ -140,7 +143,7 @@
 	}
 }
 
-// Grant implements backend.Control within the process.
+// Grant implements backend.Control for callers in the same process.
 func (s *Server) Grant(ctx context.Context, grant ownership.Grant) (backend.Report, error) {
 	s.frozen(ctx)
 	s.mu.Lock()
@@ -154,7 +157,7 @@
 	return report, nil
 }
 
-// Report implements backend.Control within the process.
+// Report implements backend.Control for callers in the same process.
 func (s *Server) Report(ctx context.Context, page string) (backend.Report, error) {
 	s.frozen(ctx)
 	s.mu.Lock()
@@ -164,7 +167,7 @@
 
 var _ backend.Control = (*Server)(nil)
 
-// report describes the server. The caller holds s.mu.
+// report returns the server's state. The caller must hold s.mu.
 func (s *Server) report(page string) backend.Report {
 	now := s.clock.Now()
 	if now-s.sampleAt >= s.config.ReportLag {
@@ -182,7 +185,8 @@
 	}
 }
 
-// busy lists hashes that requests run for although they are no longer held.
+// busy returns the hashes that are no longer held but still have running requests. The
+// caller must hold s.mu.
 func (s *Server) busy(now time.Duration, page string) []uint64 {
 	var hashes []uint64
 	for request := range s.running {
@@ -196,8 +200,8 @@
 	return hashes
 }
 
-// Handler returns the server's HTTP interface: the control paths and, below
-// every other path, requests.
+// Handler returns the server's HTTP handler: the control API under /cicada, and requests
+// under all other paths.
 func (s *Server) Handler() http.Handler {
 	container := restful.NewContainer()
 	routes := new(restful.WebService)
--- a/standin/server_test.go
+++ b/standin/server_test.go
@@ -17,7 +17,7 @@
 	"cicadarouter/standin"
 )
 
-// manualClock is a clock that a test moves.
+// manualClock is a clock that tests advance explicitly.
 type manualClock struct {
 	mu  sync.Mutex
 	now time.Duration
@@ -38,14 +38,14 @@
 func openServer(t *testing.T, checked bool) conformance.Server {
 	clock := &manualClock{now: time.Hour}
 	server := standin.NewServer(standin.ServerConfig{Name: "s1", Service: "test", Slots: 2, Checked: checked}, clock, 7)
-	served := httptest.NewServer(server.Handler())
-	t.Cleanup(served.Close)
+	httpServer := httptest.NewServer(server.Handler())
+	t.Cleanup(httpServer.Close)
 	return conformance.Server{
-		Control: backend.NewClient("s1", strings.TrimPrefix(served.URL, "http://"), http.DefaultTransport),
+		Control: backend.NewClient("s1", strings.TrimPrefix(httpServer.URL, "http://"), http.DefaultTransport),
 		Hash:    func(key string) uint64 { return record.KeyHash("test", key) },
 		Advance: clock.advance,
 		Request: func(key, page string, token uint64) backend.Refusal {
-			request, err := http.NewRequest(http.MethodPost, served.URL+"/item", nil)
+			request, err := http.NewRequest(http.MethodPost, httpServer.URL+"/item", nil)
 			assert.NilError(t, err)
 			request.Header.Set(backend.HeaderKey, key)
 			request.Header.Set(backend.HeaderPage, page)
--- a/tools/mutants/main.go
+++ b/tools/mutants/main.go
@@ -1,6 +1,6 @@
-// Command mutants shows that the tests can fail: it breaks one rule of the code
-// at a time, in an overlay that leaves the files alone, and expects the tests of
-// the package to notice. It exits non-zero if a mutant survives.
+// Command mutants runs mutation tests. It breaks one rule of the code at a time, in a build
+// overlay that leaves the source files unchanged, and expects the tests of the package to
+// fail. It exits non-zero if a mutant survives.
 package main
 
 import (
@@ -18,25 +18,25 @@
 	"cicadarouter/host/program"
 )
 
-// stateful names the packages whose tests take rapid's flags.
+// stateful has the packages whose tests accept the flags of rapid.
 var stateful = map[string]bool{"ownership": true, "dispatch": true, "directory": true, "keyspace": true, "poison": true, "balance": true, "ratelimit": true, "notice": true}
 
-// mutant is one broken rule.
+// mutant is a change to the source that breaks one rule.
 type mutant struct {
 	name string
 	file string
 	old  string
 	new  string
-	// pkg is the package whose tests must notice, and run a pattern of tests.
+	// pkg is the package whose tests must fail, and run the pattern of the tests to run.
 	pkg string
 	run string
 }
 
-// breaking returns what makes the mutants of a package: run is a pattern of the tests
-// that must notice.
-func breaking(pkg, run string) func(file, name, old, fresh string) mutant {
-	return func(file, name, old, fresh string) mutant {
-		return mutant{name: pkg + ": " + name, file: pkg + "/" + file, old: old, new: fresh, pkg: pkg, run: run}
+// breaking returns a constructor for the mutants of a package. run is the pattern of the
+// tests that must fail.
+func breaking(pkg, run string) func(file, name, old, replacement string) mutant {
+	return func(file, name, old, replacement string) mutant {
+		return mutant{name: pkg + ": " + name, file: pkg + "/" + file, old: old, new: replacement, pkg: pkg, run: run}
 	}
 }
 
@@ -55,20 +55,20 @@
 func main() { os.Exit(run()) }
 
 func run() int {
-	var given options
-	if code, done := program.Parse(&given); done {
+	var flags options
+	if code, done := program.Parse(&flags); done {
 		return code
 	}
-	var chosen []mutant
+	var selected []mutant
 	for _, m := range allMutants() {
-		if strings.Contains(m.name, given.Only) {
-			chosen = append(chosen, m)
+		if strings.Contains(m.name, flags.Only) {
+			selected = append(selected, m)
 		}
 	}
-	results := runAll(chosen, given)
+	results := runAll(selected, flags)
 	survivors := 0
 	for i, result := range results {
-		fmt.Printf("%-9s %6.1fs  %s\n", result.verdict, result.took.Seconds(), chosen[i].name)
+		fmt.Printf("%-9s %6.1fs  %s\n", result.verdict, result.took.Seconds(), selected[i].name)
 		if result.verdict != caught {
 			survivors++
 			fmt.Print(result.detail)
@@ -81,22 +81,23 @@
 	return program.ExitOK
 }
 
-func runAll(chosen []mutant, given options) []result {
-	results := make([]result, len(chosen))
-	slots := make(chan struct{}, given.Jobs)
-	var working sync.WaitGroup
-	for i, m := range chosen {
-		working.Go(func() {
+func runAll(mutants []mutant, flags options) []result {
+	results := make([]result, len(mutants))
+	slots := make(chan struct{}, flags.Jobs)
+	var running sync.WaitGroup
+	for i, m := range mutants {
+		running.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			results[i] = try(m, given)
+			results[i] = try(m, flags)
 		})
 	}
-	working.Wait()
+	running.Wait()
 	return results
 }
 
-// verdict is what became of a mutant.
+// verdict is the result of testing a mutant. BROKEN means that the mutant could not be
+// tested, for example because it does not compile.
 type verdict string
 
 const (
@@ -112,7 +113,7 @@
 }
 
 // try runs the tests against one mutant.
-func try(m mutant, given options) result {
+func try(m mutant, flags options) result {
 	began := time.Now()
 	dir, err := os.MkdirTemp("", "mutant")
 	if err != nil {
@@ -125,7 +126,7 @@
 	}
 	args := []string{"test", "-overlay", overlay, "-count=1", "-run", m.run, "./" + m.pkg}
 	if stateful[m.pkg] {
-		args = append(args, fmt.Sprintf("-rapid.checks=%d", given.Checks), fmt.Sprintf("-rapid.steps=%d", given.Steps),
+		args = append(args, fmt.Sprintf("-rapid.checks=%d", flags.Checks), fmt.Sprintf("-rapid.steps=%d", flags.Steps),
 			"-rapid.nofailfile", "-rapid.shrinktime=1ms")
 	}
 	output, err := exec.Command("go", args...).CombinedOutput()
@@ -141,7 +142,8 @@
 	return result{verdict: caught, took: took}
 }
 
-// writeOverlay writes the mutated file and the overlay that puts it in place.
+// writeOverlay writes the mutated file and the build overlay that replaces the original
+// file with it. It returns the path of the overlay.
 func writeOverlay(dir string, m mutant) (string, error) {
 	source, err := filepath.Abs(m.file)
 	if err != nil {
@@ -152,7 +154,7 @@
 		return "", err
 	}
 	if count := strings.Count(string(text), m.old); count != 1 {
-		return "", fmt.Errorf("%s: the text to change stands %d times, not once: %q", m.file, count, m.old)
+		return "", fmt.Errorf("%s: the text to replace occurs %d times, not once: %q", m.file, count, m.old)
 	}
 	const mode = 0o600
 	mutated := filepath.Join(dir, "mutated.go")
--- a/tools/mutants/main_test.go
+++ b/tools/mutants/main_test.go
@@ -9,13 +9,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against mutants of code that has changed since: they would break nothing.
+// Guards against a mutant whose quoted code has changed since: it could not be applied.
 func TestMutantsMeetTheCode(t *testing.T) {
 	for _, m := range allMutants() {
 		text, err := os.ReadFile(filepath.Join("..", "..", m.file))
 		assert.NilError(t, err)
 		if n := strings.Count(string(text), m.old); n != 1 {
-			t.Errorf("%s: %d places in %s", m.name, n, m.file)
+			t.Errorf("%s: the quoted text occurs %d times in %s, not once", m.name, n, m.file)
 		}
 	}
 }
