--- a/bench/tagged.go
+++ b/bench/tagged.go
@@ -9,8 +9,8 @@
 // Tagged is the queue order of the High-throughput Token Bucket Scheduler (HTBS), as far as
 // it applies to slots: each request gets a start and a finish tag from its caller's token
 // bucket, and the request with the smallest finish tag goes first. The other half of HTBS,
-// waiting for a caller's next request, saves disk seeks and has no counterpart here. Tagged
-// is a baseline for comparisons.
+// waiting for a caller's next request, saves disk seeks and has no counterpart here. It is a
+// baseline for comparisons.
 //
 // Source: "A QoS-Aware Disk Scheduler: High-throughput Token Bucket Scheduler",
 // section III, figures 1 and 2.
--- a/load/oracle.go
+++ b/load/oracle.go
@@ -16,7 +16,7 @@
 	Detail  string `json:"detail"`
 }
 
-// The system's guarantees. Judge checks all but PromiseOutcome.
+// The system's guarantees. All but the last are checked.
 const (
 	PromiseOnce    = "a non-idempotent request runs at most once"
 	PromiseNotRun  = "a request that was told not run did not run"
--- a/load/oracle_test.go
+++ b/load/oracle_test.go
@@ -11,7 +11,7 @@
 	"cicadarouter/standin"
 )
 
-// TestJudge checks that Judge finds each kind of violation, and none in a correct run.
+// TestJudge checks that each kind of violation is found, and none in a correct run.
 func TestJudge(t *testing.T) {
 	at := func(ms int) time.Time { return time.UnixMilli(int64(ms)) }
 	run := func(id, key, server string, token uint64, ms int) standin.Run {
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -11,48 +11,50 @@
 	"cicadarouter/platform/platformtest"
 )
 
-// fault is one kind of trouble. do makes it, holds it for a time, and ends it.
-// Its choices are drawn before it runs, so that a seed gives the same series.
+// fault is one kind of injected fault. Its random choices are drawn before it runs, so
+// that a seed always gives the same sequence of faults.
 type fault struct {
 	name string
-	// weight is how often it comes beside others.
+	// weight is the relative probability of drawing the fault.
 	weight int
-	// harmless kinds excuse nothing: planned work that bounds in time are judged
-	// by, and that would otherwise excuse itself.
+	// harmless faults do not suspend the checks of time bounds. They are planned
+	// operations whose own time bounds are checked; as disturbances they would suspend
+	// exactly those checks.
 	harmless bool
-	// since is the first series that has the fault. A seed that has failed once
-	// is played with the series of that time: with more faults to draw from, it
-	// would draw others.
+	// since is the first version of the fault list that contains the fault. A seed that
+	// has failed is replayed with the version it failed with, because with more faults
+	// to choose from it would draw others.
 	since Series
-	// plan draws where it strikes.
+	// plan draws the target and returns a function that injects the fault, holds it for
+	// length and ends it.
 	plan func(r *run, random *rand.Rand, length time.Duration) func(ctx context.Context)
 }
 
 // Series is a version of the list of faults.
 type Series int
 
-// The series.
+// Versions of the list of faults. Each adds to the one before it.
 const (
 	FirstSeries Series = 1 + iota
-	// RestartSeries has servers that start again under their IDs.
+	// RestartSeries adds servers that restart under the same ID.
 	RestartSeries
-	// EvacuationSeries has failure domains that are evacuated and taken back.
+	// EvacuationSeries adds failure domains that are evacuated and returned to service.
 	EvacuationSeries
-	// DeadlySeries has requests that end the servers that run them.
+	// DeadlySeries adds requests that terminate every server that runs them.
 	DeadlySeries
-	// LimitSeries has servers that name limits.
+	// LimitSeries adds servers that announce rate limits.
 	LimitSeries
-	// NoticeSeries has servers that say in answers only that they leave, or that ask hosts
-	// for rest.
+	// NoticeSeries adds servers that announce only in response headers that they are
+	// leaving, and servers that ask hosts to back off.
 	NoticeSeries
-	// EraSeries has a store that comes back from a copy.
+	// EraSeries adds a store that is restored from a backup.
 	EraSeries
 )
 
-// CurrentSeries is the one of fresh seeds.
+// CurrentSeries is the version that new seeds use.
 const CurrentSeries = EraSeries
 
-// faults lists all kinds.
+// faults returns all kinds of faults.
 func faults() []fault {
 	return []fault{
 		{"a host is stopped and started", 3, false, FirstSeries, onHost(func(ctx context.Context, h *host, _ time.Duration) { h.terminate() })},
@@ -89,10 +91,10 @@
 	}
 }
 
-// series draws faults by a seed.
+// series draws faults from a seeded random source.
 type series struct {
 	random *rand.Rand
-	pool   []fault // each as often as its weight says
+	pool   []fault // each fault appears weight times
 }
 
 func newSeries(seed uint64, version Series, only string) *series {
@@ -108,20 +110,20 @@
 	return s
 }
 
-// Faults last between leastLength and leastLength + spanLength: below and above
-// the leases and the authority of a controller, 5 and 5.5 s.
+// The range of the durations of faults. It includes the duration of leases (5 s) and of a
+// controller's authority (5.5 s).
 const (
 	leastLength = 300 * time.Millisecond
 	spanLength  = 6 * time.Second
 )
 
-// next draws a fault and how long it lasts.
+// next draws a fault and its duration.
 func (s *series) next() (fault, time.Duration) {
 	kind := s.pool[s.random.IntN(len(s.pool))]
 	return kind, leastLength + time.Duration(s.random.Int64N(int64(spanLength)))
 }
 
-// pause waits, or until the context ends.
+// pause sleeps for a duration or until the context is canceled.
 func pause(ctx context.Context, length time.Duration) {
 	select {
 	case <-time.After(length):
@@ -186,8 +188,8 @@
 	return func(context.Context) { r.site.Store.Deafen() }
 }
 
-// Faults of servers strike those that are there from the start, so that what a
-// seed draws does not depend on how far others have got.
+// Server faults target only the servers present from the start, so that what a seed draws
+// does not depend on the progress of other faults.
 
 func onServerLink(link Link) plan {
 	return func(r *run, random *rand.Rand, length time.Duration) func(ctx context.Context) {
@@ -217,7 +219,7 @@
 	}
 }
 
-// restarts lets a server start again. Its connections end with its process.
+// restarts restarts a server and resets its connections, as the end of its process would.
 func restarts(r *run, random *rand.Rand, _ time.Duration) func(ctx context.Context) {
 	n := random.IntN(len(r.first))
 	return func(ctx context.Context) {
@@ -232,8 +234,7 @@
 }
 
 func leaves(r *run, random *rand.Rand, _ time.Duration) func(ctx context.Context) {
-	// One of each service stays.
-	n := random.IntN(len(r.first)-2) + 2
+	n := random.IntN(len(r.first)-2) + 2 // the first server of each service never leaves
 	return func(ctx context.Context) {
 		server := r.site.Servers()[n]
 		if r.site.LeftAt(server).IsZero() {
@@ -242,13 +243,14 @@
 	}
 }
 
-// leavingFault is the name of the fault in which a server leaves while the store is away.
+// leavingFault is the name of the fault in which a server leaves while the store rejects
+// all calls.
 const leavingFault = "a server leaves and its entry can't be written"
 
-// leavesUnregistered lets a server leave while the store turns all calls away. Its entry is
-// written when the store is back.
+// leavesUnregistered makes a server leave while the store rejects all calls. The server's
+// entry is updated once the store accepts calls again.
 func leavesUnregistered(r *run, random *rand.Rand, length time.Duration) func(ctx context.Context) {
-	n := random.IntN(len(r.first)-2) + 2 // one of each service stays
+	n := random.IntN(len(r.first)-2) + 2 // the first server of each service never leaves
 	return func(ctx context.Context) {
 		server := r.site.Servers()[n]
 		if !r.site.LeftAt(server).IsZero() {
@@ -262,41 +264,44 @@
 	}
 }
 
-// restFault is the name of the fault in which servers turn requests away and ask for rest.
+// restFault is the name of the fault in which servers reject requests and ask hosts to
+// back off.
 const restFault = "servers turn requests away and ask for rest"
 
-// asksForRest lets some servers turn all requests away and ask the hosts for rest.
+// asksForRest makes some servers reject all requests and ask the hosts to back off.
 func asksForRest(r *run, random *rand.Rand, length time.Duration) func(ctx context.Context) {
-	const least, span = time.Second, 3 * time.Second
+	const minBackoff, backoffRange = time.Second, 3 * time.Second
 	first, count := random.IntN(len(r.first)), 1+random.IntN(len(r.first)/2)
-	rest := least + time.Duration(random.Int64N(int64(span)))
+	backoff := minBackoff + time.Duration(random.Int64N(int64(backoffRange)))
 	return func(ctx context.Context) {
 		servers := r.site.Servers()
 		for i := range count {
-			servers[(first+i)%len(r.first)].SetFaults(platformtest.ServerFaults{Shed: true, Rest: rest})
+			servers[(first+i)%len(r.first)].SetFaults(platformtest.ServerFaults{Shed: true, Rest: backoff})
 		}
-		pause(ctx, rest+length)
+		pause(ctx, backoff+length)
 		for i := range count {
 			servers[(first+i)%len(r.first)].SetFaults(platformtest.ServerFaults{})
 		}
 	}
 }
 
-// eraFault is the name of the fault in which the store forgets what it acknowledged.
+// eraFault is the name of the fault in which the store loses acknowledged writes because
+// it is restored from a backup.
 const eraFault = "the store comes back from a copy"
 
-// returnsFromCopy lets the store be away and come back from a copy some seconds old. Once it
-// has been back for long enough the configuration changes.
+// returnsFromCopy makes the store unavailable and then restores it from a backup that is
+// some seconds old. It changes the configuration once the store has been available for
+// long enough that time bounds are checked again.
 func returnsFromCopy(r *run, random *rand.Rand, length time.Duration) func(ctx context.Context) {
-	const least, span, down = time.Second, 4 * time.Second, 3
-	age := least + time.Duration(random.Int64N(int64(span)))
+	const minAge, ageRange, outageDivisor = time.Second, 4 * time.Second, 3
+	age := minAge + time.Duration(random.Int64N(int64(ageRange)))
 	return func(ctx context.Context) {
 		r.trouble(1)
 		r.site.Store.Copy()
-		r.fail(r.site.AddKeyed(r.serving)) // what is written for it is lost
+		r.fail(r.site.AddKeyed(r.serving)) // written after the backup, so lost by the restore
 		pause(ctx, age)
 		r.site.Store.SetFaults(platformtest.Faults{Refuse: true})
-		pause(ctx, length/down)
+		pause(ctx, length/outageDivisor)
 		r.fail(r.site.ReturnFromCopy(ctx))
 		r.site.Store.SetFaults(platformtest.Faults{})
 		r.trouble(-1)
@@ -313,8 +318,8 @@
 	}
 }
 
-// evacuates has a domain evacuated and taken back. The first servers of each service,
-// which never leave, lie in the other domain.
+// evacuates evacuates a failure domain and returns it to service. The first server of each
+// service, which never leaves, is in the other domain.
 func evacuates(r *run, _ *rand.Rand, length time.Duration) func(ctx context.Context) {
 	const domain = "b"
 	return func(ctx context.Context) {
@@ -324,13 +329,14 @@
 	}
 }
 
-// limitFault is the name of the fault in which servers name limits.
+// limitFault is the name of the fault in which servers announce rate limits.
 const limitFault = "servers name limits"
 
-// namesLimits lets one, some or all servers of a service name a limit, change it and stop
-// naming it. Each value lasts long enough to be judged by.
+// namesLimits makes one or more servers of a service announce a rate limit, change it and
+// withdraw it. Each limit lasts long enough for the check of it to apply.
 func namesLimits(r *run, random *rand.Rand, length time.Duration) func(ctx context.Context) {
-	const services, least = 2, 8 * time.Second // servers of the services alternate
+	// Servers of the two services alternate.
+	const services, minDuration = 2, 8 * time.Second
 	service, count := random.IntN(services), 1+random.IntN(len(r.first)/services)
 	limits := []float64{1 + 5*random.Float64(), 1 + 5*random.Float64()}
 	return func(ctx context.Context) {
@@ -340,16 +346,17 @@
 				servers[service+services*i].SetLimit(limit)
 			}
 			if limit > 0 {
-				pause(ctx, least+length)
+				pause(ctx, minDuration+length)
 			}
 		}
 	}
 }
 
-// deadlyFault is the name of the fault that sends a request which ends servers.
+// deadlyFault is the name of the fault that sends a request which terminates servers.
 const deadlyFault = "a request ends every server that runs it"
 
-// sendsDeadly sends copies of a deadly request to all hosts, from now until the load ends.
+// sendsDeadly starts callers that send copies of a deadly request to all hosts until the
+// load ends.
 func sendsDeadly(r *run, random *rand.Rand, _ time.Duration) func(ctx context.Context) {
 	keyed, callers := random.IntN(2) == 0, 1+random.IntN(3)
 	return func(context.Context) {
@@ -360,12 +367,12 @@
 	}
 }
 
-// sendCopies sends copies of a deadly request until the load ends.
+// sendCopies sends copies of a deadly request to the hosts in turn until the load ends.
 func (r *run) sendCopies(deadly *platformtest.Deadly) {
-	const every, key = 50 * time.Millisecond, 700
+	const interval, key = 50 * time.Millisecond, 700
 	client := &http.Client{Timeout: 2 * time.Second}
 	for n := rand.IntN(len(r.hosts)); r.loading.Err() == nil; n++ {
 		ask(client, r.hosts[n%len(r.hosts)], deadly.Path, key)
-		pause(r.loading, every)
+		pause(r.loading, interval)
 	}
 }
--- a/soak/host.go
+++ b/soak/host.go
@@ -14,10 +14,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// grace is how long after SIGTERM a host is killed.
+// grace is how long a host may take to stop after SIGTERM.
 const grace = 4 * time.Second
 
-// host is one cicada-gateway process, started again whenever it ends.
+// host is one cicada-gateway process on a network address of its own. The faults that end
+// it restart it.
 type host struct {
 	name    string
 	program string
@@ -28,16 +29,16 @@
 
 	mu       sync.Mutex
 	running  *exec.Cmd
-	gone     chan struct{} // closed when running has ended
-	asked    bool          // the end of running was asked for
+	gone     chan struct{} // closed when running has exited
+	asked    bool          // this package sent SIGTERM or SIGKILL to running
 	upSince  time.Time
 	ownEnds  []string
-	planned  []window // planned stops, from SIGTERM to the end of the process
-	overdue  []window // those that did not end in time, until they were killed
+	planned  []window // planned stops, from SIGTERM to the exit of the process
+	overdue  []window // planned stops that exceeded the grace time, until the process was killed
 	disturbs []window // pauses and kills
 }
 
-// window is a span of time.
+// window is a time interval.
 type window struct{ from, to time.Time }
 
 func (w window) overlaps(from, to time.Time) bool { return w.from.Before(to) && from.Before(w.to) }
@@ -46,9 +47,9 @@
 	return slices.ContainsFunc(windows, func(w window) bool { return w.overlaps(from, to) })
 }
 
-// firstPort is the first port of each process. It lies below those that the
-// kernel gives to outgoing connections, one of which took the port of a host
-// that was about to start.
+// firstPort is the first listening port of each process. It is below the kernel's
+// ephemeral port range: an outgoing connection once took the port of a host that was about
+// to start.
 const firstPort = 21000
 
 func newHost(name, program, dir, ip, storeAddress string) (*host, error) {
@@ -70,7 +71,7 @@
 
 func (h *host) settingsFile() string { return filepath.Join(h.dir, h.name+".ini") }
 
-// start starts the process, unless it runs.
+// start starts the process unless it is running.
 func (h *host) start() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -104,7 +105,8 @@
 	close(gone)
 }
 
-// signal sends a signal to the process, and reports whether it runs.
+// signal sends a signal to the process if it is running, and reports whether it was sent.
+// ends marks a signal that makes the process exit. The channel is closed on exit.
 func (h *host) signal(signal syscall.Signal, ends bool) (gone chan struct{}, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -115,15 +117,15 @@
 	return h.gone, h.running.Process.Signal(signal) == nil
 }
 
-// note adds a window that began at a time and ends now.
-func (h *host) note(into *[]window, from time.Time) {
+// note appends the window from the given time until now.
+func (h *host) note(windows *[]window, from time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	*into = append(*into, window{from: from, to: time.Now()})
+	*windows = append(*windows, window{from: from, to: time.Now()})
 }
 
-// terminate stops the process as planned work does: SIGTERM, and SIGKILL after
-// the grace time.
+// terminate stops the process as a planned stop does: with SIGTERM, and with SIGKILL one
+// second after the grace time.
 func (h *host) terminate() {
 	from := time.Now()
 	gone, ok := h.signal(syscall.SIGTERM, true)
@@ -139,28 +141,29 @@
 	h.note(&h.planned, from)
 }
 
-// stuck returns the planned stops that did not end in time although the process
-// was neither paused nor killed meanwhile.
+// stuck returns a violation for each planned stop that exceeded the grace time although
+// the process was neither paused nor killed during it.
 func (h *host) stuck() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var stuck []string
+	var violations []string
 	for _, stop := range h.overdue {
 		if !anyOverlaps(h.disturbs, stop.from, stop.to) {
-			stuck = append(stuck, h.name+" did not stop within the grace time")
+			violations = append(violations, h.name+" did not stop within the grace time")
 		}
 	}
-	return stuck
+	return violations
 }
 
-// disturbedBetween reports whether the host was stopped, killed or paused in a span.
+// disturbedBetween reports whether the host was stopped, killed or paused at any time in
+// an interval.
 func (h *host) disturbedBetween(from, to time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return anyOverlaps(h.planned, from, to) || anyOverlaps(h.disturbs, from, to) || anyOverlaps(h.overdue, from, to)
 }
 
-// kill ends the process at once.
+// kill ends the process with SIGKILL and waits for its exit.
 func (h *host) kill() {
 	from := time.Now()
 	if gone, ok := h.signal(syscall.SIGKILL, true); ok {
@@ -169,7 +172,7 @@
 	}
 }
 
-// pause stops the process for a time, as a suspended machine does.
+// pause suspends the process with SIGSTOP for a duration, like a suspended machine.
 func (h *host) pause(length time.Duration) {
 	from := time.Now()
 	if _, ok := h.signal(syscall.SIGSTOP, false); !ok {
@@ -180,7 +183,7 @@
 	h.note(&h.disturbs, from)
 }
 
-// isReady reports whether the host says that it takes callers.
+// isReady reports whether the host's readiness endpoint answers with status 200.
 func (h *host) isReady(client *http.Client) bool {
 	response, err := client.Get("http://" + h.ready + readyPath)
 	if err != nil {
@@ -190,7 +193,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// upFor returns for how long the process has run; 0 if it does not.
+// upFor returns the process's uptime, or 0 if it is not running.
 func (h *host) upFor() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -9,16 +9,16 @@
 	"github.com/rotisserie/eris"
 )
 
-// Link says how a proxy treats what passes through it.
+// Link is the network condition that a proxy simulates.
 type Link struct {
-	// Delay is added to each piece that passes, each way.
+	// Delay is added to each chunk in both directions.
 	Delay time.Duration
-	// CutTo and CutFrom hold back what goes to the target, or comes from it, as a
-	// partition does: silently, and it arrives when the cut has healed.
+	// CutTo and CutFrom hold back data to or from the target, like a network partition:
+	// connections stay open, and the data is delivered when the cut ends.
 	CutTo, CutFrom bool
 }
 
-// Proxy passes connections on to a target on loopback. It is safe for concurrent
+// Proxy is a TCP proxy on loopback that injects network faults. It is safe for concurrent
 // use.
 type Proxy struct {
 	listener net.Listener
@@ -41,10 +41,10 @@
 	return p, nil
 }
 
-// Address is where the proxy takes connections.
+// Address returns the proxy's listening address.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes how the proxy treats all its connections.
+// Set changes the network condition of all connections.
 func (p *Proxy) Set(link Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,7 +65,7 @@
 	}
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.Set(Link{})
@@ -74,26 +74,26 @@
 
 func (p *Proxy) accept() {
 	for {
-		near, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return // closed
 		}
-		go p.serve(near)
+		go p.serve(client)
 	}
 }
 
-func (p *Proxy) serve(near net.Conn) {
-	far, err := net.Dial("tcp", p.target)
+func (p *Proxy) serve(client net.Conn) {
+	target, err := net.Dial("tcp", p.target)
 	if err != nil {
-		_ = near.Close() // the caller finds the connection closed
+		_ = client.Close()
 		return
 	}
-	p.keep(near, far)
-	defer p.drop(near, far)
-	var passing sync.WaitGroup
-	passing.Go(func() { p.pass(far, near, func(l Link) bool { return l.CutTo }) })
-	passing.Go(func() { p.pass(near, far, func(l Link) bool { return l.CutFrom }) })
-	passing.Wait()
+	p.keep(client, target)
+	defer p.drop(client, target)
+	var copying sync.WaitGroup
+	copying.Go(func() { p.pass(target, client, func(l Link) bool { return l.CutTo }) })
+	copying.Go(func() { p.pass(client, target, func(l Link) bool { return l.CutFrom }) })
+	copying.Wait()
 }
 
 func (p *Proxy) keep(conns ...net.Conn) {
@@ -113,36 +113,36 @@
 	}
 }
 
-// pass copies one direction until it ends, and then ends both. What a cut holds
-// back is lost if its sender resets the connection meanwhile, as on a real link:
-// a caller that has given up a call relies on that.
+// pass copies one direction until it ends and then closes both connections. Data that a
+// cut holds back is lost if its sender resets the connection meanwhile, as on a real link:
+// a client that has abandoned a call relies on the call not arriving later.
 func (p *Proxy) pass(to, from net.Conn, cut func(Link) bool) {
 	defer func() { _, _ = to.Close(), from.Close() }()
-	pieces, reset := make(chan []byte, piecesHeld), make(chan struct{})
-	go read(from, pieces, reset)
-	for piece := range pieces {
+	chunks, reset := make(chan []byte, piecesHeld), make(chan struct{})
+	go read(from, chunks, reset)
+	for chunk := range chunks {
 		if !p.hold(cut, reset) {
 			return
 		}
-		if _, err := to.Write(piece); err != nil {
+		if _, err := to.Write(chunk); err != nil {
 			return
 		}
 	}
-	p.hold(cut, reset) // the end of a connection does not pass a cut either
+	p.hold(cut, reset) // a cut holds back the end of the connection too
 }
 
-// piecesHeld is how many pieces are read ahead of a cut.
+// piecesHeld is the maximum number of chunks buffered while a cut holds them back.
 const piecesHeld = 64
 
-// read reads pieces until the connection ends; reset is closed if that was no
-// orderly end.
-func read(from net.Conn, pieces chan<- []byte, reset chan<- struct{}) {
-	defer close(pieces)
+// read reads chunks until the connection ends. It closes reset if the connection ended
+// with an error other than io.EOF.
+func read(from net.Conn, chunks chan<- []byte, reset chan<- struct{}) {
+	defer close(chunks)
 	for {
 		buffer := make([]byte, 16<<10)
 		n, err := from.Read(buffer)
 		if n > 0 {
-			pieces <- buffer[:n]
+			chunks <- buffer[:n]
 		}
 		if err == nil {
 			continue
@@ -154,8 +154,8 @@
 	}
 }
 
-// hold returns when the link lets a piece pass; false if its sender has reset
-// the connection.
+// hold waits until the link lets a chunk through. It returns false if the sender reset the
+// connection while a cut held the chunk back.
 func (p *Proxy) hold(cut func(Link) bool, reset <-chan struct{}) bool {
 	p.mu.Lock()
 	delay := p.link.Delay
--- a/soak/regressions.go
+++ b/soak/regressions.go
@@ -1,16 +1,15 @@
 package soak
 
-// Regression is a seed that broke a promise once.
+// Regression is a seed whose run once violated a guarantee.
 type Regression struct {
 	Seed uint64
 	// Series is the version of the list of faults that it failed with.
 	Series Series
-	// Cause is why.
+	// Cause explains the failure.
 	Cause string
 }
 
-// Regressions returns the seeds that have failed. They are played by
-// "cicada-soak --kept".
+// Regressions returns the seeds that have failed. "cicada-soak --kept" replays them.
 func Regressions() []Regression {
 	return []Regression{
 		{2651125409, FirstSeries, "after an outage of the store the followers of a host waited for a watch of 25 s at the controller; " +
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,7 +1,7 @@
-// Package soak runs the real daemon as separate processes on one machine, with
-// stand-ins of the hosted platform and of backend servers, injects faults from
-// outside them by a seeded series, and checks the promises from what callers and
-// servers see.
+// Package soak runs randomized fault-injection tests. It runs real cicada-gateway processes
+// on one machine with fake platform services and fake backend servers, injects a seeded
+// sequence of faults from outside the processes, and checks the system's guarantees from
+// what callers and servers observe.
 //
 // It needs a built cicada-gateway, sends to loopback only, and ends only the
 // processes that it started.
@@ -28,59 +28,60 @@
 
 const readyPath = platform.ReadyPath
 
-// Options are what a run is made of.
+// Options configures a run.
 type Options struct {
 	// Program is the built cicada-gateway.
 	Program string
-	// Dir takes the hosts' settings and logs.
+	// Dir is the directory for the hosts' settings and logs.
 	Dir  string
 	Seed uint64
 	// Series is the version of the list of faults; 0 for the current one.
 	Series Series
-	// Only, if set, leaves the faults whose names contain it.
+	// Only, if set, restricts the faults to those whose names contain it.
 	Only string
-	// Hosts are processes; Servers are stand-ins for each of two services.
+	// Hosts is the number of processes, Servers the number of fake servers of each of two
+	// services, and Callers the number of concurrent callers.
 	Hosts, Servers, Callers int
-	// Length is for how long faults begin.
+	// Length is the time during which faults are started.
 	Length time.Duration
 	// Every is the mean time between two faults.
 	Every time.Duration
-	// Print takes a line for each fault.
+	// Print is called with a line for each fault.
 	Print func(line string)
 }
 
-// Result is what a run found.
+// Result is the result of a run.
 type Result struct {
 	Seed     uint64
 	Faults   int
 	Requests int
 	Statuses map[int]int
-	// EndedServers is how many servers ended under deadly requests.
+	// EndedServers is how many servers were terminated by deadly requests.
 	EndedServers int
-	// Broken lists the promises that were broken.
+	// Broken lists the violations of guarantees.
 	Broken []string
 }
 
-// Bounds of promises with a time, of the users' rules with a margin for a
-// machine that is busy.
+// Time bounds from the system's requirements. Most checks add margin, because the machine
+// may be busy.
 const (
 	configureWithin = 2 * time.Second
 	leaveWithin     = 2 * time.Second
 	evacuateWithin  = 5 * time.Second
 	deadlyWithin    = 3 * time.Second
 	margin          = time.Second
-	// calm is how long nothing must have been wrong before a bound in time holds.
+	// calm is how long no fault must have been active before a time bound applies.
 	calm = 3 * time.Second
-	// recoverWithin is how long after the last fault all must be served.
+	// recoverWithin bounds the time after the last fault until all keys are served again.
 	recoverWithin = 20 * time.Second
 )
 
-// run is one run.
+// run is the state of one run.
 type run struct {
 	options Options
 	site    *platformtest.Site
 	serving context.Context
-	first   []*Proxy // to the servers that are there from the start
+	first   []*Proxy // to the servers that are present from the start
 	hosts   []*host
 	load    *platformtest.Load
 	loading context.Context
@@ -91,23 +92,24 @@
 	mu       sync.Mutex
 	fronts   []*Proxy // to all servers
 	broken   []string
-	troubles []window // while any fault was on
-	on       int
+	troubles []window // when at least one fault was active
+	on       int      // number of active faults
 	onSince  time.Time
 	versions []version
 	faults   int
 }
 
-// version is a configuration that was put in force at a time.
+// version is a configuration change and when the store acknowledged it.
 type version struct {
 	number int
 	at     time.Time
 }
 
-// Run plays one seed. An error says that the run itself failed.
+// Run runs the test with one seed. It returns an error only if the run itself failed;
+// violated guarantees are in the result.
 func Run(ctx context.Context, options Options) (Result, error) {
-	serving, end := context.WithCancel(ctx)
-	defer end()
+	serving, stopServing := context.WithCancel(ctx)
+	defer stopServing()
 	r := &run{options: options, serving: serving, began: time.Now()}
 	defer r.close()
 	if err := r.start(); err != nil {
@@ -122,10 +124,11 @@
 	checks.Go(func() { r.watchVersions(loading) })
 	r.makeFaults(ctx)
 	r.recovered()
-	// What was planned last is judged too: its time has to be over under load.
+	// The last planned operations are checked too, so their time bounds have to pass
+	// while the load is still running.
 	pause(ctx, leaveWithin+2*margin)
 	if len(r.site.Deadly()) > 0 {
-		pause(ctx, calm+margin) // copies are judged while nothing is wrong
+		pause(ctx, calm+margin) // copies count only while no fault is active
 	}
 	endLoad()
 	checks.Wait()
@@ -133,10 +136,10 @@
 	return r.judge(), ctx.Err()
 }
 
-// start starts the site and the hosts, and waits until they serve.
+// start starts the site and the hosts and waits until the hosts serve requests.
 func (r *run) start() error {
-	// Each run has a network of its own on loopback, so that runs at the same time
-	// don't meet.
+	// Each run uses a random loopback network, so that concurrent runs do not use the
+	// same addresses.
 	network := fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(250))
 	storeAddress := fmt.Sprintf("%s.1:%d", network, firstPort)
 	r.site = platformtest.NewSite("127.0.0.1", 0)
@@ -183,29 +186,30 @@
 	}
 }
 
-// makeFaults draws the whole series first, and then plays it.
+// makeFaults draws the faults of the seed, injects each at its time and waits until all
+// have ended.
 func (r *run) makeFaults(ctx context.Context) {
 	drawn := newSeries(r.options.Seed, cmp.Or(r.options.Series, CurrentSeries), r.options.Only)
-	var playing sync.WaitGroup
+	var injecting sync.WaitGroup
 	start := time.Now()
 	for at := time.Duration(0); at < r.options.Length; at += time.Duration(drawn.random.ExpFloat64() * float64(r.options.Every)) {
 		kind, length := drawn.next()
-		do := kind.plan(r, drawn.random, length)
-		playing.Go(func() {
+		inject := kind.plan(r, drawn.random, length)
+		injecting.Go(func() {
 			pause(ctx, time.Until(start.Add(at)))
 			r.options.Print(fmt.Sprintf("%6.2f s  %s (%v)", time.Since(r.began).Seconds(), kind.name, length.Round(time.Millisecond)))
 			if !kind.harmless {
 				r.trouble(1)
 				defer r.trouble(-1)
 			}
-			do(ctx)
+			inject(ctx)
 		})
 		r.faults++
 	}
-	playing.Wait()
+	injecting.Wait()
 }
 
-// trouble counts the faults that are on.
+// trouble changes the number of active faults and records when at least one was active.
 func (r *run) trouble(change int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -219,7 +223,8 @@
 	}
 }
 
-// calmBetween reports whether nothing was wrong in a span and shortly before it.
+// calmBetween reports whether no fault was active in an interval and in the time calm
+// before it.
 func (r *run) calmBetween(from, to time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -230,26 +235,26 @@
 	return !anyOverlaps(r.troubles, from, to)
 }
 
-// restart starts a host that has been ended, as the platform does.
+// restart starts a host's process again if it has ended, as the platform would.
 func (r *run) restart(h *host) { r.fail(h.start()) }
 
-// fail notes an error of the run itself.
+// fail records an error of the run itself.
 func (r *run) fail(err error) {
 	if err != nil && !errors.Is(err, context.Canceled) {
 		r.breaks("the run itself failed: " + err.Error())
 	}
 }
 
-func (r *run) breaks(what string) {
+func (r *run) breaks(violation string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.broken = append(r.broken, fmt.Sprintf("%.2f s: %s", time.Since(r.began).Seconds(), what))
+	r.broken = append(r.broken, fmt.Sprintf("%.2f s: %s", time.Since(r.began).Seconds(), violation))
 }
 
 // watchKeys fails the run if two servers hold a key at the same time.
 func (r *run) watchKeys(ctx context.Context) {
-	const every, most = 20 * time.Millisecond, 5
-	for found := 0; ctx.Err() == nil && found < most; pause(ctx, every) {
+	const interval, maxReported = 20 * time.Millisecond, 5
+	for found := 0; ctx.Err() == nil && found < maxReported; pause(ctx, interval) {
 		if key, held := r.site.HeldTwice(); held {
 			r.breaks(fmt.Sprintf("key %d is held by two servers", key))
 			found++
@@ -263,8 +268,8 @@
 	r.versions = append(r.versions, version{number: number, at: time.Now()})
 }
 
-// watchVersions asks each host for the route of the newest version once it must
-// be in force. While anything is wrong nothing is owed.
+// watchVersions requests the newest version's route from each host once the version must
+// be in force. It skips versions for which a fault was active.
 func (r *run) watchVersions(ctx context.Context) {
 	client := &http.Client{Timeout: 2 * time.Second}
 	for checked := 0; ctx.Err() == nil; pause(ctx, 100*time.Millisecond) {
@@ -288,7 +293,7 @@
 	}
 }
 
-// ask sends one request with a key, and returns the status, or 0.
+// ask sends one request with a key. It returns the status, or 0 if there was no response.
 func ask(client *http.Client, h *host, path string, key int) int {
 	request, err := http.NewRequest(http.MethodGet, "http://"+h.callers+path, nil)
 	if err != nil {
@@ -307,15 +312,15 @@
 	return response.StatusCode
 }
 
-// recovered fails the run unless all is served again in time.
+// recovered fails the run unless all hosts serve again within recoverWithin.
 func (r *run) recovered() {
 	if missing := r.unserved(recoverWithin); missing != "" {
 		r.breaks(fmt.Sprintf("not served %v after the last fault: %s", recoverWithin, missing))
 	}
 }
 
-// unserved waits until every host is ready and serves a sample of all keys, and
-// returns what is missing after a time.
+// unserved waits until every host is ready and serves a sample of the keys. It returns "",
+// or what is still missing when the time has passed.
 func (r *run) unserved(within time.Duration) string {
 	client := &http.Client{Timeout: 2 * time.Second}
 	missing := "nothing was asked"
@@ -336,83 +341,87 @@
 	return missing
 }
 
-// judge compares what callers were told with what servers ran.
+// judge checks the guarantees against the responses that callers got and the requests that
+// servers ran.
 func (r *run) judge() Result {
 	runs := r.site.RunsByID()
 	report := r.load.Check(runs)
-	broken := append(r.broken, report.Broken...)
+	violations := append(r.broken, report.Broken...)
 	for _, h := range r.hosts {
-		broken = append(append(broken, h.ownEnds...), h.stuck()...)
+		violations = append(append(violations, h.ownEnds...), h.stuck()...)
 	}
-	broken = append(broken, r.site.Overlaps()...)
-	broken = append(broken, r.cutByPlannedStops(runs)...)
-	broken = append(broken, r.lateToLeaving()...)
-	broken = append(broken, r.lateToEvacuated()...)
-	broken = append(broken, r.site.Overrun()...)
-	broken = append(broken, r.limitsExceeded()...)
-	broken = append(broken, r.lateToToldLeaving()...)
-	broken = append(broken, r.restsDisturbed()...)
+	violations = append(violations, r.site.Overlaps()...)
+	violations = append(violations, r.cutByPlannedStops(runs)...)
+	violations = append(violations, r.lateToLeaving()...)
+	violations = append(violations, r.lateToEvacuated()...)
+	violations = append(violations, r.site.Overrun()...)
+	violations = append(violations, r.limitsExceeded()...)
+	violations = append(violations, r.lateToToldLeaving()...)
+	violations = append(violations, r.restsDisturbed()...)
 	late, ended := r.lateCopies()
-	return Result{Seed: r.options.Seed, Faults: r.faults, Requests: report.Sent, Statuses: report.Statuses, EndedServers: ended, Broken: append(broken, late...)}
+	return Result{Seed: r.options.Seed, Faults: r.faults, Requests: report.Sent, Statuses: report.Statuses, EndedServers: ended, Broken: append(violations, late...)}
 }
 
-// limitsExceeded returns servers that got more than the limits that they named, while no
-// host was stopped, killed or paused.
+// limitsExceeded returns a violation for each server that received more requests than the
+// limit it announced allows, while no host was stopped, killed or paused.
 func (r *run) limitsExceeded() []string {
-	var broken []string
+	var violations []string
 	for _, server := range r.site.Servers() {
 		for _, use := range server.LimitUses(r.undisturbed) {
 			if use.Exceeded() {
-				broken = append(broken, fmt.Sprintf("%s got %v, %.2f s after the start", server.ID, use, use.At.Sub(r.began).Seconds()))
+				violations = append(violations, fmt.Sprintf("%s got %v, %.2f s after the start", server.ID, use, use.At.Sub(r.began).Seconds()))
 			}
 		}
 	}
-	return broken
+	return violations
 }
 
-// lateToToldLeaving returns servers that got requests from hosts whose callers had been told
-// that the server leaves. Nothing but an end or a pause of the host excuses them.
+// lateToToldLeaving returns a violation for each server that received requests from a host
+// after responses through that host had announced that the server is leaving. Only a stop,
+// kill or pause of the host excuses such a request.
 func (r *run) lateToToldLeaving() []string {
-	var broken []string
+	var violations []string
 	for _, server := range r.site.Servers() {
 		for _, late := range server.LateToLeaving(leaveWithin) {
 			if h := r.hostAt(late.Host); h == nil || h.disturbedBetween(late.Told, late.At) {
 				continue
 			}
-			broken = append(broken, fmt.Sprintf("request %s, sent %v after an answer of %s had said that it leaves, reached it by way of the same host",
+			violations = append(violations, fmt.Sprintf("request %s, sent %v after an answer of %s had said that it leaves, reached it by way of the same host",
 				late.ID, late.Sent.Sub(late.Told), server.ID))
 			break
 		}
 	}
-	return broken
+	return violations
 }
 
-// restsDisturbed returns servers that got requests from a host that they had asked for rest.
+// restsDisturbed returns a violation for each server that received requests from a host
+// that it had asked to back off.
 func (r *run) restsDisturbed() []string {
-	var broken []string
+	var violations []string
 	for _, server := range r.site.Servers() {
 		for _, use := range server.RestUses() {
 			if h := r.hostAt(use.Host); !use.Exceeded() || h == nil || h.disturbedBetween(use.At, use.At.Add(use.Rest)) {
 				continue
 			}
-			broken = append(broken, fmt.Sprintf("%s asked %s for %v of rest and got %d requests from it, the last of them %s", server.ID, use.Host, use.Rest, use.Got, use.Last))
+			violations = append(violations, fmt.Sprintf("%s asked %s for %v of rest and got %d requests from it, the last of them %s", server.ID, use.Host, use.Rest, use.Got, use.Last))
 			break
 		}
 	}
-	return broken
+	return violations
 }
 
-// hostAt returns the host that takes callers at an address, or nil.
-func (r *run) hostAt(callers string) *host {
+// hostAt returns the host that listens for callers at an address, or nil.
+func (r *run) hostAt(address string) *host {
 	for _, h := range r.hosts {
-		if h.callers == callers {
+		if h.callers == address {
 			return h
 		}
 	}
 	return nil
 }
 
-// undisturbed reports whether all hosts ran through a span and shortly before it.
+// undisturbed reports whether no host was stopped, killed or paused in an interval or in
+// the time calm before it.
 func (r *run) undisturbed(from, to time.Time) bool {
 	for _, h := range r.hosts {
 		if h.disturbedBetween(from.Add(-calm), to) {
@@ -422,40 +431,40 @@
 	return true
 }
 
-// lateCopies returns the deadly requests of which too many copies reached servers when
-// all hosts had to know them, and how many servers ended in all.
-func (r *run) lateCopies() (broken []string, ended int) {
+// lateCopies returns a violation for each deadly request of which too many copies reached
+// servers when all hosts had to know it, and the total number of terminated servers.
+func (r *run) lateCopies() (violations []string, ended int) {
 	for _, deadly := range r.site.Deadly() {
 		ended += deadly.Ended()
 		late, tooMany := deadly.SentLateAt(deadlyWithin+margin, func(at time.Time) bool { return r.calmBetween(at, at) })
 		if tooMany {
-			broken = append(broken, fmt.Sprintf("%d copies of %s reached servers later than %v after it had ended three; %d ended in all", late, deadly.Path, deadlyWithin, deadly.Ended()))
+			violations = append(violations, fmt.Sprintf("%d copies of %s reached servers later than %v after it had ended three; %d ended in all", late, deadly.Path, deadlyWithin, deadly.Ended()))
 		}
 	}
-	return broken, ended
+	return violations, ended
 }
 
-// cutByPlannedStops returns requests that ran and got no answer around a planned
-// stop of their host, which was neither paused nor killed then.
+// cutByPlannedStops returns a violation for each request that ran but got no response
+// during a planned stop of its host, unless the host was paused or killed meanwhile.
 func (r *run) cutByPlannedStops(runs map[string]int) []string {
-	var broken []string
+	var violations []string
 	for _, request := range r.load.Unanswered() {
 		for _, h := range r.hosts {
 			if h.callers != request.Host || runs[request.ID] == 0 {
 				continue
 			}
 			if anyOverlaps(h.planned, request.Sent, request.At) && !anyOverlaps(h.disturbs, request.Sent, request.At) {
-				broken = append(broken, fmt.Sprintf("request %s ran and got no answer from %s, which was stopped as planned", request.ID, h.name))
+				violations = append(violations, fmt.Sprintf("request %s ran and got no answer from %s, which was stopped as planned", request.ID, h.name))
 			}
 		}
 	}
-	return broken
+	return violations
 }
 
-// lateToLeaving returns requests that reached a server later than allowed after
-// it had said that it leaves.
+// lateToLeaving returns a violation for each server that received a request later than
+// allowed after it had announced that it is leaving.
 func (r *run) lateToLeaving() []string {
-	var broken []string
+	var violations []string
 	for _, server := range r.site.Servers() {
 		left := r.site.LeftAt(server)
 		if left.IsZero() {
@@ -464,18 +473,18 @@
 		due := left.Add(leaveWithin + margin)
 		for _, run := range server.Runs() {
 			if run.At.After(due) && !strings.HasPrefix(run.RequestID, "ask-") && r.calmBetween(left, run.At) {
-				broken = append(broken, fmt.Sprintf("request %s reached %s %v after it said that it leaves", run.RequestID, server.ID, run.At.Sub(left)))
+				violations = append(violations, fmt.Sprintf("request %s reached %s %v after it said that it leaves", run.RequestID, server.ID, run.At.Sub(left)))
 				break
 			}
 		}
 	}
-	return broken
+	return violations
 }
 
-// lateToEvacuated returns requests that reached a server of an evacuated domain later
-// than allowed.
+// lateToEvacuated returns a violation for each server of an evacuated failure domain that
+// received a request later than allowed.
 func (r *run) lateToEvacuated() []string {
-	var broken []string
+	var violations []string
 	for _, evacuation := range r.site.Evacuations() {
 		due := evacuation.From.Add(evacuateWithin + margin)
 		for _, server := range r.site.Servers() {
@@ -485,12 +494,12 @@
 			for _, run := range server.Runs() {
 				over := !evacuation.Until.IsZero() && run.At.After(evacuation.Until)
 				if run.At.After(due) && !over && r.calmBetween(evacuation.From, run.At) {
-					broken = append(broken, fmt.Sprintf("request %s reached %s %v after its domain %s was evacuated",
+					violations = append(violations, fmt.Sprintf("request %s reached %s %v after its domain %s was evacuated",
 						run.RequestID, server.ID, run.At.Sub(evacuation.From), evacuation.Domain))
 					break
 				}
 			}
 		}
 	}
-	return broken
+	return violations
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// built returns the daemon, built from this tree.
+// built builds cicada-gateway from this tree and returns its path.
 func built(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "cicada-gateway")
@@ -22,14 +22,16 @@
 	return program
 }
 
-// A short run of one seed. What is checked has no bound in time except generous ones:
-// that all is served again after the last fault.
+// Runs the faults of one seed for a short time. A failure means that a guarantee was
+// violated while faults were active, or that not all keys were served again after the last
+// fault.
 func TestShortSoak(t *testing.T) {
 	shortSoak(t, EvacuationSeries)
 }
 
-// Guards against a server that starts again under its ID while the store turns all hosts
-// away and gets what a warm one does: it bears 40 requests a second, 68 in any second.
+// Guards against a restarted server that gets the load of a warmed-up one. It came about
+// when a server restarted under its ID while the store rejected all calls: the server
+// tolerates 40 requests per second, 68 in any one second.
 func TestShortSoakWithDeadlyRequests(t *testing.T) {
 	shortSoak(t, DeadlySeries)
 }
@@ -43,8 +45,8 @@
 	assert.Assert(t, result.Statuses[200] > 0)
 }
 
-// Requests that end servers among ordinary load. What reaches servers is counted over all
-// hosts.
+// Guards against hosts that keep sending requests known to terminate servers. The copies
+// that reach servers are counted over all hosts, under ordinary load.
 func TestShortSoakOfDeadlyRequests(t *testing.T) {
 	result, err := Run(context.Background(), Options{Program: built(t), Dir: t.TempDir(), Seed: 3, Only: deadlyFault, Hosts: 3, Servers: 4, Callers: 6,
 		Length: 3 * time.Second, Every: time.Second, Print: func(line string) { t.Log(line) }})
@@ -53,7 +55,7 @@
 	assert.Assert(t, result.EndedServers >= 3, "%d servers ended", result.EndedServers)
 }
 
-// Guards against hosts that together send a server more than the limit that it names.
+// Guards against hosts that together exceed the rate limit that a server announces.
 func TestShortSoakOfLimits(t *testing.T) {
 	result, err := Run(context.Background(), Options{Program: built(t), Dir: t.TempDir(), Seed: 5, Only: limitFault, Hosts: 3, Servers: 4, Callers: 6,
 		Length: time.Second, Every: time.Second, Print: func(line string) { t.Log(line) }})
@@ -61,15 +63,15 @@
 	assert.Equal(t, len(result.Broken), 0, "%v", result.Broken)
 }
 
-// Guards against hosts that send to a server after it has said in answers that it leaves,
-// while the store turns all calls away.
+// Guards against hosts that send to a server after it has announced in responses that it
+// is leaving, while the store rejects all calls.
 func TestShortSoakOfLeavingServers(t *testing.T) { soakOf(t, leavingFault, 6) }
 
-// Guards against hosts that send to a server which has asked them for rest.
+// Guards against hosts that send to a server which has asked them to back off.
 func TestShortSoakOfRests(t *testing.T) { soakOf(t, restFault, 8) }
 
-// Guards against hosts that hold on to what the store had acknowledged before it came back from
-// a copy, and miss what it acknowledges since.
+// Guards against hosts that keep using data which the store lost when it was restored from
+// a backup, and so miss what the store acknowledges after the restore.
 func TestShortSoakOfAStoreThatForgets(t *testing.T) { soakOf(t, eraFault, 4) }
 
 func soakOf(t *testing.T, fault string, seed uint64) {
@@ -81,22 +83,22 @@
 	assert.Assert(t, result.Statuses[200] > 0)
 }
 
-// The series of a seed is drawn before anything happens, so that it is the same
-// each time.
+// Guards against a seed that draws different faults when it is run again.
 func TestSeedGivesTheSameSeries(t *testing.T) {
-	series := func() []string {
+	draw := func() []string {
 		var names []string
-		random := newSeries(9, CurrentSeries, "")
+		drawn := newSeries(9, CurrentSeries, "")
 		for range 50 {
-			kind, length := random.next()
+			kind, length := drawn.next()
 			names = append(names, kind.name+length.String())
 		}
 		return names
 	}
-	assert.DeepEqual(t, series(), series())
+	assert.DeepEqual(t, draw(), draw())
 }
 
-// A seed that failed once draws the same faults as then, whatever kinds came since.
+// Guards against new kinds of faults that change what an older version of the fault list
+// draws: a seed that failed could not be replayed.
 func TestSeriesDoNotChange(t *testing.T) {
 	drawn := newSeries(2651125409, FirstSeries, "")
 	var names []string
@@ -107,7 +109,7 @@
 	assert.DeepEqual(t, names, []string{"a server leaves grants unanswered", "a host is killed", "a server leaves", "the configuration changes"})
 }
 
-// echo answers what it is sent, on a free port.
+// echo starts a TCP echo server on a free port and returns its address.
 func echo(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -125,7 +127,7 @@
 	return listener.Addr().String()
 }
 
-// What a cut holds back arrives when it has healed, and a reset ends connections.
+// Data that a cut holds back is delivered when the cut ends, and a reset closes connections.
 func TestProxy(t *testing.T) {
 	proxy, err := NewProxy(echo(t))
 	assert.NilError(t, err)
@@ -133,33 +135,34 @@
 	conn, err := net.Dial("tcp", proxy.Address())
 	assert.NilError(t, err)
 	defer conn.Close()
-	answered := make(chan []byte, 1)
+	responses := make(chan []byte, 1)
 	read := func() {
 		got := make([]byte, 2)
 		if _, err := io.ReadFull(conn, got); err != nil {
 			got = nil
 		}
-		answered <- got
+		responses <- got
 	}
 	_, err = conn.Write([]byte("ab"))
 	assert.NilError(t, err)
 	read()
-	assert.Assert(t, bytes.Equal(<-answered, []byte("ab")))
+	assert.Assert(t, bytes.Equal(<-responses, []byte("ab")))
 
 	proxy.Set(Link{CutFrom: true})
 	_, err = conn.Write([]byte("cd"))
 	assert.NilError(t, err)
 	go read()
-	assert.Equal(t, len(answered), 0)
+	assert.Equal(t, len(responses), 0)
 	proxy.Set(Link{})
-	assert.Assert(t, bytes.Equal(<-answered, []byte("cd")))
+	assert.Assert(t, bytes.Equal(<-responses, []byte("cd")))
 
 	proxy.Reset()
 	read()
-	assert.Assert(t, <-answered == nil)
+	assert.Assert(t, <-responses == nil)
 }
 
-// What a cut holds back is lost if its sender has reset the connection.
+// Data that a cut holds back is lost if its sender resets the connection. A proxy that
+// delivered it let a grant arrive whose sender had abandoned the call.
 func TestProxyDropsWhatWasReset(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -169,15 +172,15 @@
 	defer proxy.Close()
 	conn, err := net.Dial("tcp", proxy.Address())
 	assert.NilError(t, err)
-	far, err := listener.Accept()
+	target, err := listener.Accept()
 	assert.NilError(t, err)
-	defer far.Close()
+	defer target.Close()
 	proxy.Set(Link{CutTo: true})
 	_, err = conn.Write([]byte("late"))
 	assert.NilError(t, err)
 	assert.NilError(t, conn.(*net.TCPConn).SetLinger(0))
 	assert.NilError(t, conn.Close())
-	// The proxy drops both sides once it has seen the reset; nothing came before.
-	got, _ := io.ReadAll(far)
+	// The proxy closes both sides after the reset, so reading ends without any data.
+	got, _ := io.ReadAll(target)
 	assert.Equal(t, string(got), "")
 }
