--- a/bench/changes.go
+++ b/bench/changes.go
@@ -89,7 +89,7 @@
 
 // hasSlots reports whether the host's router, and its controller if checkController is set,
 // have the server's new record.
-func (h *entryHost) hasSlots(server string, slots int, checkController bool) bool {
+func (h *siteHost) hasSlots(server string, slots int, checkController bool) bool {
 	found, ok := h.routerDirectory.Server(server)
 	if !ok || found.Slots != slots {
 		return false
--- a/bench/failover.go
+++ b/bench/failover.go
@@ -17,20 +17,20 @@
 
 // The kinds of losses.
 const (
-	LoseServer        Loss = "server frozen"
-	LoseController    Loss = "assigning controller lost"
-	LoseBoth          Loss = "server frozen and assigning controller lost"
-	LoseRouter        Loss = "dispatch router lost"
-	LoseHost          Loss = "host of assigner or dispatcher lost"
-	LoseStore         Loss = "store down throughout"
-	LoseStoreAndRoute Loss = "store down, dispatch router lost"
-	LoseAndReplace    Loss = "store down, assigner's host replaced"
-	MoveShard         Loss = "server drains (planned move)"
+	FreezeServer                  Loss = "server frozen"
+	LoseController                Loss = "assigning controller lost"
+	FreezeServerAndLoseController Loss = "server frozen and assigning controller lost"
+	LoseRouter                    Loss = "dispatch router lost"
+	LoseHost                      Loss = "host of assigner or dispatcher lost"
+	LoseStore                     Loss = "store down throughout"
+	LoseStoreAndRouter            Loss = "store down, dispatch router lost"
+	LoseStoreAndReplaceHost       Loss = "store down, assigner's host replaced"
+	MoveShard                     Loss = "server drains (planned move)"
 )
 
 // Losses lists all kinds.
 func Losses() []Loss {
-	return []Loss{LoseServer, LoseController, LoseBoth, LoseRouter, LoseHost, LoseStore, LoseStoreAndRoute, LoseAndReplace, MoveShard}
+	return []Loss{FreezeServer, LoseController, FreezeServerAndLoseController, LoseRouter, LoseHost, LoseStore, LoseStoreAndRouter, LoseStoreAndReplaceHost, MoveShard}
 }
 
 // testKey is the key whose unavailability is measured.
@@ -59,13 +59,13 @@
 	if err := site.Settle(settle); err != nil {
 		return Recovery{}, err
 	}
-	entry := site.entryFor()
-	if err := site.serveOnce(entry, settle); err != nil {
+	entry := site.chooseEntryHost()
+	if err := site.waitUntilServing(entry, settle); err != nil {
 		return Recovery{}, err
 	}
-	before, owners := site.read(), site.owners()
+	before, owners := site.readCounters(), site.owners()
 	recovery := Recovery{Unavailable: site.measureLoss(loss, entry)}
-	after := site.read()
+	after := site.readCounters()
 	recovery.Writes = after.writes - before.writes
 	recovery.Reads = after.reads - before.reads
 	recovery.Watches = after.watches - before.watches
@@ -90,7 +90,7 @@
 
 // measureLoss sends requests in quick succession, causes the loss, and returns the longest
 // time between two requests that were answered.
-func (s *Site) measureLoss(loss Loss, entry *entryHost) time.Duration {
+func (s *Site) measureLoss(loss Loss, entry *siteHost) time.Duration {
 	const (
 		before = 300 * time.Millisecond
 		after  = 4 * time.Second
@@ -103,9 +103,9 @@
 	for time.Since(began) < before+after {
 		if !caused && time.Since(began) > before {
 			caused = true
-			s.cause(loss)
+			s.causeLoss(loss)
 		}
-		if s.ask(entry, 100*time.Millisecond) {
+		if s.sendRequest(entry, 100*time.Millisecond) {
 			longest = max(longest, time.Since(last))
 			last = time.Now()
 		}
@@ -114,17 +114,17 @@
 	return max(longest, time.Since(last))
 }
 
-// cause causes the loss.
-func (s *Site) cause(loss Loss) {
+// causeLoss causes the loss.
+func (s *Site) causeLoss(loss Loss) {
 	page := s.testPage()
 	switch loss {
-	case LoseServer:
+	case FreezeServer:
 		s.setFaults(page, standin.ServerFaults{Frozen: true})
 	case MoveShard:
 		s.setFaults(page, standin.ServerFaults{Draining: true})
 	case LoseController:
 		s.killController(s.host(page.Group[0]))
-	case LoseBoth:
+	case FreezeServerAndLoseController:
 		s.setFaults(page, standin.ServerFaults{Frozen: true})
 		s.killController(s.host(page.Group[0]))
 	case LoseRouter:
@@ -133,12 +133,12 @@
 		s.kill(s.host(s.dispatcher(page)))
 	case LoseStore:
 		s.store.down.Store(true)
-	case LoseAndReplace:
+	case LoseStoreAndReplaceHost:
 		s.store.down.Store(true)
 		lost := s.host(page.Group[0])
 		s.kill(lost)
 		s.replace(lost)
-	case LoseStoreAndRoute:
+	case LoseStoreAndRouter:
 		s.store.down.Store(true)
 		s.killRouter(s.host(s.dispatcher(page)))
 	}
@@ -163,8 +163,8 @@
 	return record.Page{}
 }
 
-func (s *Site) host(name string) *entryHost {
-	index := slices.IndexFunc(s.hosts, func(h *entryHost) bool { return h.name == name })
+func (s *Site) host(name string) *siteHost {
+	index := slices.IndexFunc(s.hosts, func(h *siteHost) bool { return h.name == name })
 	return s.hosts[index]
 }
 
@@ -180,9 +180,9 @@
 	return s.hosts[0].name
 }
 
-// entryFor returns the host to which callers send their requests. It is one that neither
+// chooseEntryHost returns the host to which callers send their requests. It is one that neither
 // assigns nor dispatches the test page, if there is one.
-func (s *Site) entryFor() *entryHost {
+func (s *Site) chooseEntryHost() *siteHost {
 	page := s.testPage()
 	const maxTries = 100
 	for range maxTries {
@@ -196,8 +196,8 @@
 	return s.hosts[len(s.hosts)-1]
 }
 
-// ask sends one idempotent request and reports whether its outcome is "done".
-func (s *Site) ask(entry *entryHost, deadline time.Duration) bool {
+// sendRequest sends one idempotent request and reports whether its outcome is "done".
+func (s *Site) sendRequest(entry *siteHost, deadline time.Duration) bool {
 	request := httptest.NewRequest(http.MethodGet, "/s/"+serviceName+"/item", nil)
 	request.Header.Set(caller.HeaderKey, testKey)
 	request.Header.Set(caller.HeaderDeadlineMs, strconv.FormatInt(deadline.Milliseconds(), 10))
@@ -212,10 +212,10 @@
 // Error implements error.
 func (NotServedError) Error() string { return "the site serves nothing" }
 
-func (s *Site) serveOnce(entry *entryHost, limit time.Duration) error {
+func (s *Site) waitUntilServing(entry *siteHost, limit time.Duration) error {
 	until := time.Now().Add(limit)
 	for time.Now().Before(until) {
-		if s.ask(entry, time.Second) {
+		if s.sendRequest(entry, time.Second) {
 			return nil
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/bench/links.go
+++ b/bench/links.go
@@ -15,9 +15,9 @@
 	"cicadarouter/link/linkpb"
 )
 
-// frameBytes is the overhead of HTTP/2 and gRPC for a message on an open connection: two
+// frameOverhead is the overhead of HTTP/2 and gRPC for a message on an open connection: two
 // frame headers, the message prefix and indexed headers.
-const frameBytes = 45
+const frameOverhead = 45
 
 // traffic counts messages and their bytes.
 type traffic struct {
@@ -25,9 +25,9 @@
 	bytes    atomic.Int64
 }
 
-func (t *traffic) note(message proto.Message) {
+func (t *traffic) record(message proto.Message) {
 	t.messages.Add(1)
-	t.bytes.Add(int64(proto.Size(message) + frameBytes))
+	t.bytes.Add(int64(proto.Size(message) + frameOverhead))
 }
 
 // network connects the daemons of a site by direct calls.
@@ -36,21 +36,21 @@
 	relays  traffic
 	servers traffic
 
-	mu        sync.Mutex
-	controls  map[string]linkpb.ControlServer
-	dispatchs map[string]linkpb.DispatchServer
+	mu              sync.Mutex
+	controlServers  map[string]linkpb.ControlServer
+	dispatchServers map[string]linkpb.DispatchServer
 }
 
 func newNetwork() *network {
-	return &network{controls: map[string]linkpb.ControlServer{}, dispatchs: map[string]linkpb.DispatchServer{}}
+	return &network{controlServers: map[string]linkpb.ControlServer{}, dispatchServers: map[string]linkpb.DispatchServer{}}
 }
 
 // remove makes an address unreachable.
 func (n *network) remove(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.controls, address)
-	delete(n.dispatchs, address)
+	delete(n.controlServers, address)
+	delete(n.dispatchServers, address)
 }
 
 // Control implements link.Peers.
@@ -73,19 +73,19 @@
 func (c *controlClient) server() (linkpb.ControlServer, error) {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
-	server, ok := c.network.controls[c.address]
+	server, ok := c.network.controlServers[c.address]
 	if !ok {
 		return nil, errUnreachable
 	}
 	return server, nil
 }
 
-// exchange calls a handler and counts the request and the response.
-func exchange[I, O proto.Message](ctx context.Context, count *traffic, in I, handler func(context.Context, I) (O, error)) (O, error) {
-	count.note(in)
+// callCounted calls a handler and counts the request and the response.
+func callCounted[I, O proto.Message](ctx context.Context, count *traffic, in I, handler func(context.Context, I) (O, error)) (O, error) {
+	count.record(in)
 	out, err := handler(ctx, in)
 	if err == nil {
-		count.note(out)
+		count.record(out)
 	}
 	return out, err
 }
@@ -96,7 +96,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return exchange(ctx, &c.network.control, in, server.Agree)
+	return callCounted(ctx, &c.network.control, in, server.Agree)
 }
 
 // Stop implements linkpb.ControlClient.
@@ -105,7 +105,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return exchange(ctx, &c.network.control, in, server.Stop)
+	return callCounted(ctx, &c.network.control, in, server.Stop)
 }
 
 // Probe implements linkpb.ControlClient.
@@ -114,7 +114,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return exchange(ctx, &c.network.control, in, server.Probe)
+	return callCounted(ctx, &c.network.control, in, server.Probe)
 }
 
 // Report implements linkpb.ControlClient.
@@ -123,7 +123,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return exchange(ctx, &c.network.control, in, server.Report)
+	return callCounted(ctx, &c.network.control, in, server.Report)
 }
 
 // Records implements linkpb.ControlClient.
@@ -152,12 +152,12 @@
 // Send implements the server end of the stream.
 func (s *stream) Send(update *linkpb.RecordsUpdate) error {
 	s.network.mu.Lock()
-	_, reachable := s.network.controls[s.address]
+	_, reachable := s.network.controlServers[s.address]
 	s.network.mu.Unlock()
 	if !reachable {
 		return errUnreachable
 	}
-	s.network.relays.note(update)
+	s.network.relays.record(update)
 	select {
 	case s.updates <- update:
 		return nil
@@ -199,7 +199,7 @@
 func (c *dispatchClient) server() (linkpb.DispatchServer, error) {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
-	server, ok := c.network.dispatchs[c.address]
+	server, ok := c.network.dispatchServers[c.address]
 	if !ok {
 		return nil, errUnreachable
 	}
@@ -212,7 +212,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return exchange(ctx, &c.network.control, in, server.Lease)
+	return callCounted(ctx, &c.network.control, in, server.Lease)
 }
 
 // Counts implements linkpb.DispatchClient.
@@ -221,7 +221,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return exchange(ctx, &c.network.control, in, server.Counts)
+	return callCounted(ctx, &c.network.control, in, server.Counts)
 }
 
 // Forward implements linkpb.DispatchClient. It is not counted, because it carries requests
--- a/bench/orders.go
+++ b/bench/orders.go
@@ -25,13 +25,13 @@
 
 // The load under which queue orders are compared: one concurrency limiter in virtual time.
 const (
-	orderSlots    = 4
-	orderService  = 2 * time.Millisecond
-	orderDeadline = 100 * time.Millisecond
-	orderLength   = 60 * time.Second
-	calmCallers   = 20
-	calmRate      = 50.0 // requests per second, each
-	burstRate     = 3000.0
+	orderSlots       = 4
+	orderServiceTime = 2 * time.Millisecond
+	orderDeadline    = 100 * time.Millisecond
+	simulatedTime    = 60 * time.Second
+	calmCallers      = 20
+	calmRate         = 50.0 // requests per second, each
+	burstRate        = 3000.0
 )
 
 // arrival is a request that arrives at the limiter.
@@ -41,8 +41,8 @@
 	calm   bool
 }
 
-// running is a request that holds a slot.
-type running struct {
+// runningRequest is a request that holds a slot.
+type runningRequest struct {
 	ends    time.Duration
 	arrived time.Duration
 	calm    bool
@@ -52,14 +52,14 @@
 // half of the server's capacity, the burst one and a half times the capacity.
 func CompareOrders(seed uint64) []OrderResult {
 	arrivals := orderArrivals(seed)
-	fair := float64(orderSlots) / orderService.Seconds() / (calmCallers + 1)
+	fair := float64(orderSlots) / orderServiceTime.Seconds() / (calmCallers + 1)
 	orders := []struct {
 		name  string
 		order dispatch.Order
 	}{
 		{"first in, first out", &dispatch.FIFO{}},
 		{"round robin between callers", dispatch.NewRoundRobin()},
-		{"HTBS tags", NewTagged(fair, fair/10, 10*time.Millisecond)},
+		{"HTBS tags", NewHTBSOrder(fair, fair/10, 10*time.Millisecond)},
 	}
 	var results []OrderResult
 	for _, entry := range orders {
@@ -74,7 +74,7 @@
 	var arrivals []arrival
 	add := func(stream uint64, rate float64, caller string, calm bool) {
 		random := rand.New(rand.NewPCG(seed, stream))
-		for at := time.Duration(0); at < orderLength; {
+		for at := time.Duration(0); at < simulatedTime; {
 			at += time.Duration(random.ExpFloat64() / rate * float64(time.Second))
 			arrivals = append(arrivals, arrival{at: at, caller: caller, calm: calm})
 		}
@@ -87,8 +87,8 @@
 	return arrivals
 }
 
-// waiting is a queued request with its arrival.
-type waiting struct {
+// queuedRequest is a queued request with its arrival.
+type queuedRequest struct {
 	waiter  *dispatch.Waiter
 	arrival arrival
 }
@@ -96,8 +96,8 @@
 // simulate runs the limiter with a queue order in virtual time.
 func simulate(arrivals []arrival, order dispatch.Order) OrderResult {
 	limiter := dispatch.NewConcurrencyLimiter(dispatch.DefaultLimiterPolicy(), orderSlots, order)
-	var active []running
-	var queue []waiting
+	var active []runningRequest
+	var queue []queuedRequest
 	var calm []time.Duration
 	done := map[bool]int{}
 	admit := func(now time.Duration) {
@@ -106,7 +106,7 @@
 			select {
 			case <-w.waiter.Admitted:
 				if !w.waiter.Shed {
-					active = append(active, running{ends: now + orderService, arrived: w.arrival.at, calm: w.arrival.calm})
+					active = append(active, runningRequest{ends: now + orderServiceTime, arrived: w.arrival.at, calm: w.arrival.calm})
 				}
 			default:
 				stillQueued = append(stillQueued, w)
@@ -133,7 +133,7 @@
 					calm = append(calm, took)
 				}
 			}
-			limiter.Release(ended.ends, orderService)
+			limiter.Release(ended.ends, orderServiceTime)
 			admit(ended.ends)
 		}
 	}
@@ -143,12 +143,12 @@
 		arrived[a.calm]++
 		w := &dispatch.Waiter{Caller: a.caller, Deadline: a.at + orderDeadline, Admitted: make(chan struct{})}
 		if ok, _ := limiter.Enqueue(a.at, w); ok {
-			queue = append(queue, waiting{waiter: w, arrival: a})
+			queue = append(queue, queuedRequest{waiter: w, arrival: a})
 			admit(a.at)
 		}
 	}
 	slices.Sort(calm)
-	capacity := float64(orderSlots) * orderLength.Seconds() / orderService.Seconds()
+	capacity := float64(orderSlots) * simulatedTime.Seconds() / orderServiceTime.Seconds()
 	return OrderResult{
 		Goodput:   float64(done[true]+done[false]) / capacity,
 		CalmDone:  float64(done[true]) / float64(arrived[true]),
--- a/bench/site.go
+++ b/bench/site.go
@@ -45,8 +45,8 @@
 	connections = 130
 )
 
-// entryHost is a host: its router and controller daemons.
-type entryHost struct {
+// siteHost is a host: its router and controller daemons.
+type siteHost struct {
 	name       string
 	router     *router.Router
 	front      *router.Front
@@ -60,9 +60,9 @@
 // Site runs one failure domain.
 type Site struct {
 	config  Config
-	store   *countedStore
+	store   *countingStore
 	network *network
-	hosts   []*entryHost
+	hosts   []*siteHost
 	fleet   *standin.Fleet
 	servers map[string]*standin.Server
 	running sync.WaitGroup
@@ -72,7 +72,7 @@
 func Start(config Config) (*Site, error) {
 	s := &Site{
 		config:  config,
-		store:   &countedStore{Store: memstore.New()},
+		store:   &countingStore{Store: memstore.New()},
 		network: newNetwork(),
 		servers: map[string]*standin.Server{},
 	}
@@ -91,7 +91,7 @@
 
 func (s *Site) fleetConfig() standin.FleetConfig {
 	return standin.FleetConfig{
-		ServerConfig: standin.ServerConfig{Service: serviceName, Slots: slots, Checked: true, Work: time.Millisecond},
+		ServerConfig: standin.ServerConfig{Service: serviceName, Slots: slots, ChecksTokens: true, ServiceTime: time.Millisecond},
 		Domains:      []string{domainName},
 		Count:        s.config.Servers,
 		IP:           "127.0.0.1",
@@ -156,20 +156,20 @@
 	return hosts
 }
 
-func (s *Site) startHost(index int) *entryHost {
+func (s *Site) startHost(index int) *siteHost {
 	name := hostName(index)
 	ctx, stop := context.WithCancel(context.Background())
 	controllerCtx, stopController := context.WithCancel(ctx)
 	dir := directory.New()
-	h := &entryHost{name: name, stop: stop, stopController: stopController, routerDirectory: dir, controllerDirectory: directory.New()}
+	h := &siteHost{name: name, stop: stop, stopController: stopController, routerDirectory: dir, controllerDirectory: directory.New()}
 	h.controller = domain.NewController(link.Identity{Host: name, Domain: domainName}, ownership.DefaultTerms(),
 		domain.DefaultTiming(), s.store, h.controllerDirectory, s.network, s.dialer(), s.seeds(), clock.System(), logs.Discard())
 	identity := link.Identity{Host: name, Domain: domainName}
 	h.router = router.New(identity, router.DefaultLimits(), dir, s.network, clock.System(), time.Now, rand.Uint64()|1, logs.Discard())
 	h.front = router.NewFront(h.router)
 	s.network.mu.Lock()
-	s.network.controls[name+"/c"] = domain.NewLinkServer(h.controller)
-	s.network.dispatchs[name+"/r"] = router.NewLinkServer(h.router)
+	s.network.controlServers[name+"/c"] = domain.NewLinkServer(h.controller)
+	s.network.dispatchServers[name+"/r"] = router.NewLinkServer(h.router)
 	s.network.mu.Unlock()
 	s.running.Go(func() { h.controller.Run(controllerCtx) })
 	s.running.Go(func() { router.Feed(ctx, dir, s.network, identity, []string{name + "/c"}) })
@@ -196,59 +196,59 @@
 		}
 	}
 	return func(server record.Server) backend.Control {
-		return &countedControl{server: s.servers[server.Name], count: &s.network.servers}
+		return &countingControl{server: s.servers[server.Name], count: &s.network.servers}
 	}
 }
 
-// httpBytes is the overhead of HTTP/1.1 headers for a grant and its response.
-const httpBytes = 310
+// httpOverhead is the overhead of HTTP/1.1 headers for a grant and its response.
+const httpOverhead = 310
 
-// countedControl calls a server directly and counts the messages and bytes that a network
+// countingControl calls a server directly and counts the messages and bytes that a network
 // would carry.
-type countedControl struct {
+type countingControl struct {
 	server *standin.Server
 	count  *traffic
 }
 
 // Grant implements backend.Control.
-func (c *countedControl) Grant(ctx context.Context, grant ownership.Grant) (backend.Report, error) {
+func (c *countingControl) Grant(ctx context.Context, grant ownership.Grant) (backend.Report, error) {
 	report, err := c.server.Grant(ctx, grant)
-	c.note(grant, report)
+	c.countMessages(grant, report)
 	return report, err
 }
 
 // Report implements backend.Control.
-func (c *countedControl) Report(ctx context.Context, page string) (backend.Report, error) {
+func (c *countingControl) Report(ctx context.Context, page string) (backend.Report, error) {
 	report, err := c.server.Report(ctx, page)
-	c.note(page, report)
+	c.countMessages(page, report)
 	return report, err
 }
 
-func (c *countedControl) note(in, out any) {
+func (c *countingControl) countMessages(in, out any) {
 	request, _ := json.Marshal(in)
 	response, _ := json.Marshal(out)
 	c.count.messages.Add(2)
-	c.count.bytes.Add(int64(len(request) + len(response) + httpBytes))
+	c.count.bytes.Add(int64(len(request) + len(response) + httpOverhead))
 }
 
 // kill makes a host's daemons unreachable and stops them, like the failure of the host.
-func (s *Site) kill(h *entryHost) {
+func (s *Site) kill(h *siteHost) {
 	s.network.remove(h.name + "/c")
 	s.network.remove(h.name + "/r")
 	h.stop()
 }
 
 // killController makes a host's controller unreachable and stops it.
-func (s *Site) killController(h *entryHost) {
+func (s *Site) killController(h *siteHost) {
 	s.network.remove(h.name + "/c")
 	h.stopController()
 }
 
 // killRouter makes a host's router unreachable.
-func (s *Site) killRouter(h *entryHost) { s.network.remove(h.name + "/r") }
+func (s *Site) killRouter(h *siteHost) { s.network.remove(h.name + "/r") }
 
 // replace starts new daemons, without records, under a killed host's name and addresses.
-func (s *Site) replace(killed *entryHost) {
+func (s *Site) replace(killed *siteHost) {
 	for i, h := range s.hosts {
 		if h == killed {
 			s.hosts[i] = s.startHost(i)
--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -26,8 +26,8 @@
 	PageBytes int
 }
 
-// reading is the values of the counters at a time.
-type reading struct {
+// counters is the values of the counters at a time.
+type counters struct {
 	at                     time.Time
 	cpu                    time.Duration
 	link, relay, servers   int64
@@ -35,10 +35,10 @@
 	reads, writes, watches int64
 }
 
-func (s *Site) read() reading {
+func (s *Site) readCounters() counters {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
-	return reading{
+	return counters{
 		at:       time.Now(),
 		cpu:      time.Duration(usage.Utime.Nano() + usage.Stime.Nano()),
 		link:     s.network.control.bytes.Load(),
@@ -59,8 +59,8 @@
 	return stats.HeapAlloc
 }
 
-// quieten waits until the store has had no writes for 3 s, or for about a minute at most.
-func (s *Site) quieten() {
+// waitForQuiet waits until the store has had no writes for 3 s, or for about a minute at most.
+func (s *Site) waitForQuiet() {
 	const (
 		quiet = 3 * time.Second
 		limit = 60 * time.Second
@@ -85,14 +85,14 @@
 	if err := site.Settle(settle); err != nil {
 		return Sample{}, err
 	}
-	site.quieten()
-	from := site.read()
+	site.waitForQuiet()
+	from := site.readCounters()
 	time.Sleep(measured)
-	to := site.read()
+	to := site.readCounters()
 	return site.sample(from, to, heap()-before), nil
 }
 
-func (s *Site) sample(from, to reading, heapBytes uint64) Sample {
+func (s *Site) sample(from, to counters, heapBytes uint64) Sample {
 	seconds := to.at.Sub(from.at).Seconds()
 	daemons := float64(2 * s.config.Hosts)
 	rate := func(a, b int64) float64 { return float64(b-a) / seconds }
--- a/bench/store.go
+++ b/bench/store.go
@@ -9,15 +9,15 @@
 	"cicadarouter/record"
 )
 
-// countedStore is a store that counts calls and can be made unavailable.
-type countedStore struct {
+// countingStore is a store that counts calls and can be made unavailable.
+type countingStore struct {
 	platform.Store
 	reads, writes, watches atomic.Int64
 	waiting                atomic.Int64
 	down                   atomic.Bool
 }
 
-func (s *countedStore) Get(ctx context.Context, ref record.Ref) (platform.Object, error) {
+func (s *countingStore) Get(ctx context.Context, ref record.Ref) (platform.Object, error) {
 	s.reads.Add(1)
 	if s.down.Load() {
 		return platform.Object{}, platform.ErrUnavailable
@@ -25,7 +25,7 @@
 	return s.Store.Get(ctx, ref)
 }
 
-func (s *countedStore) List(ctx context.Context) (platform.Snapshot, error) {
+func (s *countingStore) List(ctx context.Context) (platform.Snapshot, error) {
 	s.reads.Add(1)
 	if s.down.Load() {
 		return platform.Snapshot{}, platform.ErrUnavailable
@@ -33,7 +33,7 @@
 	return s.Store.List(ctx)
 }
 
-func (s *countedStore) Update(ctx context.Context, envelope record.Envelope, version uint64) (uint64, error) {
+func (s *countingStore) Update(ctx context.Context, envelope record.Envelope, version uint64) (uint64, error) {
 	s.writes.Add(1)
 	if s.down.Load() {
 		return 0, platform.ErrUnavailable
@@ -41,7 +41,7 @@
 	return s.Store.Update(ctx, envelope, version)
 }
 
-func (s *countedStore) Watch(ctx context.Context, revision uint64, wait time.Duration) (platform.Snapshot, error) {
+func (s *countingStore) Watch(ctx context.Context, revision uint64, wait time.Duration) (platform.Snapshot, error) {
 	s.watches.Add(1)
 	if s.down.Load() {
 		return platform.Snapshot{}, platform.ErrUnavailable
@@ -55,7 +55,7 @@
 	return snapshot, err
 }
 
-func (s *countedStore) Hosts(ctx context.Context) ([]platform.Host, error) {
+func (s *countingStore) Hosts(ctx context.Context) ([]platform.Host, error) {
 	s.reads.Add(1)
 	if s.down.Load() {
 		return nil, platform.ErrUnavailable
--- a/bench/tagged.go
+++ b/bench/tagged.go
@@ -6,7 +6,7 @@
 	"cicadarouter/dispatch"
 )
 
-// Tagged is the queue order of the High-throughput Token Bucket Scheduler (HTBS), as far as
+// HTBSOrder is the queue order of the High-throughput Token Bucket Scheduler (HTBS), as far as
 // it applies to slots: each request gets a start and a finish tag from its caller's token
 // bucket, and the request with the smallest finish tag goes first. The other half of HTBS,
 // waiting for a caller's next request, saves disk seeks and has no counterpart here. It is a
@@ -14,37 +14,37 @@
 //
 // Source: "A QoS-Aware Disk Scheduler: High-throughput Token Bucket Scheduler",
 // section III, figures 1 and 2.
-type Tagged struct {
+type HTBSOrder struct {
 	// Rate is each caller's requests per second and Burst its bucket size. Delay is the time
 	// from the start tag to the finish tag, delta in the paper.
 	Rate  float64
 	Burst float64
 	Delay time.Duration
 
-	buckets map[string]*bucket
-	queue   []tagged
+	buckets map[string]*tokenBucket
+	queue   []taggedWaiter
 }
 
-type bucket struct {
+type tokenBucket struct {
 	tokens   float64
 	updated  time.Duration
 	maxStart time.Duration
 }
 
-type tagged struct {
+type taggedWaiter struct {
 	waiter *dispatch.Waiter
 	finish time.Duration
 }
 
-var _ dispatch.Order = (*Tagged)(nil)
+var _ dispatch.Order = (*HTBSOrder)(nil)
 
-// NewTagged returns an empty order.
-func NewTagged(rate, burst float64, delay time.Duration) *Tagged {
-	return &Tagged{Rate: rate, Burst: burst, Delay: delay, buckets: map[string]*bucket{}}
+// NewHTBSOrder returns an empty order.
+func NewHTBSOrder(rate, burst float64, delay time.Duration) *HTBSOrder {
+	return &HTBSOrder{Rate: rate, Burst: burst, Delay: delay, buckets: map[string]*tokenBucket{}}
 }
 
 // Push implements dispatch.Order.
-func (q *Tagged) Push(now time.Duration, waiter *dispatch.Waiter) {
+func (q *HTBSOrder) Push(now time.Duration, waiter *dispatch.Waiter) {
 	b := q.bucketOf(now, waiter.Caller)
 	start := now
 	if b.tokens < 1 {
@@ -52,14 +52,14 @@
 		b.maxStart = start + time.Duration(float64(time.Second)/q.Rate)
 	}
 	b.tokens--
-	q.queue = append(q.queue, tagged{waiter: waiter, finish: start + q.Delay})
+	q.queue = append(q.queue, taggedWaiter{waiter: waiter, finish: start + q.Delay})
 }
 
 // bucketOf returns a caller's bucket, refilled up to now.
-func (q *Tagged) bucketOf(now time.Duration, caller string) *bucket {
+func (q *HTBSOrder) bucketOf(now time.Duration, caller string) *tokenBucket {
 	b, known := q.buckets[caller]
 	if !known {
-		b = &bucket{tokens: q.Burst, updated: now}
+		b = &tokenBucket{tokens: q.Burst, updated: now}
 		q.buckets[caller] = b
 	}
 	b.tokens = min(q.Burst, b.tokens+q.Rate*(now-b.updated).Seconds())
@@ -68,7 +68,7 @@
 }
 
 // finishOf returns the finish tag that a new request of the caller would get.
-func (q *Tagged) finishOf(now time.Duration, caller string) time.Duration {
+func (q *HTBSOrder) finishOf(now time.Duration, caller string) time.Duration {
 	b := q.bucketOf(now, caller)
 	if b.tokens < 1 {
 		return max(b.maxStart, now) + q.Delay
@@ -77,7 +77,7 @@
 }
 
 // CountAhead implements dispatch.Order.
-func (q *Tagged) CountAhead(now time.Duration, caller string) int {
+func (q *HTBSOrder) CountAhead(now time.Duration, caller string) int {
 	finish := q.finishOf(now, caller)
 	ahead := 0
 	for _, entry := range q.queue {
@@ -90,7 +90,7 @@
 
 // Evict implements dispatch.Order: it removes the request with the largest finish tag if a
 // new request of the caller would get a smaller one.
-func (q *Tagged) Evict(now time.Duration, caller string) *dispatch.Waiter {
+func (q *HTBSOrder) Evict(now time.Duration, caller string) *dispatch.Waiter {
 	worst := -1
 	for i, entry := range q.queue {
 		if worst < 0 || entry.finish > q.queue[worst].finish {
@@ -106,7 +106,7 @@
 }
 
 // Pop implements dispatch.Order.
-func (q *Tagged) Pop(time.Duration) *dispatch.Waiter {
+func (q *HTBSOrder) Pop(time.Duration) *dispatch.Waiter {
 	if len(q.queue) == 0 {
 		return nil
 	}
@@ -122,4 +122,4 @@
 }
 
 // Len implements dispatch.Order.
-func (q *Tagged) Len() int { return len(q.queue) }
+func (q *HTBSOrder) Len() int { return len(q.queue) }
--- a/cmd/cicada-soak/main.go
+++ b/cmd/cicada-soak/main.go
@@ -52,13 +52,13 @@
 	defer stop()
 	var chosen []soak.Regression
 	for _, seed := range given.Seeds {
-		chosen = append(chosen, soak.Regression{Seed: seed, Series: soak.Series(given.Series)})
+		chosen = append(chosen, soak.Regression{Seed: seed, FaultList: soak.FaultListVersion(given.Series)})
 	}
 	if given.Kept {
 		chosen = append(chosen, soak.Regressions()...)
 	}
 	for range given.Fresh {
-		chosen = append(chosen, soak.Regression{Seed: rand.Uint64() >> 32, Series: soak.CurrentSeries})
+		chosen = append(chosen, soak.Regression{Seed: rand.Uint64() >> 32, FaultList: soak.CurrentFaults})
 	}
 	for _, each := range chosen {
 		seed := each.Seed
@@ -70,16 +70,16 @@
 		if given.Quiet {
 			print = func(string) {}
 		}
-		result, err := soak.Run(ctx, soak.Options{Program: given.Program, Dir: dir, Seed: seed, Series: each.Series, Only: given.Only, Hosts: given.Hosts, Servers: given.Servers,
-			Callers: given.Callers, Length: given.Length, Every: given.Every, Print: print})
+		result, err := soak.Run(ctx, soak.Options{Program: given.Program, Dir: dir, Seed: seed, FaultList: each.FaultList, Only: given.Only, Hosts: given.Hosts, Servers: given.Servers,
+			Callers: given.Callers, FaultDuration: given.Length, MeanInterval: given.Every, Print: print})
 		if err != nil {
 			return failed, eris.Wrapf(err, "seed %d; logs in %s", seed, dir)
 		}
-		fmt.Printf("seed %d: %d faults, %d requests, answers by status %v, %d servers ended by requests, %d broken\n", seed, result.Faults, result.Requests, result.Statuses, result.EndedServers, len(result.Broken))
-		for _, broken := range result.Broken {
+		fmt.Printf("seed %d: %d faults, %d requests, answers by status %v, %d servers ended by requests, %d broken\n", seed, result.Faults, result.Requests, result.Statuses, result.TerminatedServers, len(result.Violations))
+		for _, broken := range result.Violations {
 			fmt.Println("  BROKEN", broken)
 		}
-		if len(result.Broken) > 0 {
+		if len(result.Violations) > 0 {
 			failed++
 			continue
 		}
--- a/cmd/cicada-standin/main.go
+++ b/cmd/cicada-standin/main.go
@@ -95,13 +95,13 @@
 func (o fleetOptions) config() standin.FleetConfig {
 	return standin.FleetConfig{
 		ServerConfig: standin.ServerConfig{
-			Service:    o.Service,
-			Slots:      o.Slots,
-			Checked:    !o.Unchecked,
-			Work:       o.Work,
-			ColdFor:    o.ColdFor,
-			ColdFactor: o.ColdFactor,
-			ReportLag:  o.ReportLag,
+			Service:        o.Service,
+			Slots:          o.Slots,
+			ChecksTokens:   !o.Unchecked,
+			ServiceTime:    o.Work,
+			ColdFor:        o.ColdFor,
+			ColdFactor:     o.ColdFactor,
+			ReportInterval: o.ReportLag,
 		},
 		Domains:     strings.Split(o.Domains, ","),
 		Count:       o.Count,
@@ -159,7 +159,7 @@
 	}
 	ctx, stop := program.Signals()
 	defer stop()
-	return serve(ctx, c.Listen, standin.NewPassthrough(addresses, standin.Balance(c.Balance)))
+	return serve(ctx, c.Listen, standin.NewPassthrough(addresses, standin.BalancePolicy(c.Balance)))
 }
 
 func serve(ctx context.Context, address string, handler http.Handler) error {
--- a/load/balancer.go
+++ b/load/balancer.go
@@ -28,7 +28,7 @@
 	checkTimeout = 200 * time.Millisecond
 )
 
-func (b *balancer) follow(ctx context.Context) {
+func (b *balancer) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		b.check(ctx)
 		time.Sleep(checkEvery)
@@ -39,7 +39,7 @@
 	passed := make([]bool, len(b.entries))
 	var checks sync.WaitGroup
 	for i, entry := range b.entries {
-		checks.Go(func() { passed[i] = b.passes(ctx, entry) })
+		checks.Go(func() { passed[i] = b.isHealthy(ctx, entry) })
 	}
 	checks.Wait()
 	var healthy []string
@@ -53,7 +53,7 @@
 	b.healthy = healthy
 }
 
-func (b *balancer) passes(ctx context.Context, entry Entry) bool {
+func (b *balancer) isHealthy(ctx context.Context, entry Entry) bool {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+entry.Admin+"/healthz", nil)
@@ -68,16 +68,16 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// wait waits until all entry hosts are healthy, at most for a limited time.
-func (b *balancer) wait(ctx context.Context) {
+// waitUntilHealthy waits until all entry hosts are healthy, at most for a limited time.
+func (b *balancer) waitUntilHealthy(ctx context.Context) {
 	const maxWait = 15 * time.Second
 	until := time.Now().Add(maxWait)
-	for ctx.Err() == nil && time.Now().Before(until) && b.count() < len(b.entries) {
+	for ctx.Err() == nil && time.Now().Before(until) && b.healthyCount() < len(b.entries) {
 		time.Sleep(checkTimeout)
 	}
 }
 
-func (b *balancer) count() int {
+func (b *balancer) healthyCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.healthy)
--- a/load/call.go
+++ b/load/call.go
@@ -38,8 +38,8 @@
 	// host failed.
 	Outcomes []caller.Outcome
 	Reason   caller.Reason
-	// Foreign is set if a response belonged to another request.
-	Foreign bool
+	// WrongRequest is set if a response belonged to another request.
+	WrongRequest bool
 	// Partial is set if the body of a response with the outcome "done" could not be
 	// parsed.
 	Partial bool
@@ -61,16 +61,16 @@
 // How callers retry: the attempts with one request ID, the requests of one call, and the
 // delay before a request is sent again.
 const (
-	mostAttempts = 3
-	mostRequests = 4
-	resendPause  = 50 * time.Millisecond
+	maxAttempts = 3
+	maxRequests = 4
+	resendDelay = 50 * time.Millisecond
 )
 
 // perform sends requests until one gets an outcome other than "not run", the deadline would
 // pass before a retry, or the maximum number of requests is reached.
 func (c *call) perform(ctx context.Context, r *Runner) []Result {
 	var results []Result
-	for len(results) < mostRequests {
+	for len(results) < maxRequests {
 		result, retryAfter := c.request(ctx, r)
 		results = append(results, result)
 		if result.Final() != caller.NotRun || time.Since(c.due)+retryAfter > c.stream.Deadline {
@@ -95,7 +95,7 @@
 	}
 	var retryAfter time.Duration
 	entry := ""
-	for attempt := 1; attempt <= mostAttempts; attempt++ {
+	for attempt := 1; attempt <= maxAttempts; attempt++ {
 		entry = r.balancer.pick(entry)
 		retryAfter = c.send(ctx, r, entry, attempt, &result)
 		if result.Final() == caller.Done || result.Final() == caller.NotRun {
@@ -104,7 +104,7 @@
 		if time.Since(c.due) > c.stream.Deadline {
 			break
 		}
-		time.Sleep(resendPause)
+		time.Sleep(resendDelay)
 	}
 	result.Took = time.Since(c.due)
 	return result, retryAfter
@@ -136,11 +136,11 @@
 		return 0
 	}
 	defer response.Body.Close()
-	return result.take(response)
+	return result.addResponse(response)
 }
 
-// take adds a response to the result and returns its retry delay.
-func (result *Result) take(response *http.Response) time.Duration {
+// addResponse adds a response to the result and returns its retry delay.
+func (result *Result) addResponse(response *http.Response) time.Duration {
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		result.Outcomes = append(result.Outcomes, "")
@@ -151,18 +151,18 @@
 	result.Reason = caller.Reason(response.Header.Get(caller.HeaderReason))
 	result.Server = response.Header.Get(caller.HeaderServer)
 	if outcome == caller.Done {
-		result.check(body)
+		result.checkBody(body)
 	}
 	millis, _ := strconv.Atoi(response.Header.Get("Cicada-Retry-After-Ms"))
 	return time.Duration(millis) * time.Millisecond
 }
 
-// check compares the body of a response with the request.
-func (result *Result) check(body []byte) {
+// checkBody compares the body of a response with the request.
+func (result *Result) checkBody(body []byte) {
 	var run standin.Run
 	if err := json.Unmarshal(body, &run); err != nil {
 		result.Partial = true
 		return
 	}
-	result.Foreign = run.ID != result.ID || run.Key != result.Key
+	result.WrongRequest = run.ID != result.ID || run.Key != result.Key
 }
--- a/load/experiment.go
+++ b/load/experiment.go
@@ -67,15 +67,15 @@
 
 // The kinds of faults.
 const (
-	ActionFreeze = "freeze"
-	ActionDrain  = "drain"
-	ActionShed   = "shed"
-	ActionSlow   = "slow"
-	ActionStore  = "store-down"
-	ActionLose   = "lose-replies"
+	ActionFreeze        = "freeze"
+	ActionDrain         = "drain"
+	ActionShed          = "shed"
+	ActionSlow          = "slow"
+	ActionStoreDown     = "store-down"
+	ActionDropResponses = "lose-replies"
 )
 
-const longest = time.Hour
+const maxDuration = time.Hour
 
 // ReadExperiment reads an experiment file.
 func ReadExperiment(file string) (Experiment, error) {
@@ -114,10 +114,10 @@
 	faultPrefix  = "fault."
 )
 
-type names struct{ streams, faults []string }
+type sections struct{ streams, faults []string }
 
-func sectionNames(file string, data []byte) (names, error) {
-	var found names
+func sectionNames(file string, data []byte) (sections, error) {
+	var found sections
 	loaded, err := ini.Load(data)
 	if err != nil {
 		return found, &settings.FileError{File: file, Cause: err}
@@ -136,7 +136,7 @@
 func runOptions(e *Experiment, _ *[]string) []settings.Option {
 	const addresses = "IP numbers and ports, separated by commas"
 	return []settings.Option{
-		{Section: "run", Name: "duration", Default: "20s", Allowed: "a duration from 1s to 1h", Set: settings.Duration(&e.Duration, time.Second, longest)},
+		{Section: "run", Name: "duration", Default: "20s", Allowed: "a duration from 1s to 1h", Set: settings.Duration(&e.Duration, time.Second, maxDuration)},
 		{Section: "run", Name: "seed", Default: "1", Allowed: "a whole number of at least 0", Set: settings.Int(&e.Seed, 0, 1<<31-1)},
 		{Section: "run", Name: "output", Allowed: "a path for the results, without ending", Set: settings.Optional(&e.Output)},
 		{Section: "system", Name: "entries", Required: true, Allowed: "pairs CALLERS/ADMIN of IP numbers and ports, separated by commas", Set: setEntries(&e.Entries)},
@@ -171,9 +171,9 @@
 		{Section: section, Name: "deadline", Default: "3s", Allowed: "a duration from 1ms to 60s", Set: settings.Duration(&s.Deadline, time.Millisecond, time.Minute)},
 		{Section: section, Name: "callers", Default: "20", Allowed: "a whole number from 1 to 100000", Set: settings.Int(&s.Callers, 1, 100_000)},
 		{Section: section, Name: "hot-share", Default: "0", Allowed: "a share from 0 to 1", Set: settings.Float(&s.HotShare, 0, 1)},
-		{Section: section, Name: "hot-every", Default: "1h", Allowed: "a duration from 1s to 1h", Set: settings.Duration(&s.HotEvery, time.Second, longest)},
-		{Section: section, Name: "from", Default: "0s", Allowed: "a duration from 0s to 1h", Set: settings.Duration(&s.From, 0, longest)},
-		{Section: section, Name: "until", Default: "0s", Allowed: "a duration from 0s to 1h; 0s means to the end", Set: settings.Duration(&s.Until, 0, longest)},
+		{Section: section, Name: "hot-every", Default: "1h", Allowed: "a duration from 1s to 1h", Set: settings.Duration(&s.HotEvery, time.Second, maxDuration)},
+		{Section: section, Name: "from", Default: "0s", Allowed: "a duration from 0s to 1h", Set: settings.Duration(&s.From, 0, maxDuration)},
+		{Section: section, Name: "until", Default: "0s", Allowed: "a duration from 0s to 1h; 0s means to the end", Set: settings.Duration(&s.Until, 0, maxDuration)},
 	}
 }
 
@@ -183,10 +183,10 @@
 }
 
 func faultOptions(section string, f *Fault) []settings.Option {
-	actions := []string{ActionFreeze, ActionDrain, ActionShed, ActionSlow, ActionStore, ActionLose}
+	actions := []string{ActionFreeze, ActionDrain, ActionShed, ActionSlow, ActionStoreDown, ActionDropResponses}
 	return []settings.Option{
-		{Section: section, Name: "at", Required: true, Allowed: "a duration from 0s to 1h", Set: settings.Duration(&f.At, 0, longest)},
-		{Section: section, Name: "for", Default: "3s", Allowed: "a duration from 0s to 1h", Set: settings.Duration(&f.For, 0, longest)},
+		{Section: section, Name: "at", Required: true, Allowed: "a duration from 0s to 1h", Set: settings.Duration(&f.At, 0, maxDuration)},
+		{Section: section, Name: "for", Default: "3s", Allowed: "a duration from 0s to 1h", Set: settings.Duration(&f.For, 0, maxDuration)},
 		{Section: section, Name: "action", Required: true, Allowed: strings.Join(actions, ", "), Set: settings.Choice(&f.Action, actions...)},
 		{Section: section, Name: "target", Allowed: "the name of a backend server", Set: settings.Optional(&f.Target)},
 	}
--- a/load/fault.go
+++ b/load/fault.go
@@ -10,9 +10,9 @@
 	"cicadarouter/standin"
 )
 
-// fault injects a fault at its time and ends it after its duration.
-func (r *Runner) fault(ctx context.Context, fault Fault) {
-	defer r.working.Done()
+// injectFault injects a fault at its time and ends it after its duration.
+func (r *Runner) injectFault(ctx context.Context, fault Fault) {
+	defer r.tasks.Done()
 	clock.Sleep(ctx, fault.At)
 	r.setFault(ctx, fault, true)
 	clock.Sleep(ctx, fault.For)
@@ -30,19 +30,19 @@
 	case ActionDrain:
 		server.Draining = on
 	case ActionShed:
-		server.Shed = on
+		server.RejectRequests = on
 	case ActionSlow:
 		if on {
 			server.SlowFactor = slowFactor
 		}
-	case ActionStore:
+	case ActionStoreDown:
 		store.Down = on
-	case ActionLose:
+	case ActionDropResponses:
 		if on {
-			store.LoseReplies = lostReplies
+			store.DropResponses = lostReplies
 		}
 	}
-	if fault.Action == ActionStore || fault.Action == ActionLose {
+	if fault.Action == ActionStoreDown || fault.Action == ActionDropResponses {
 		r.put(ctx, "http://"+r.experiment.Store+"/standin/faults", store)
 		return
 	}
--- a/load/oracle.go
+++ b/load/oracle.go
@@ -12,18 +12,18 @@
 
 // Violation is a violation of a guarantee.
 type Violation struct {
-	Promise string `json:"promise"`
-	Detail  string `json:"detail"`
+	Guarantee string `json:"promise"`
+	Detail    string `json:"detail"`
 }
 
 // The system's guarantees. All but the last are checked.
 const (
-	PromiseOnce    = "a non-idempotent request runs at most once"
-	PromiseNotRun  = "a request that was told not run did not run"
-	PromiseDone    = "a request that was told done ran"
-	PromiseAnswer  = "every caller gets the whole answer to its own request"
-	PromiseOwner   = "a key has at most one owning server at any moment"
-	PromiseOutcome = "every answer tells an outcome"
+	GuaranteeOnce    = "a non-idempotent request runs at most once"
+	GuaranteeNotRun  = "a request that was told not run did not run"
+	GuaranteeDone    = "a request that was told done ran"
+	GuaranteeAnswer  = "every caller gets the whole answer to its own request"
+	GuaranteeOwner   = "a key has at most one owning server at any moment"
+	GuaranteeOutcome = "every answer tells an outcome"
 )
 
 // fetchRuns reads from the fleets which requests took effect on the servers.
@@ -48,45 +48,45 @@
 	return runs, nil
 }
 
-// Judge checks the outcomes that callers got against the requests that took effect on the
+// CheckGuarantees checks the outcomes that callers got against the requests that took effect on the
 // servers, and returns all violations.
-func Judge(results []Result, runs []standin.Run) []Violation {
+func CheckGuarantees(results []Result, runs []standin.Run) []Violation {
 	count := map[string]int{}
 	for _, run := range runs {
 		count[run.ID]++
 	}
 	var found []Violation
 	for _, result := range results {
-		found = append(found, judgeResult(result, count[result.ID])...)
+		found = append(found, checkResult(result, count[result.ID])...)
 	}
-	return append(found, judgeOwners(results, runs)...)
+	return append(found, checkOwners(results, runs)...)
 }
 
-func judgeResult(result Result, runCount int) []Violation {
+func checkResult(result Result, runCount int) []Violation {
 	var found []Violation
 	add := func(promise string) {
 		detail := fmt.Sprintf("request %s (key %q, writes %t) ran %d times, was told %v", result.ID, result.Key, result.Writes, runCount, result.Outcomes)
-		found = append(found, Violation{Promise: promise, Detail: detail})
+		found = append(found, Violation{Guarantee: promise, Detail: detail})
 	}
 	if result.Writes && runCount > 1 {
-		add(PromiseOnce)
+		add(GuaranteeOnce)
 	}
 	if slices.Contains(result.Outcomes, caller.NotRun) && runCount > 0 {
-		add(PromiseNotRun)
+		add(GuaranteeNotRun)
 	}
 	if result.Done() && runCount == 0 {
-		add(PromiseDone)
+		add(GuaranteeDone)
 	}
-	if result.Foreign || result.Partial {
-		add(PromiseAnswer)
+	if result.WrongRequest || result.Partial {
+		add(GuaranteeAnswer)
 	}
 	return found
 }
 
-// judgeOwners checks that the fencing tokens under which a key's requests ran never
+// checkOwners checks that the fencing tokens under which a key's requests ran never
 // decrease, and that no two servers use the same token in succession. The fake servers share
 // one clock, so their times can be compared.
-func judgeOwners(results []Result, runs []standin.Run) []Violation {
+func checkOwners(results []Result, runs []standin.Run) []Violation {
 	service := map[string]string{}
 	for _, result := range results {
 		service[result.ID] = result.Service
@@ -102,7 +102,7 @@
 		before, seen := last[key]
 		if seen && (run.Token < before.Token || run.Token == before.Token && run.Server != before.Server) {
 			detail := fmt.Sprintf("key %s ran at %s under token %d after %s under token %d", key, run.Server, run.Token, before.Server, before.Token)
-			found = append(found, Violation{Promise: PromiseOwner, Detail: detail})
+			found = append(found, Violation{Guarantee: GuaranteeOwner, Detail: detail})
 		}
 		last[key] = run
 	}
--- a/load/plot.go
+++ b/load/plot.go
@@ -16,7 +16,7 @@
 
 // PlotFiles reads JSON results and writes an HTML page that plots them side by side.
 func PlotFiles(page string, files []string) error {
-	var runs []plotted
+	var runs []plottedRun
 	for _, file := range files {
 		data, err := os.ReadFile(file)
 		if err != nil {
@@ -39,8 +39,8 @@
 	return out.Close()
 }
 
-// plotted is a report with its plots.
-type plotted struct {
+// plottedRun is a report with its plots.
+type plottedRun struct {
 	Name       string
 	Report     Report
 	Latency    template.HTML
@@ -58,7 +58,7 @@
 	values []float64
 }
 
-func plot(name string, report Report) plotted {
+func plot(name string, report Report) plottedRun {
 	pick := func(value func(Second) float64) []float64 {
 		values := make([]float64, len(report.Timeline))
 		for i, second := range report.Timeline {
@@ -66,7 +66,7 @@
 		}
 		return values
 	}
-	return plotted{
+	return plottedRun{
 		Name:   name,
 		Report: report,
 		Latency: lines("latency of calls done, ms, by the second they were due in", true,
@@ -158,4 +158,4 @@
 {{.Latency}}{{.Outcomes}}{{.Moves}}{{.Imbalance}}{{.Servers}}</section>{{end}}</div></html>
 `))
 
-func writePlots(out io.Writer, runs []plotted) error { return plotPage.Execute(out, runs) }
+func writePlots(out io.Writer, runs []plottedRun) error { return plotPage.Execute(out, runs) }
--- a/load/report.go
+++ b/load/report.go
@@ -69,16 +69,16 @@
 	}
 	report.Timeline = timeline(r.results, r.moves.times(), r.began)
 	if len(r.experiment.Streams) > 0 {
-		noteImbalance(report.Timeline, r.results, runs, r.began, r.experiment.Streams[0].Service)
+		setImbalance(report.Timeline, r.results, runs, r.began, r.experiment.Streams[0].Service)
 	}
-	report.Violations = Judge(r.results, runs)
+	report.Violations = CheckGuarantees(r.results, runs)
 	for _, stream := range r.experiment.Streams {
-		report.Streams = append(report.Streams, streamReport(stream, r.results))
+		report.Streams = append(report.Streams, newStreamReport(stream, r.results))
 	}
 	return report
 }
 
-func streamReport(stream Stream, results []Result) StreamReport {
+func newStreamReport(stream Stream, results []Result) StreamReport {
 	report := StreamReport{Name: stream.Name, Outcomes: map[string]int{}}
 	histogram := newHistogram()
 	served := map[string]int{}
@@ -86,7 +86,7 @@
 		if result.Stream != stream.Name {
 			continue
 		}
-		report.Outcomes[label(result)]++
+		report.Outcomes[outcomeLabel(result)]++
 		if result.Done() {
 			_ = histogram.RecordValue(result.Took.Microseconds())
 			served[result.Server]++
@@ -114,7 +114,7 @@
 	return time.Duration(histogram.ValueAtPercentile(percent)) * time.Microsecond
 }
 
-func label(result Result) string {
+func outcomeLabel(result Result) string {
 	outcome := string(result.Final())
 	if outcome == "" {
 		return "connection broke"
@@ -146,8 +146,8 @@
 	_ = table.Flush()
 	fmt.Fprintln(table, "\nSTREAM\tP50\tP99\tP99.9\tLONGEST WAIT\tMAX/MEAN LOAD\tSERVERS\tOUTCOMES")
 	for _, stream := range r.Streams {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%.2f\t%d\t%s\n", stream.Name, short(stream.P50), short(stream.P99), short(stream.P999),
-			short(stream.Unavailable), stream.Imbalance, stream.Servers, outcomes(stream.Outcomes))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%.2f\t%d\t%s\n", stream.Name, formatDuration(stream.P50), formatDuration(stream.P99), formatDuration(stream.P999),
+			formatDuration(stream.Unavailable), stream.Imbalance, stream.Servers, formatOutcomes(stream.Outcomes))
 	}
 	_ = table.Flush()
 	if r.Problem != "" {
@@ -156,13 +156,13 @@
 	fmt.Fprintf(out, "\noracle: %d violations\n", len(r.Violations))
 	const shown = 10
 	for _, violation := range r.Violations[:min(shown, len(r.Violations))] {
-		fmt.Fprintf(out, "  %s: %s\n", violation.Promise, violation.Detail)
+		fmt.Fprintf(out, "  %s: %s\n", violation.Guarantee, violation.Detail)
 	}
 }
 
-func short(d time.Duration) string { return d.Round(10 * time.Microsecond).String() }
+func formatDuration(d time.Duration) string { return d.Round(10 * time.Microsecond).String() }
 
-func outcomes(count map[string]int) string {
+func formatOutcomes(count map[string]int) string {
 	text := ""
 	for _, name := range slices.Sorted(maps.Keys(count)) {
 		if text != "" {
--- a/load/runner.go
+++ b/load/runner.go
@@ -22,20 +22,20 @@
 	began      time.Time
 	results    []Result
 	mu         sync.Mutex
-	working    sync.WaitGroup
+	tasks      sync.WaitGroup
 	started    atomic.Int64
 	ended      atomic.Int64
 	moves      moveCounter
 }
 
-// mostConnections is the maximum number of connections to each entry host.
-const mostConnections = 4096
+// maxConnections is the maximum number of connections to each entry host.
+const maxConnections = 4096
 
 // NewRunner returns a runner.
 func NewRunner(experiment Experiment) *Runner {
 	transport := &http.Transport{
-		MaxIdleConnsPerHost: mostConnections,
-		MaxConnsPerHost:     mostConnections,
+		MaxIdleConnsPerHost: maxConnections,
+		MaxConnsPerHost:     maxConnections,
 		DisableCompression:  true,
 	}
 	client := &http.Client{Transport: transport}
@@ -51,20 +51,20 @@
 func (r *Runner) Run(ctx context.Context, progress func(Progress)) Report {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go r.balancer.follow(ctx)
+	go r.balancer.run(ctx)
 	go r.moves.follow(ctx, r.experiment.Store)
-	r.balancer.wait(ctx)
+	r.balancer.waitUntilHealthy(ctx)
 	r.began = time.Now()
 	for i, stream := range r.experiment.Streams {
-		r.working.Add(1)
-		go r.stream(ctx, stream, rand.New(rand.NewPCG(uint64(r.experiment.Seed), uint64(i))))
+		r.tasks.Add(1)
+		go r.runStream(ctx, stream, rand.New(rand.NewPCG(uint64(r.experiment.Seed), uint64(i))))
 	}
 	for _, fault := range r.experiment.Faults {
-		r.working.Add(1)
-		go r.fault(ctx, fault)
+		r.tasks.Add(1)
+		go r.injectFault(ctx, fault)
 	}
-	r.tell(ctx, progress)
-	r.working.Wait()
+	r.reportProgress(ctx, progress)
+	r.tasks.Wait()
 	time.Sleep(settleTime)
 	return r.report()
 }
@@ -81,8 +81,8 @@
 	Entries        int
 }
 
-// tell reports progress every second until the duration of the run has passed.
-func (r *Runner) tell(ctx context.Context, progress func(Progress)) {
+// reportProgress reports progress every second until the duration of the run has passed.
+func (r *Runner) reportProgress(ctx context.Context, progress func(Progress)) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
 	end := time.NewTimer(r.experiment.Duration)
@@ -106,7 +106,7 @@
 		Elapsed: time.Since(r.began),
 		Started: r.started.Load(),
 		Ended:   r.ended.Load(),
-		Entries: r.balancer.count(),
+		Entries: r.balancer.healthyCount(),
 	}
 	for _, result := range r.results {
 		if result.Done() {
@@ -118,9 +118,9 @@
 	return now
 }
 
-// stream starts one stream's calls as a Poisson process with the stream's rate.
-func (r *Runner) stream(ctx context.Context, stream Stream, random *rand.Rand) {
-	defer r.working.Done()
+// runStream starts one stream's calls as a Poisson process with the stream's rate.
+func (r *Runner) runStream(ctx context.Context, stream Stream, random *rand.Rand) {
+	defer r.tasks.Done()
 	keys := newKeyChooser(stream, random)
 	end := r.experiment.Duration
 	if stream.Until > 0 {
@@ -142,13 +142,13 @@
 		}
 		time.Sleep(time.Until(call.due))
 		r.started.Add(1)
-		r.working.Add(1)
+		r.tasks.Add(1)
 		go r.perform(ctx, call)
 	}
 }
 
 func (r *Runner) perform(ctx context.Context, call *call) {
-	defer r.working.Done()
+	defer r.tasks.Done()
 	results := call.perform(ctx, r)
 	r.ended.Add(1)
 	r.mu.Lock()
@@ -183,14 +183,14 @@
 		revision = snapshot.Revision
 		for _, object := range snapshot.Objects {
 			if page, err := record.DecodePage(object.Envelope); err == nil && object.Kind == record.KindPage {
-				m.note(page)
+				m.countChanges(page)
 			}
 		}
 	}
 }
 
-// note compares a page with its previous version and counts the changes.
-func (m *moveCounter) note(page record.Page) {
+// countChanges compares a page with its previous version and counts the changes.
+func (m *moveCounter) countChanges(page record.Page) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.owners == nil {
--- a/load/timeline.go
+++ b/load/timeline.go
@@ -53,13 +53,13 @@
 		}
 	}
 	for i := range seconds {
-		seconds[i].P50 = millisAt(took[i], 0.5)
-		seconds[i].P99 = millisAt(took[i], 0.99)
+		seconds[i].P50 = quantileMillis(took[i], 0.5)
+		seconds[i].P99 = quantileMillis(took[i], 0.99)
 	}
 	return seconds
 }
 
-func millisAt(times []time.Duration, fraction float64) float64 {
+func quantileMillis(times []time.Duration, fraction float64) float64 {
 	if len(times) == 0 {
 		return 0
 	}
@@ -67,8 +67,8 @@
 	return float64(times[int(fraction*float64(len(times)-1))].Microseconds()) / 1000
 }
 
-// noteImbalance sets the imbalance of each second from the load on a service's servers.
-func noteImbalance(seconds []Second, results []Result, runs []standin.Run, began time.Time, service string) {
+// setImbalance sets the imbalance of each second from the load on a service's servers.
+func setImbalance(seconds []Second, results []Result, runs []standin.Run, began time.Time, service string) {
 	ofService := map[string]bool{}
 	for _, result := range results {
 		ofService[result.ID] = result.Service == service
--- a/soak/host.go
+++ b/soak/host.go
@@ -14,28 +14,28 @@
 	"github.com/rotisserie/eris"
 )
 
-// grace is how long a host may take to stop after SIGTERM.
-const grace = 4 * time.Second
+// stopGrace is how long a host may take to stop after SIGTERM.
+const stopGrace = 4 * time.Second
 
 // host is one cicada-gateway process on a network address of its own. The faults that end
 // it restart it.
 type host struct {
-	name    string
-	program string
-	dir     string
-	callers string
-	ready   string
-	store   *Proxy
-
-	mu       sync.Mutex
-	running  *exec.Cmd
-	gone     chan struct{} // closed when running has exited
-	asked    bool          // this package sent SIGTERM or SIGKILL to running
-	upSince  time.Time
-	ownEnds  []string
-	planned  []window // planned stops, from SIGTERM to the exit of the process
-	overdue  []window // planned stops that exceeded the grace time, until the process was killed
-	disturbs []window // pauses and kills
+	name           string
+	program        string
+	dir            string
+	callersAddress string
+	readyAddress   string
+	storeProxy     *Proxy
+
+	mu              sync.Mutex
+	running         *exec.Cmd
+	exited          chan struct{} // closed when running has exited
+	stopRequested   bool          // this package sent SIGTERM or SIGKILL to running
+	upSince         time.Time
+	unexpectedExits []string
+	plannedStops    []window // planned stops, from SIGTERM to the exit of the process
+	overdueStops    []window // planned stops that exceeded the grace time, until the process was killed
+	disturbances    []window // pauses and kills
 }
 
 // window is a time interval.
@@ -57,14 +57,14 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &host{name: name, program: program, dir: dir, store: store}
+	h := &host{name: name, program: program, dir: dir, storeProxy: store}
 	var addresses []string
 	for n := range 4 {
 		addresses = append(addresses, fmt.Sprintf("%s:%d", ip, firstPort+n))
 	}
-	h.callers, h.ready = addresses[0], addresses[1]
+	h.callersAddress, h.readyAddress = addresses[0], addresses[1]
 	settings := fmt.Sprintf("[host]\nname = %s\ndomain = a\n[listen]\ncallers = %s\nready = %s\npeers = %s\nmetrics = %s\n[store]\naddress = %s\n[changes]\nevacuate-within = %v\n[stop]\nleave-for = 500ms\nwithin = %v\n",
-		name, addresses[0], addresses[1], addresses[2], addresses[3], store.Address(), evacuateWithin, grace)
+		name, addresses[0], addresses[1], addresses[2], addresses[3], store.Address(), evacuateWithin, stopGrace)
 	err = os.WriteFile(h.settingsFile(), []byte(settings), 0o600)
 	return h, eris.Wrap(err, "settings of a host")
 }
@@ -89,17 +89,17 @@
 		return eris.Wrapf(err, "starting %s", h.program)
 	}
 	gone := make(chan struct{})
-	h.running, h.gone, h.asked, h.upSince = command, gone, false, time.Now()
-	go h.wait(command, gone)
+	h.running, h.exited, h.stopRequested, h.upSince = command, gone, false, time.Now()
+	go h.waitForExit(command, gone)
 	return nil
 }
 
-func (h *host) wait(command *exec.Cmd, gone chan struct{}) {
+func (h *host) waitForExit(command *exec.Cmd, gone chan struct{}) {
 	err := command.Wait()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.asked {
-		h.ownEnds = append(h.ownEnds, fmt.Sprintf("%s ended by itself: %v", h.name, err))
+	if !h.stopRequested {
+		h.unexpectedExits = append(h.unexpectedExits, fmt.Sprintf("%s ended by itself: %v", h.name, err))
 	}
 	h.running = nil
 	close(gone)
@@ -113,12 +113,12 @@
 	if h.running == nil {
 		return nil, false
 	}
-	h.asked = h.asked || ends
-	return h.gone, h.running.Process.Signal(signal) == nil
+	h.stopRequested = h.stopRequested || ends
+	return h.exited, h.running.Process.Signal(signal) == nil
 }
 
-// note appends the window from the given time until now.
-func (h *host) note(windows *[]window, from time.Time) {
+// recordWindow appends the window from the given time until now.
+func (h *host) recordWindow(windows *[]window, from time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	*windows = append(*windows, window{from: from, to: time.Now()})
@@ -134,21 +134,21 @@
 	}
 	select {
 	case <-gone:
-	case <-time.After(grace + time.Second):
-		h.note(&h.overdue, from)
+	case <-time.After(stopGrace + time.Second):
+		h.recordWindow(&h.overdueStops, from)
 		h.kill()
 	}
-	h.note(&h.planned, from)
+	h.recordWindow(&h.plannedStops, from)
 }
 
-// stuck returns a violation for each planned stop that exceeded the grace time although
+// overdueStopViolations returns a violation for each planned stop that exceeded the grace time although
 // the process was neither paused nor killed during it.
-func (h *host) stuck() []string {
+func (h *host) overdueStopViolations() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var violations []string
-	for _, stop := range h.overdue {
-		if !anyOverlaps(h.disturbs, stop.from, stop.to) {
+	for _, stop := range h.overdueStops {
+		if !anyOverlaps(h.disturbances, stop.from, stop.to) {
 			violations = append(violations, h.name+" did not stop within the grace time")
 		}
 	}
@@ -160,7 +160,7 @@
 func (h *host) disturbedBetween(from, to time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return anyOverlaps(h.planned, from, to) || anyOverlaps(h.disturbs, from, to) || anyOverlaps(h.overdue, from, to)
+	return anyOverlaps(h.plannedStops, from, to) || anyOverlaps(h.disturbances, from, to) || anyOverlaps(h.overdueStops, from, to)
 }
 
 // kill ends the process with SIGKILL and waits for its exit.
@@ -168,24 +168,24 @@
 	from := time.Now()
 	if gone, ok := h.signal(syscall.SIGKILL, true); ok {
 		<-gone
-		h.note(&h.disturbs, from)
+		h.recordWindow(&h.disturbances, from)
 	}
 }
 
-// pause suspends the process with SIGSTOP for a duration, like a suspended machine.
-func (h *host) pause(length time.Duration) {
+// suspend suspends the process with SIGSTOP for a duration, like a suspended machine.
+func (h *host) suspend(length time.Duration) {
 	from := time.Now()
 	if _, ok := h.signal(syscall.SIGSTOP, false); !ok {
 		return
 	}
 	time.Sleep(length)
 	h.signal(syscall.SIGCONT, false)
-	h.note(&h.disturbs, from)
+	h.recordWindow(&h.disturbances, from)
 }
 
 // isReady reports whether the host's readiness endpoint answers with status 200.
 func (h *host) isReady(client *http.Client) bool {
-	response, err := client.Get("http://" + h.ready + readyPath)
+	response, err := client.Get("http://" + h.readyAddress + readyPath)
 	if err != nil {
 		return false
 	}
@@ -193,8 +193,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// upFor returns the process's uptime, or 0 if it is not running.
-func (h *host) upFor() time.Duration {
+// uptime returns the process's uptime, or 0 if it is not running.
+func (h *host) uptime() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.running == nil {
@@ -205,5 +205,5 @@
 
 func (h *host) close() {
 	h.kill()
-	h.store.Close()
+	h.storeProxy.Close()
 }
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -9,8 +9,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Link is the network condition that a proxy simulates.
-type Link struct {
+// LinkCondition is the network condition that a proxy simulates.
+type LinkCondition struct {
 	// Delay is added to each chunk in both directions.
 	Delay time.Duration
 	// CutTo and CutFrom hold back data to or from the target, like a network partition:
@@ -24,10 +24,10 @@
 	listener net.Listener
 	target   string
 
-	mu      sync.Mutex
-	link    Link
-	changed chan struct{} // closed when link changes
-	open    map[net.Conn]bool
+	mu        sync.Mutex
+	condition LinkCondition
+	changed   chan struct{} // closed when link changes
+	openConns map[net.Conn]bool
 }
 
 // NewProxy returns a proxy on a free port.
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "listening for a proxy")
 	}
-	p := &Proxy{listener: listener, target: target, changed: make(chan struct{}), open: map[net.Conn]bool{}}
+	p := &Proxy{listener: listener, target: target, changed: make(chan struct{}), openConns: map[net.Conn]bool{}}
 	go p.accept()
 	return p, nil
 }
@@ -44,11 +44,11 @@
 // Address returns the proxy's listening address.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes the network condition of all connections.
-func (p *Proxy) Set(link Link) {
+// SetCondition changes the network condition of all connections.
+func (p *Proxy) SetCondition(link LinkCondition) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.link = link
+	p.condition = link
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
@@ -57,7 +57,7 @@
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for conn := range p.open {
+	for conn := range p.openConns {
 		if tcp, ok := conn.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0) // it is being closed anyway
 		}
@@ -68,7 +68,7 @@
 // Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
-	p.Set(Link{})
+	p.SetCondition(LinkCondition{})
 	p.Reset()
 }
 
@@ -88,55 +88,55 @@
 		_ = client.Close()
 		return
 	}
-	p.keep(client, target)
-	defer p.drop(client, target)
+	p.track(client, target)
+	defer p.closeAndUntrack(client, target)
 	var copying sync.WaitGroup
-	copying.Go(func() { p.pass(target, client, func(l Link) bool { return l.CutTo }) })
-	copying.Go(func() { p.pass(client, target, func(l Link) bool { return l.CutFrom }) })
+	copying.Go(func() { p.copyDirection(target, client, func(l LinkCondition) bool { return l.CutTo }) })
+	copying.Go(func() { p.copyDirection(client, target, func(l LinkCondition) bool { return l.CutFrom }) })
 	copying.Wait()
 }
 
-func (p *Proxy) keep(conns ...net.Conn) {
+func (p *Proxy) track(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, conn := range conns {
-		p.open[conn] = true
+		p.openConns[conn] = true
 	}
 }
 
-func (p *Proxy) drop(conns ...net.Conn) {
+func (p *Proxy) closeAndUntrack(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, conn := range conns {
-		delete(p.open, conn)
+		delete(p.openConns, conn)
 		_ = conn.Close()
 	}
 }
 
-// pass copies one direction until it ends and then closes both connections. Data that a
+// copyDirection copies one direction until it ends and then closes both connections. Data that a
 // cut holds back is lost if its sender resets the connection meanwhile, as on a real link:
 // a client that has abandoned a call relies on the call not arriving later.
-func (p *Proxy) pass(to, from net.Conn, cut func(Link) bool) {
+func (p *Proxy) copyDirection(to, from net.Conn, cut func(LinkCondition) bool) {
 	defer func() { _, _ = to.Close(), from.Close() }()
-	chunks, reset := make(chan []byte, piecesHeld), make(chan struct{})
-	go read(from, chunks, reset)
+	chunks, reset := make(chan []byte, maxBufferedChunks), make(chan struct{})
+	go readChunks(from, chunks, reset)
 	for chunk := range chunks {
-		if !p.hold(cut, reset) {
+		if !p.waitForLink(cut, reset) {
 			return
 		}
 		if _, err := to.Write(chunk); err != nil {
 			return
 		}
 	}
-	p.hold(cut, reset) // a cut holds back the end of the connection too
+	p.waitForLink(cut, reset) // a cut holds back the end of the connection too
 }
 
-// piecesHeld is the maximum number of chunks buffered while a cut holds them back.
-const piecesHeld = 64
+// maxBufferedChunks is the maximum number of chunks buffered while a cut holds them back.
+const maxBufferedChunks = 64
 
-// read reads chunks until the connection ends. It closes reset if the connection ended
+// readChunks reads chunks until the connection ends. It closes reset if the connection ended
 // with an error other than io.EOF.
-func read(from net.Conn, chunks chan<- []byte, reset chan<- struct{}) {
+func readChunks(from net.Conn, chunks chan<- []byte, reset chan<- struct{}) {
 	defer close(chunks)
 	for {
 		buffer := make([]byte, 16<<10)
@@ -154,16 +154,16 @@
 	}
 }
 
-// hold waits until the link lets a chunk through. It returns false if the sender reset the
+// waitForLink waits until the link lets a chunk through. It returns false if the sender reset the
 // connection while a cut held the chunk back.
-func (p *Proxy) hold(cut func(Link) bool, reset <-chan struct{}) bool {
+func (p *Proxy) waitForLink(cut func(LinkCondition) bool, reset <-chan struct{}) bool {
 	p.mu.Lock()
-	delay := p.link.Delay
+	delay := p.condition.Delay
 	p.mu.Unlock()
 	time.Sleep(delay)
 	for {
 		p.mu.Lock()
-		link, changed := p.link, p.changed
+		link, changed := p.condition, p.changed
 		p.mu.Unlock()
 		if !cut(link) {
 			return true
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -13,8 +13,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// built builds cicada-gateway from this tree and returns its path.
-func built(t *testing.T) string {
+// buildGateway builds cicada-gateway from this tree and returns its path.
+func buildGateway(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "cicada-gateway")
 	output, err := exec.Command("go", "build", "-o", program, "cicadarouter/cmd/cicada-gateway").CombinedOutput()
@@ -26,68 +26,68 @@
 // violated while faults were active, or that not all keys were served again after the last
 // fault.
 func TestShortSoak(t *testing.T) {
-	shortSoak(t, EvacuationSeries)
+	runShortSoak(t, EvacuationFaults)
 }
 
 // Guards against a restarted server that gets the load of a warmed-up one. It came about
 // when a server restarted under its ID while the store rejected all calls: the server
 // tolerates 40 requests per second, 68 in any one second.
 func TestShortSoakWithDeadlyRequests(t *testing.T) {
-	shortSoak(t, DeadlySeries)
+	runShortSoak(t, DeadlyRequestFaults)
 }
 
-func shortSoak(t *testing.T, series Series) {
+func runShortSoak(t *testing.T, series FaultListVersion) {
 	t.Helper()
-	result, err := Run(context.Background(), Options{Program: built(t), Dir: t.TempDir(), Seed: 7, Series: series, Hosts: 3, Servers: 3, Callers: 6,
-		Length: 5 * time.Second, Every: 600 * time.Millisecond, Print: func(line string) { t.Log(line) }})
+	result, err := Run(context.Background(), Options{Program: buildGateway(t), Dir: t.TempDir(), Seed: 7, FaultList: series, Hosts: 3, Servers: 3, Callers: 6,
+		FaultDuration: 5 * time.Second, MeanInterval: 600 * time.Millisecond, Print: func(line string) { t.Log(line) }})
 	assert.NilError(t, err)
-	assert.Equal(t, len(result.Broken), 0, "%v", result.Broken)
+	assert.Equal(t, len(result.Violations), 0, "%v", result.Violations)
 	assert.Assert(t, result.Statuses[200] > 0)
 }
 
 // Guards against hosts that keep sending requests known to terminate servers. The copies
 // that reach servers are counted over all hosts, under ordinary load.
 func TestShortSoakOfDeadlyRequests(t *testing.T) {
-	result, err := Run(context.Background(), Options{Program: built(t), Dir: t.TempDir(), Seed: 3, Only: deadlyFault, Hosts: 3, Servers: 4, Callers: 6,
-		Length: 3 * time.Second, Every: time.Second, Print: func(line string) { t.Log(line) }})
+	result, err := Run(context.Background(), Options{Program: buildGateway(t), Dir: t.TempDir(), Seed: 3, Only: deadlyFault, Hosts: 3, Servers: 4, Callers: 6,
+		FaultDuration: 3 * time.Second, MeanInterval: time.Second, Print: func(line string) { t.Log(line) }})
 	assert.NilError(t, err)
-	assert.Equal(t, len(result.Broken), 0, "%v", result.Broken)
-	assert.Assert(t, result.EndedServers >= 3, "%d servers ended", result.EndedServers)
+	assert.Equal(t, len(result.Violations), 0, "%v", result.Violations)
+	assert.Assert(t, result.TerminatedServers >= 3, "%d servers ended", result.TerminatedServers)
 }
 
 // Guards against hosts that together exceed the rate limit that a server announces.
 func TestShortSoakOfLimits(t *testing.T) {
-	result, err := Run(context.Background(), Options{Program: built(t), Dir: t.TempDir(), Seed: 5, Only: limitFault, Hosts: 3, Servers: 4, Callers: 6,
-		Length: time.Second, Every: time.Second, Print: func(line string) { t.Log(line) }})
+	result, err := Run(context.Background(), Options{Program: buildGateway(t), Dir: t.TempDir(), Seed: 5, Only: limitFault, Hosts: 3, Servers: 4, Callers: 6,
+		FaultDuration: time.Second, MeanInterval: time.Second, Print: func(line string) { t.Log(line) }})
 	assert.NilError(t, err)
-	assert.Equal(t, len(result.Broken), 0, "%v", result.Broken)
+	assert.Equal(t, len(result.Violations), 0, "%v", result.Violations)
 }
 
 // Guards against hosts that send to a server after it has announced in responses that it
 // is leaving, while the store rejects all calls.
-func TestShortSoakOfLeavingServers(t *testing.T) { soakOf(t, leavingFault, 6) }
+func TestShortSoakOfLeavingServers(t *testing.T) { runFault(t, leavingFault, 6) }
 
 // Guards against hosts that send to a server which has asked them to back off.
-func TestShortSoakOfRests(t *testing.T) { soakOf(t, restFault, 8) }
+func TestShortSoakOfBackoff(t *testing.T) { runFault(t, backoffFault, 8) }
 
 // Guards against hosts that keep using data which the store lost when it was restored from
 // a backup, and so miss what the store acknowledges after the restore.
-func TestShortSoakOfAStoreThatForgets(t *testing.T) { soakOf(t, eraFault, 4) }
+func TestShortSoakOfStoreRestore(t *testing.T) { runFault(t, restoreFault, 4) }
 
-func soakOf(t *testing.T, fault string, seed uint64) {
+func runFault(t *testing.T, fault string, seed uint64) {
 	t.Helper()
-	result, err := Run(context.Background(), Options{Program: built(t), Dir: t.TempDir(), Seed: seed, Only: fault, Hosts: 3, Servers: 4, Callers: 6,
-		Length: time.Second, Every: 500 * time.Millisecond, Print: func(line string) { t.Log(line) }})
+	result, err := Run(context.Background(), Options{Program: buildGateway(t), Dir: t.TempDir(), Seed: seed, Only: fault, Hosts: 3, Servers: 4, Callers: 6,
+		FaultDuration: time.Second, MeanInterval: 500 * time.Millisecond, Print: func(line string) { t.Log(line) }})
 	assert.NilError(t, err)
-	assert.Equal(t, len(result.Broken), 0, "%v", result.Broken)
+	assert.Equal(t, len(result.Violations), 0, "%v", result.Violations)
 	assert.Assert(t, result.Statuses[200] > 0)
 }
 
 // Guards against a seed that draws different faults when it is run again.
-func TestSeedGivesTheSameSeries(t *testing.T) {
+func TestSeedGivesSameFaults(t *testing.T) {
 	draw := func() []string {
 		var names []string
-		drawn := newSeries(9, CurrentSeries, "")
+		drawn := newFaultSource(9, CurrentFaults, "")
 		for range 50 {
 			kind, length := drawn.next()
 			names = append(names, kind.name+length.String())
@@ -99,8 +99,8 @@
 
 // Guards against new kinds of faults that change what an older version of the fault list
 // draws: a seed that failed could not be replayed.
-func TestSeriesDoNotChange(t *testing.T) {
-	drawn := newSeries(2651125409, FirstSeries, "")
+func TestFaultListVersionsDoNotChange(t *testing.T) {
+	drawn := newFaultSource(2651125409, InitialFaults, "")
 	var names []string
 	for range 4 {
 		kind, _ := drawn.next()
@@ -109,8 +109,8 @@
 	assert.DeepEqual(t, names, []string{"a server leaves grants unanswered", "a host is killed", "a server leaves", "the configuration changes"})
 }
 
-// echo starts a TCP echo server on a free port and returns its address.
-func echo(t *testing.T) string {
+// startEchoServer starts a TCP echo server on a free port and returns its address.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -129,7 +129,7 @@
 
 // Data that a cut holds back is delivered when the cut ends, and a reset closes connections.
 func TestProxy(t *testing.T) {
-	proxy, err := NewProxy(echo(t))
+	proxy, err := NewProxy(startEchoServer(t))
 	assert.NilError(t, err)
 	defer proxy.Close()
 	conn, err := net.Dial("tcp", proxy.Address())
@@ -148,12 +148,12 @@
 	read()
 	assert.Assert(t, bytes.Equal(<-responses, []byte("ab")))
 
-	proxy.Set(Link{CutFrom: true})
+	proxy.SetCondition(LinkCondition{CutFrom: true})
 	_, err = conn.Write([]byte("cd"))
 	assert.NilError(t, err)
 	go read()
 	assert.Equal(t, len(responses), 0)
-	proxy.Set(Link{})
+	proxy.SetCondition(LinkCondition{})
 	assert.Assert(t, bytes.Equal(<-responses, []byte("cd")))
 
 	proxy.Reset()
@@ -163,7 +163,7 @@
 
 // Data that a cut holds back is lost if its sender resets the connection. A proxy that
 // delivered it let a grant arrive whose sender had abandoned the call.
-func TestProxyDropsWhatWasReset(t *testing.T) {
+func TestProxyDropsDataAfterReset(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer listener.Close()
@@ -175,7 +175,7 @@
 	target, err := listener.Accept()
 	assert.NilError(t, err)
 	defer target.Close()
-	proxy.Set(Link{CutTo: true})
+	proxy.SetCondition(LinkCondition{CutTo: true})
 	_, err = conn.Write([]byte("late"))
 	assert.NilError(t, err)
 	assert.NilError(t, conn.(*net.TCPConn).SetLinger(0))
--- a/standin/fleet.go
+++ b/standin/fleet.go
@@ -27,10 +27,10 @@
 
 // Fleet is a group of fake backend servers in one process.
 type Fleet struct {
-	config    FleetConfig
-	servers   map[string]*Server
-	listeners []net.Listener
-	http      []*http.Server
+	config      FleetConfig
+	servers     map[string]*Server
+	listeners   []net.Listener
+	httpServers []*http.Server
 }
 
 // ServerName returns the name of the server with the given index.
@@ -70,7 +70,7 @@
 		httpServer := &http.Server{Handler: server.Handler()}
 		fleet.servers[entry.Name] = server
 		fleet.listeners = append(fleet.listeners, listener)
-		fleet.http = append(fleet.http, httpServer)
+		fleet.httpServers = append(fleet.httpServers, httpServer)
 		go func() { _ = httpServer.Serve(listener) }()
 	}
 	return fleet, nil
@@ -78,7 +78,7 @@
 
 // Close stops the servers immediately, without waiting for running requests.
 func (f *Fleet) Close() {
-	for _, httpServer := range f.http {
+	for _, httpServer := range f.httpServers {
 		_ = httpServer.Close()
 	}
 }
@@ -133,5 +133,5 @@
 		return
 	}
 	server.SetFaults(faults)
-	answer(response, faults, nil)
+	respond(response, faults, nil)
 }
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -24,12 +24,12 @@
 type PlatformFaults struct {
 	// Down makes every call fail.
 	Down bool `json:"down"`
-	// SlowMillis delays every call.
-	SlowMillis int `json:"slowMillis"`
-	// LoseReplies is the number of writes from now on that take effect but get no response.
-	LoseReplies int `json:"loseReplies"`
-	// Cut lists the failure domains whose calls fail.
-	Cut []string `json:"cut"`
+	// DelayMillis delays every call.
+	DelayMillis int `json:"slowMillis"`
+	// DropResponses is the number of writes from now on that take effect but get no response.
+	DropResponses int `json:"loseReplies"`
+	// UnreachableDomains lists the failure domains whose calls fail.
+	UnreachableDomains []string `json:"cut"`
 }
 
 // PlatformCounts counts the calls to a fake platform. A watch is counted once, when it
@@ -88,14 +88,14 @@
 func (p *Platform) Handler() http.Handler {
 	container := restful.NewContainer()
 	container.Add(p.storeRoutes())
-	container.Add(p.switchRoutes())
+	container.Add(p.controlRoutes())
 	return container
 }
 
 func (p *Platform) storeRoutes() *restful.WebService {
 	routes := new(restful.WebService)
 	routes.Path("/v1").Consumes(restful.MIME_JSON).Produces(restful.MIME_JSON)
-	routes.Filter(p.fail)
+	routes.Filter(p.injectFaults)
 	routes.Route(routes.GET("/records").To(p.list))
 	routes.Route(routes.GET("/records/{kind}/{name}").To(p.get))
 	routes.Route(routes.PUT("/records/{kind}/{name}").To(p.update))
@@ -105,7 +105,7 @@
 	return routes
 }
 
-func (p *Platform) switchRoutes() *restful.WebService {
+func (p *Platform) controlRoutes() *restful.WebService {
 	routes := new(restful.WebService)
 	routes.Path("/standin").Consumes(restful.MIME_JSON).Produces(restful.MIME_JSON)
 	routes.Route(routes.PUT("/faults").To(p.putFaults))
@@ -114,16 +114,16 @@
 	return routes
 }
 
-// fail is a filter that injects faults before a call is handled: delays and failures.
-func (p *Platform) fail(request *restful.Request, response *restful.Response, chain *restful.FilterChain) {
+// injectFaults is a filter that injects faults before a call is handled: delays and failures.
+func (p *Platform) injectFaults(request *restful.Request, response *restful.Response, chain *restful.FilterChain) {
 	p.mu.Lock()
 	faults := p.faults
 	p.mu.Unlock()
-	if faults.SlowMillis > 0 {
-		clock.Sleep(request.Request.Context(), time.Duration(faults.SlowMillis)*time.Millisecond)
+	if faults.DelayMillis > 0 {
+		clock.Sleep(request.Request.Context(), time.Duration(faults.DelayMillis)*time.Millisecond)
 	}
 	domain := request.HeaderParameter(httpstore.DomainHeader)
-	if faults.Down || slices.Contains(faults.Cut, domain) {
+	if faults.Down || slices.Contains(faults.UnreachableDomains, domain) {
 		_ = response.WriteErrorString(http.StatusServiceUnavailable, "store is down")
 		return
 	}
@@ -143,13 +143,13 @@
 func (p *Platform) list(request *restful.Request, response *restful.Response) {
 	p.count(func(c *PlatformCounts) { c.Reads++ })
 	snapshot, err := p.store.List(request.Request.Context())
-	answer(response, snapshot, err)
+	respond(response, snapshot, err)
 }
 
 func (p *Platform) get(request *restful.Request, response *restful.Response) {
 	p.count(func(c *PlatformCounts) { c.Reads++ })
 	object, err := p.store.Get(request.Request.Context(), refOf(request))
-	answer(response, object, err)
+	respond(response, object, err)
 }
 
 func (p *Platform) update(request *restful.Request, response *restful.Response) {
@@ -165,10 +165,10 @@
 		return
 	}
 	written, err := p.store.Update(request.Request.Context(), envelope, version)
-	if p.loseReply() {
+	if p.dropResponse() {
 		panic(http.ErrAbortHandler) // the write took effect, but its response is dropped
 	}
-	answer(response, platform.Object{Envelope: envelope, Version: written}, err)
+	respond(response, platform.Object{Envelope: envelope, Version: written}, err)
 }
 
 func (p *Platform) remove(request *restful.Request, response *restful.Response) {
@@ -179,28 +179,28 @@
 		return
 	}
 	err = p.store.Delete(request.Request.Context(), refOf(request), version)
-	if p.loseReply() {
+	if p.dropResponse() {
 		panic(http.ErrAbortHandler)
 	}
-	answer(response, struct{}{}, err)
+	respond(response, struct{}{}, err)
 }
 
 func parseVersion(request *restful.Request) (uint64, error) {
 	return strconv.ParseUint(request.QueryParameter("version"), 10, 64)
 }
 
-func (p *Platform) loseReply() bool {
+func (p *Platform) dropResponse() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.faults.LoseReplies == 0 {
+	if p.faults.DropResponses == 0 {
 		return false
 	}
-	p.faults.LoseReplies--
+	p.faults.DropResponses--
 	return true
 }
 
-// longestWatch is the maximum duration of a watch.
-const longestWatch = time.Minute
+// maxWatchDuration is the maximum duration of a watch.
+const maxWatchDuration = time.Minute
 
 func (p *Platform) watch(request *restful.Request, response *restful.Response) {
 	revision, err := strconv.ParseUint(request.QueryParameter("revision"), 10, 64)
@@ -211,21 +211,21 @@
 	}
 	p.count(func(c *PlatformCounts) { c.Watches++; c.Waiting++ })
 	defer p.count(func(c *PlatformCounts) { c.Waiting-- })
-	wait := min(time.Duration(millis)*time.Millisecond, longestWatch)
+	wait := min(time.Duration(millis)*time.Millisecond, maxWatchDuration)
 	snapshot, err := p.store.Watch(request.Request.Context(), revision, wait)
 	p.mu.Lock()
-	cut := p.faults.Down || slices.Contains(p.faults.Cut, request.HeaderParameter(httpstore.DomainHeader))
+	cut := p.faults.Down || slices.Contains(p.faults.UnreachableDomains, request.HeaderParameter(httpstore.DomainHeader))
 	p.mu.Unlock()
 	if cut {
 		panic(http.ErrAbortHandler) // the store became unavailable while the watch waited
 	}
-	answer(response, snapshot, err)
+	respond(response, snapshot, err)
 }
 
 func (p *Platform) hosts(request *restful.Request, response *restful.Response) {
 	p.count(func(c *PlatformCounts) { c.Reads++ })
 	hosts, err := p.store.Hosts(request.Request.Context())
-	answer(response, hosts, err)
+	respond(response, hosts, err)
 }
 
 func (p *Platform) putFaults(request *restful.Request, response *restful.Response) {
@@ -235,11 +235,11 @@
 		return
 	}
 	p.SetFaults(faults)
-	answer(response, faults, nil)
+	respond(response, faults, nil)
 }
 
 func (p *Platform) getCounts(_ *restful.Request, response *restful.Response) {
-	answer(response, p.Counts(), nil)
+	respond(response, p.Counts(), nil)
 }
 
 func (p *Platform) putHosts(request *restful.Request, response *restful.Response) {
@@ -249,11 +249,11 @@
 		return
 	}
 	p.SetHosts(hosts)
-	answer(response, hosts, nil)
+	respond(response, hosts, nil)
 }
 
-// answer writes the value as JSON, or the HTTP status for the error.
-func answer(response *restful.Response, value any, err error) {
+// respond writes the value as JSON, or the HTTP status for the error.
+func respond(response *restful.Response, value any, err error) {
 	response.PrettyPrint(false)
 	var conflict *platform.ConflictError
 	var missing *platform.NotFoundError
--- a/standin/platform_test.go
+++ b/standin/platform_test.go
@@ -17,7 +17,7 @@
 	"cicadarouter/standin"
 )
 
-func open(t *testing.T, domain string) (*standin.Platform, *httpstore.Client) {
+func startPlatform(t *testing.T, domain string) (*standin.Platform, *httpstore.Client) {
 	platformServer := standin.NewPlatform()
 	server := httptest.NewServer(platformServer.Handler())
 	t.Cleanup(server.Close)
@@ -26,7 +26,7 @@
 
 func TestConformanceOverHTTP(t *testing.T) {
 	conformance.Run(t, func(t *testing.T) (platform.Store, func([]platform.Host)) {
-		platformServer, client := open(t, "a")
+		platformServer, client := startPlatform(t, "a")
 		return client, platformServer.SetHosts
 	})
 }
@@ -40,12 +40,12 @@
 		applied bool // the write took effect although it failed
 	}{
 		{"down", standin.PlatformFaults{Down: true}, false},
-		{"cut off from the caller's domain", standin.PlatformFaults{Cut: []string{"a"}}, false},
-		{"reply lost after the write took effect", standin.PlatformFaults{LoseReplies: 1}, true},
+		{"cut off from the caller's domain", standin.PlatformFaults{UnreachableDomains: []string{"a"}}, false},
+		{"reply lost after the write took effect", standin.PlatformFaults{DropResponses: 1}, true},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			platformServer, client := open(t, "a")
+			platformServer, client := startPlatform(t, "a")
 			platformServer.SetFaults(row.faults)
 			_, err := client.Update(context.Background(), envelope, 0)
 			assert.Assert(t, errors.Is(err, platform.ErrUnavailable), "got %v", err)
@@ -58,14 +58,14 @@
 // Guards against a watch that returns an unchanged snapshot when the store is down: the
 // client would conclude that nothing has changed.
 func TestWatchFailsWhenStoreGoesDown(t *testing.T) {
-	platformServer, client := open(t, "a")
+	platformServer, client := startPlatform(t, "a")
 	platformServer.SetFaults(standin.PlatformFaults{Down: true})
 	_, err := client.Watch(context.Background(), 0, time.Millisecond)
 	assert.Assert(t, errors.Is(err, platform.ErrUnavailable), "got %v", err)
 }
 
 func TestCallsAreCounted(t *testing.T) {
-	platformServer, client := open(t, "a")
+	platformServer, client := startPlatform(t, "a")
 	_, _ = client.List(context.Background())
 	_, _ = client.Watch(context.Background(), 0, time.Millisecond)
 	_, _ = client.Update(context.Background(), record.Envelope{Kind: record.KindService, Name: "x"}, 0)
--- a/standin/requests.go
+++ b/standin/requests.go
@@ -13,31 +13,31 @@
 	"cicadarouter/record"
 )
 
-// serve handles one request.
-func (s *Server) serve(out http.ResponseWriter, in *http.Request) {
+// handleRequest handles one request.
+func (s *Server) handleRequest(out http.ResponseWriter, in *http.Request) {
 	ctx, cancel := requestContext(in)
 	defer cancel()
-	s.frozen(ctx)
+	s.waitWhileFrozen(ctx)
 	_, _ = io.Copy(io.Discard, in.Body)
 	request := s.identify(in)
 	if refusal := s.admit(request); refusal != "" {
 		refuse(out, refusal)
 		return
 	}
-	defer s.leave(request)
-	if refusal := s.takeSlot(ctx); refusal != "" {
+	defer s.finish(request)
+	if refusal := s.acquireSlot(ctx); refusal != "" {
 		refuse(out, refusal)
 		return
 	}
 	defer func() { <-s.slots }()
-	clock.Sleep(ctx, s.work())
-	s.frozen(ctx)
-	run, refusal := s.effect(ctx, in, request)
+	clock.Sleep(ctx, s.serviceTime())
+	s.waitWhileFrozen(ctx)
+	run, refusal := s.apply(ctx, in, request)
 	if refusal != "" {
 		refuse(out, refusal)
 		return
 	}
-	s.answer(out, run)
+	s.respond(out, run)
 }
 
 func requestContext(in *http.Request) (context.Context, context.CancelFunc) {
@@ -48,10 +48,10 @@
 	return context.WithTimeout(in.Context(), time.Duration(millis)*time.Millisecond)
 }
 
-func (s *Server) identify(in *http.Request) *inFlight {
+func (s *Server) identify(in *http.Request) *inFlightRequest {
 	key := in.Header.Get(backend.HeaderKey)
 	token, _ := strconv.ParseUint(in.Header.Get(backend.HeaderToken), 10, 64)
-	return &inFlight{
+	return &inFlightRequest{
 		page:  in.Header.Get(backend.HeaderPage),
 		hash:  record.KeyHash(s.config.Service, key),
 		token: token,
@@ -59,41 +59,41 @@
 	}
 }
 
-// queueFactor is the maximum number of queued requests per slot.
-const queueFactor = 4
+// maxQueuedPerSlot is the maximum number of queued requests per slot.
+const maxQueuedPerSlot = 4
 
 // admit admits a request and returns "", or returns why it is refused.
-func (s *Server) admit(request *inFlight) backend.Refusal {
+func (s *Server) admit(request *inFlightRequest) backend.Refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.faults.Draining && !request.keyed:
 		return backend.RefusedDraining
-	case s.faults.Shed || len(s.running) >= s.config.Slots*(1+queueFactor):
+	case s.faults.RejectRequests || len(s.requests) >= s.config.Slots*(1+maxQueuedPerSlot):
 		return backend.RefusedShed
 	case s.stale(request):
 		return backend.RefusedToken
 	}
-	s.running[request] = struct{}{}
+	s.requests[request] = struct{}{}
 	return ""
 }
 
 // stale reports whether the request must be refused because of its token. Only a server
 // that checks tokens refuses keyed requests for it.
-func (s *Server) stale(request *inFlight) bool {
-	if !s.config.Checked || !request.keyed {
+func (s *Server) stale(request *inFlightRequest) bool {
+	if !s.config.ChecksTokens || !request.keyed {
 		return false
 	}
 	return !s.holder.Holds(s.clock.Now(), request.page, request.hash, request.token)
 }
 
-func (s *Server) leave(request *inFlight) {
+func (s *Server) finish(request *inFlightRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.running, request)
+	delete(s.requests, request)
 }
 
-func (s *Server) takeSlot(ctx context.Context) backend.Refusal {
+func (s *Server) acquireSlot(ctx context.Context) backend.Refusal {
 	select {
 	case s.slots <- struct{}{}:
 		return ""
@@ -102,10 +102,10 @@
 	}
 }
 
-func (s *Server) work() time.Duration {
+func (s *Server) serviceTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	work := float64(s.config.Work)
+	work := float64(s.config.ServiceTime)
 	if s.faults.SlowFactor > 0 {
 		work *= s.faults.SlowFactor
 	}
@@ -115,10 +115,10 @@
 	return time.Duration(work)
 }
 
-// effect makes a request take effect. Its deadline and token may have expired while it was
+// apply makes a request take effect. Its deadline and token may have expired while it was
 // queued, running or frozen, so both are checked again here, under the lock under which the
 // effect is recorded.
-func (s *Server) effect(ctx context.Context, in *http.Request, request *inFlight) (Run, backend.Refusal) {
+func (s *Server) apply(ctx context.Context, in *http.Request, request *inFlightRequest) (Run, backend.Refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if ctx.Err() != nil {
@@ -138,9 +138,9 @@
 	return run, ""
 }
 
-func (s *Server) answer(out http.ResponseWriter, run Run) {
+func (s *Server) respond(out http.ResponseWriter, run Run) {
 	s.mu.Lock()
-	wrong := s.faults.WrongID
+	wrong := s.faults.WrongRequestID
 	s.mu.Unlock()
 	id := run.ID
 	if wrong {
--- a/standin/server.go
+++ b/standin/server.go
@@ -21,16 +21,16 @@
 	Service string
 	// Slots is the number of requests that run at the same time.
 	Slots int
-	// Checked is set for a server that checks fencing tokens.
-	Checked bool
-	// Work is the service time of a request, during which it holds a slot.
-	Work time.Duration
+	// ChecksTokens is set for a server that checks fencing tokens.
+	ChecksTokens bool
+	// ServiceTime is the service time of a request, during which it holds a slot.
+	ServiceTime time.Duration
 	// ColdFor is how long after the server's start service times are ColdFactor times as
 	// long.
 	ColdFor    time.Duration
 	ColdFactor float64
-	// ReportLag is the sampling interval of the load in reports.
-	ReportLag time.Duration
+	// ReportInterval is the sampling interval of the load in reports.
+	ReportInterval time.Duration
 }
 
 // ServerFaults are the faults that can be injected into a fake server.
@@ -40,10 +40,10 @@
 	// Draining makes the server report that it is about to leave and refuse requests
 	// without a key.
 	Draining bool `json:"draining"`
-	// Shed makes the server refuse all requests.
-	Shed bool `json:"shed"`
-	// WrongID puts the ID of another request into responses.
-	WrongID bool `json:"wrongId"`
+	// RejectRequests makes the server refuse all requests.
+	RejectRequests bool `json:"shed"`
+	// WrongRequestID puts the ID of another request into responses.
+	WrongRequestID bool `json:"wrongId"`
 	// SlowFactor multiplies service times, if above 0.
 	SlowFactor float64 `json:"slowFactor"`
 }
@@ -63,20 +63,20 @@
 	config ServerConfig
 	clock  clock.Clock
 
-	mu       sync.Mutex
-	holder   *ownership.Holder
-	started  time.Duration
-	faults   ServerFaults
-	thawed   chan struct{}
-	running  map[*inFlight]struct{}
-	slots    chan struct{}
-	runs     []Run
-	sampled  int
-	sampleAt time.Duration
+	mu          sync.Mutex
+	holder      *ownership.Holder
+	started     time.Duration
+	faults      ServerFaults
+	unfrozen    chan struct{}
+	requests    map[*inFlightRequest]struct{}
+	slots       chan struct{}
+	runs        []Run
+	sampledLoad int
+	sampledAt   time.Duration
 }
 
-// inFlight is a request that the server has admitted and not finished.
-type inFlight struct {
+// inFlightRequest is a request that the server has admitted and not finished.
+type inFlightRequest struct {
 	page  string
 	hash  uint64
 	token uint64
@@ -87,12 +87,12 @@
 // earlier server at its address.
 func NewServer(config ServerConfig, clock clock.Clock, incarnation uint64) *Server {
 	return &Server{
-		config:  config,
-		clock:   clock,
-		holder:  ownership.NewHolder(incarnation),
-		started: clock.Now(),
-		running: map[*inFlight]struct{}{},
-		slots:   make(chan struct{}, config.Slots),
+		config:   config,
+		clock:    clock,
+		holder:   ownership.NewHolder(incarnation),
+		started:  clock.Now(),
+		requests: map[*inFlightRequest]struct{}{},
+		slots:    make(chan struct{}, config.Slots),
 	}
 }
 
@@ -102,10 +102,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if faults.Frozen && !s.faults.Frozen {
-		s.thawed = make(chan struct{})
+		s.unfrozen = make(chan struct{})
 	}
 	if !faults.Frozen && s.faults.Frozen {
-		close(s.thawed)
+		close(s.unfrozen)
 	}
 	s.faults = faults
 }
@@ -125,12 +125,12 @@
 	return shard.Token, ok
 }
 
-// frozen blocks while the server is frozen.
-func (s *Server) frozen(ctx context.Context) {
+// waitWhileFrozen blocks while the server is frozen.
+func (s *Server) waitWhileFrozen(ctx context.Context) {
 	for {
 		s.mu.Lock()
 		isFrozen := s.faults.Frozen
-		thawed := s.thawed
+		thawed := s.unfrozen
 		s.mu.Unlock()
 		if !isFrozen {
 			return
@@ -145,7 +145,7 @@
 
 // Grant implements backend.Control for callers in the same process.
 func (s *Server) Grant(ctx context.Context, grant ownership.Grant) (backend.Report, error) {
-	s.frozen(ctx)
+	s.waitWhileFrozen(ctx)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	err := s.holder.Accept(grant)
@@ -159,7 +159,7 @@
 
 // Report implements backend.Control for callers in the same process.
 func (s *Server) Report(ctx context.Context, page string) (backend.Report, error) {
-	s.frozen(ctx)
+	s.waitWhileFrozen(ctx)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.report(page), nil
@@ -170,9 +170,9 @@
 // report returns the server's state. The caller must hold s.mu.
 func (s *Server) report(page string) backend.Report {
 	now := s.clock.Now()
-	if now-s.sampleAt >= s.config.ReportLag {
-		s.sampled = len(s.running)
-		s.sampleAt = now
+	if now-s.sampledAt >= s.config.ReportInterval {
+		s.sampledLoad = len(s.requests)
+		s.sampledAt = now
 	}
 	return backend.Report{
 		Server:      s.config.Name,
@@ -180,7 +180,7 @@
 		Incarnation: s.holder.Incarnation(),
 		Generation:  s.holder.Generation(page),
 		Busy:        s.busy(now, page),
-		InFlight:    s.sampled,
+		InFlight:    s.sampledLoad,
 		Draining:    s.faults.Draining,
 	}
 }
@@ -189,7 +189,7 @@
 // caller must hold s.mu.
 func (s *Server) busy(now time.Duration, page string) []uint64 {
 	var hashes []uint64
-	for request := range s.running {
+	for request := range s.requests {
 		if request.page != page || !request.keyed {
 			continue
 		}
@@ -206,16 +206,16 @@
 	container := restful.NewContainer()
 	routes := new(restful.WebService)
 	routes.Path("/cicada").Consumes(restful.MIME_JSON).Produces(restful.MIME_JSON)
-	routes.Route(routes.POST("/grant").To(s.takeGrant))
-	routes.Route(routes.GET("/report").To(s.takeProbe))
+	routes.Route(routes.POST("/grant").To(s.handleGrant))
+	routes.Route(routes.GET("/report").To(s.handleReport))
 	container.Add(routes)
 	mux := http.NewServeMux()
 	mux.Handle("/cicada/", container)
-	mux.HandleFunc("/", s.serve)
+	mux.HandleFunc("/", s.handleRequest)
 	return mux
 }
 
-func (s *Server) takeGrant(request *restful.Request, response *restful.Response) {
+func (s *Server) handleGrant(request *restful.Request, response *restful.Response) {
 	var grant ownership.Grant
 	if err := json.NewDecoder(request.Request.Body).Decode(&grant); err != nil {
 		_ = response.WriteErrorString(http.StatusBadRequest, err.Error())
@@ -226,7 +226,7 @@
 	_ = response.WriteAsJson(report)
 }
 
-func (s *Server) takeProbe(request *restful.Request, response *restful.Response) {
+func (s *Server) handleReport(request *restful.Request, response *restful.Response) {
 	report, _ := s.Report(request.Request.Context(), request.QueryParameter("page"))
 	response.PrettyPrint(false)
 	_ = response.WriteAsJson(report)
--- a/standin/server_test.go
+++ b/standin/server_test.go
@@ -35,9 +35,9 @@
 	c.now += d
 }
 
-func openServer(t *testing.T, checked bool) conformance.Server {
+func startServer(t *testing.T, checked bool) conformance.Server {
 	clock := &manualClock{now: time.Hour}
-	server := standin.NewServer(standin.ServerConfig{Name: "s1", Service: "test", Slots: 2, Checked: checked}, clock, 7)
+	server := standin.NewServer(standin.ServerConfig{Name: "s1", Service: "test", Slots: 2, ChecksTokens: checked}, clock, 7)
 	httpServer := httptest.NewServer(server.Handler())
 	t.Cleanup(httpServer.Close)
 	return conformance.Server{
@@ -59,9 +59,9 @@
 }
 
 func TestCheckedServerConforms(t *testing.T) {
-	conformance.Checked(t, func(t *testing.T) conformance.Server { return openServer(t, true) })
+	conformance.Checked(t, func(t *testing.T) conformance.Server { return startServer(t, true) })
 }
 
 func TestUncheckedServerConforms(t *testing.T) {
-	conformance.Unchecked(t, func(t *testing.T) conformance.Server { return openServer(t, false) })
+	conformance.Unchecked(t, func(t *testing.T) conformance.Server { return startServer(t, false) })
 }
--- a/tools/mutants/main.go
+++ b/tools/mutants/main.go
@@ -89,7 +89,7 @@
 		running.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			results[i] = try(m, flags)
+			results[i] = testMutant(m, flags)
 		})
 	}
 	running.Wait()
@@ -112,8 +112,8 @@
 	detail  string
 }
 
-// try runs the tests against one mutant.
-func try(m mutant, flags options) result {
+// testMutant runs the tests against one mutant.
+func testMutant(m mutant, flags options) result {
 	began := time.Now()
 	dir, err := os.MkdirTemp("", "mutant")
 	if err != nil {
--- a/tools/mutants/main_test.go
+++ b/tools/mutants/main_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against a mutant whose quoted code has changed since: it could not be applied.
-func TestMutantsMeetTheCode(t *testing.T) {
+func TestMutantsMatchCode(t *testing.T) {
 	for _, m := range allMutants() {
 		text, err := os.ReadFile(filepath.Join("..", "..", m.file))
 		assert.NilError(t, err)
