--- a/bench/failover.go
+++ b/bench/failover.go
@@ -114,7 +114,6 @@
 	return max(longest, time.Since(last))
 }
 
-// causeLoss causes the loss.
 func (s *Site) causeLoss(loss Loss) {
 	page := s.testPage()
 	switch loss {
--- a/soak/host.go
+++ b/soak/host.go
@@ -141,8 +141,8 @@
 	h.recordWindow(&h.plannedStops, from)
 }
 
-// overdueStopViolations returns a violation for each planned stop that exceeded the grace time although
-// the process was neither paused nor killed during it.
+// overdueStopViolations returns a violation for each planned stop that exceeded the grace
+// time although the process was neither paused nor killed during it.
 func (h *host) overdueStopViolations() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -105,8 +105,9 @@
 	at     time.Time
 }
 
-// Run runs the test with one seed. It returns an error only if the run itself failed;
-// violated guarantees are in the result.
+// Run runs the test with one seed. It returns an error if the run could not start or was
+// canceled. Violations of guarantees, and errors of the run after its start, are in the
+// result.
 func Run(ctx context.Context, options Options) (Result, error) {
 	serving, stopServing := context.WithCancel(ctx)
 	defer stopServing()
@@ -341,8 +342,8 @@
 	return missing
 }
 
-// checkGuarantees checks the guarantees against the responses that callers got and the requests that
-// servers ran.
+// checkGuarantees checks the guarantees against the responses that callers got and the
+// requests that servers ran.
 func (r *run) checkGuarantees() Result {
 	runs := r.site.RunsByID()
 	report := r.load.Check(runs)
