--- a/bench/failover.go
+++ b/bench/failover.go
@@ -12,43 +12,42 @@
 	"cicadarouter/standin"
 )
 
-// Loss is a kind of loss that a failover is measured for.
+// Loss is a kind of failure, or planned move, for which the recovery is measured.
 type Loss string
 
-// The losses.
+// The kinds of losses.
 const (
-	LoseServer        Loss = "server frozen"
-	LoseController    Loss = "assigning controller lost"
-	LoseBoth          Loss = "server frozen and assigning controller lost"
-	LoseRouter        Loss = "dispatch router lost"
-	LoseHost          Loss = "host of assigner or dispatcher lost"
-	LoseStore         Loss = "store down throughout"
-	LoseStoreAndRoute Loss = "store down, dispatch router lost"
-	LoseAndReplace    Loss = "store down, assigner's host replaced"
-	MoveShard         Loss = "server drains (planned move)"
+	FreezeServer                  Loss = "server frozen"
+	LoseController                Loss = "assigning controller lost"
+	FreezeServerAndLoseController Loss = "server frozen and assigning controller lost"
+	LoseRouter                    Loss = "dispatch router lost"
+	LoseHost                      Loss = "host of assigner or dispatcher lost"
+	LoseStore                     Loss = "store down throughout"
+	LoseStoreAndRouter            Loss = "store down, dispatch router lost"
+	LoseStoreAndReplaceHost       Loss = "store down, assigner's host replaced"
+	MoveShard                     Loss = "server drains (planned move)"
 )
 
 // Losses lists all kinds.
 func Losses() []Loss {
-	return []Loss{LoseServer, LoseController, LoseBoth, LoseRouter, LoseHost, LoseStore, LoseStoreAndRoute, LoseAndReplace, MoveShard}
+	return []Loss{FreezeServer, LoseController, FreezeServerAndLoseController, LoseRouter, LoseHost, LoseStore, LoseStoreAndRouter, LoseStoreAndReplaceHost, MoveShard}
 }
 
 // testKey is the key whose unavailability is measured.
 const testKey = "key-1"
 
-// Recovery is what a loss cost.
+// Recovery is the cost of a loss.
 type Recovery struct {
-	// Unavailable is the longest time for which a key that the loss concerned
-	// was not served.
+	// Unavailable is the longest time for which an affected key was not served.
 	Unavailable time.Duration
-	// Writes, Reads and Watches are the calls of the store in the seconds
-	// around the loss, the idle ones included.
+	// Writes, Reads and Watches are the calls to the store in the seconds around the loss,
+	// including those that are made without a loss too.
 	Writes, Reads, Watches int64
-	// Moved is the number of shards that got a new owner.
+	// Moved is the number of shards whose owner changed.
 	Moved int
 }
 
-// FailOver starts a site, causes a loss, and returns what it cost.
+// FailOver starts a site, causes a loss and returns its cost.
 func FailOver(loss Loss, config Config) (Recovery, error) {
 	config.HTTP = true
 	site, err := Start(config)
@@ -60,13 +59,13 @@
 	if err := site.Settle(settle); err != nil {
 		return Recovery{}, err
 	}
-	entry := site.entryFor()
-	if err := site.serveOnce(entry, settle); err != nil {
+	entry := site.chooseEntryHost()
+	if err := site.waitUntilServing(entry, settle); err != nil {
 		return Recovery{}, err
 	}
-	before, owners := site.read(), site.owners()
+	before, owners := site.readCounters(), site.owners()
 	recovery := Recovery{Unavailable: site.measureLoss(loss, entry)}
-	after := site.read()
+	after := site.readCounters()
 	recovery.Writes = after.writes - before.writes
 	recovery.Reads = after.reads - before.reads
 	recovery.Watches = after.watches - before.watches
@@ -78,7 +77,7 @@
 	return recovery, nil
 }
 
-// owners returns the owner of each shard of the service, by its first hash.
+// owners returns the owner of each shard of the service, by the shard's lowest hash.
 func (s *Site) owners() map[uint64]string {
 	owners := map[uint64]string{}
 	for _, page := range s.pages() {
@@ -89,13 +88,13 @@
 	return owners
 }
 
-// measureLoss sends a request every few milliseconds and returns the longest
-// time between two that were done.
-func (s *Site) measureLoss(loss Loss, entry *entryHost) time.Duration {
+// measureLoss sends requests in quick succession, causes the loss, and returns the longest
+// time between two requests that were answered.
+func (s *Site) measureLoss(loss Loss, entry *siteHost) time.Duration {
 	const (
 		before = 300 * time.Millisecond
 		after  = 4 * time.Second
-		every  = 3 * time.Millisecond
+		pause  = 3 * time.Millisecond
 	)
 	began := time.Now()
 	last := began
@@ -104,28 +103,27 @@
 	for time.Since(began) < before+after {
 		if !caused && time.Since(began) > before {
 			caused = true
-			s.cause(loss)
+			s.causeLoss(loss)
 		}
-		if s.ask(entry, 100*time.Millisecond) {
+		if s.sendRequest(entry, 100*time.Millisecond) {
 			longest = max(longest, time.Since(last))
 			last = time.Now()
 		}
-		time.Sleep(every)
+		time.Sleep(pause)
 	}
 	return max(longest, time.Since(last))
 }
 
-// cause makes the loss happen.
-func (s *Site) cause(loss Loss) {
+func (s *Site) causeLoss(loss Loss) {
 	page := s.testPage()
 	switch loss {
-	case LoseServer:
+	case FreezeServer:
 		s.setFaults(page, standin.ServerFaults{Frozen: true})
 	case MoveShard:
 		s.setFaults(page, standin.ServerFaults{Draining: true})
 	case LoseController:
 		s.killController(s.host(page.Group[0]))
-	case LoseBoth:
+	case FreezeServerAndLoseController:
 		s.setFaults(page, standin.ServerFaults{Frozen: true})
 		s.killController(s.host(page.Group[0]))
 	case LoseRouter:
@@ -134,12 +132,12 @@
 		s.kill(s.host(s.dispatcher(page)))
 	case LoseStore:
 		s.store.down.Store(true)
-	case LoseAndReplace:
+	case LoseStoreAndReplaceHost:
 		s.store.down.Store(true)
 		lost := s.host(page.Group[0])
 		s.kill(lost)
 		s.replace(lost)
-	case LoseStoreAndRoute:
+	case LoseStoreAndRouter:
 		s.store.down.Store(true)
 		s.killRouter(s.host(s.dispatcher(page)))
 	}
@@ -164,8 +162,8 @@
 	return record.Page{}
 }
 
-func (s *Site) host(name string) *entryHost {
-	index := slices.IndexFunc(s.hosts, func(h *entryHost) bool { return h.name == name })
+func (s *Site) host(name string) *siteHost {
+	index := slices.IndexFunc(s.hosts, func(h *siteHost) bool { return h.name == name })
 	return s.hosts[index]
 }
 
@@ -181,12 +179,12 @@
 	return s.hosts[0].name
 }
 
-// entryFor returns a host that neither assigns nor dispatches the test page, if
-// there is one: it plays the entry host of the callers.
-func (s *Site) entryFor() *entryHost {
+// chooseEntryHost returns the host to which callers send their requests. It is one that neither
+// assigns nor dispatches the test page, if there is one.
+func (s *Site) chooseEntryHost() *siteHost {
 	page := s.testPage()
-	const tries = 100
-	for range tries {
+	const maxTries = 100
+	for range maxTries {
 		for _, h := range s.hosts {
 			if h.name != page.Group[0] && h.name != s.dispatcher(page) {
 				return h
@@ -197,8 +195,8 @@
 	return s.hosts[len(s.hosts)-1]
 }
 
-// ask sends one idempotent request and reports whether it was done.
-func (s *Site) ask(entry *entryHost, deadline time.Duration) bool {
+// sendRequest sends one idempotent request and reports whether its outcome is "done".
+func (s *Site) sendRequest(entry *siteHost, deadline time.Duration) bool {
 	request := httptest.NewRequest(http.MethodGet, "/s/"+serviceName+"/item", nil)
 	request.Header.Set(caller.HeaderKey, testKey)
 	request.Header.Set(caller.HeaderDeadlineMs, strconv.FormatInt(deadline.Milliseconds(), 10))
@@ -207,16 +205,16 @@
 	return recorder.Header().Get(caller.HeaderOutcome) == string(caller.Done)
 }
 
-// NotServedError reports a site that serves nothing.
+// NotServedError reports a site that did not serve a request in time.
 type NotServedError struct{}
 
 // Error implements error.
 func (NotServedError) Error() string { return "the site serves nothing" }
 
-func (s *Site) serveOnce(entry *entryHost, limit time.Duration) error {
+func (s *Site) waitUntilServing(entry *siteHost, limit time.Duration) error {
 	until := time.Now().Add(limit)
 	for time.Now().Before(until) {
-		if s.ask(entry, time.Second) {
+		if s.sendRequest(entry, time.Second) {
 			return nil
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/bench/links.go
+++ b/bench/links.go
@@ -15,42 +15,42 @@
 	"cicadarouter/link/linkpb"
 )
 
-// frameBytes is what HTTP/2 and gRPC add to a message on an open connection:
-// two frame headers, the message prefix, and indexed headers.
-const frameBytes = 45
+// frameOverhead is the overhead of HTTP/2 and gRPC for a message on an open connection: two
+// frame headers, the message prefix and indexed headers.
+const frameOverhead = 45
 
-// traffic counts messages and their bytes on all links.
+// traffic counts messages and their bytes.
 type traffic struct {
 	messages atomic.Int64
 	bytes    atomic.Int64
 }
 
-func (t *traffic) note(message proto.Message) {
+func (t *traffic) record(message proto.Message) {
 	t.messages.Add(1)
-	t.bytes.Add(int64(proto.Size(message) + frameBytes))
+	t.bytes.Add(int64(proto.Size(message) + frameOverhead))
 }
 
-// network joins the processes of a site by direct calls.
+// network connects the daemons of a site by direct calls.
 type network struct {
 	control traffic
 	relays  traffic
 	servers traffic
 
-	mu        sync.Mutex
-	controls  map[string]linkpb.ControlServer
-	dispatchs map[string]linkpb.DispatchServer
+	mu              sync.Mutex
+	controlServers  map[string]linkpb.ControlServer
+	dispatchServers map[string]linkpb.DispatchServer
 }
 
 func newNetwork() *network {
-	return &network{controls: map[string]linkpb.ControlServer{}, dispatchs: map[string]linkpb.DispatchServer{}}
+	return &network{controlServers: map[string]linkpb.ControlServer{}, dispatchServers: map[string]linkpb.DispatchServer{}}
 }
 
 // remove makes an address unreachable.
 func (n *network) remove(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.controls, address)
-	delete(n.dispatchs, address)
+	delete(n.controlServers, address)
+	delete(n.dispatchServers, address)
 }
 
 // Control implements link.Peers.
@@ -73,19 +73,19 @@
 func (c *controlClient) server() (linkpb.ControlServer, error) {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
-	server, ok := c.network.controls[c.address]
+	server, ok := c.network.controlServers[c.address]
 	if !ok {
 		return nil, errUnreachable
 	}
 	return server, nil
 }
 
-// exchange calls a handler and counts both messages.
-func exchange[I, O proto.Message](ctx context.Context, count *traffic, in I, handler func(context.Context, I) (O, error)) (O, error) {
-	count.note(in)
+// callCounted calls a handler and counts the request and the response.
+func callCounted[I, O proto.Message](ctx context.Context, count *traffic, in I, handler func(context.Context, I) (O, error)) (O, error) {
+	count.record(in)
 	out, err := handler(ctx, in)
 	if err == nil {
-		count.note(out)
+		count.record(out)
 	}
 	return out, err
 }
@@ -96,7 +96,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return exchange(ctx, &c.network.control, in, server.Agree)
+	return callCounted(ctx, &c.network.control, in, server.Agree)
 }
 
 // Stop implements linkpb.ControlClient.
@@ -105,7 +105,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return exchange(ctx, &c.network.control, in, server.Stop)
+	return callCounted(ctx, &c.network.control, in, server.Stop)
 }
 
 // Probe implements linkpb.ControlClient.
@@ -114,7 +114,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return exchange(ctx, &c.network.control, in, server.Probe)
+	return callCounted(ctx, &c.network.control, in, server.Probe)
 }
 
 // Report implements linkpb.ControlClient.
@@ -123,7 +123,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return exchange(ctx, &c.network.control, in, server.Report)
+	return callCounted(ctx, &c.network.control, in, server.Report)
 }
 
 // Records implements linkpb.ControlClient.
@@ -141,7 +141,7 @@
 	return s, nil
 }
 
-// stream is both ends of a stream of records.
+// stream implements both ends of a stream of records.
 type stream struct {
 	ctx     context.Context
 	updates chan *linkpb.RecordsUpdate
@@ -149,15 +149,15 @@
 	address string
 }
 
-// Send implements the server's end.
+// Send implements the server end of the stream.
 func (s *stream) Send(update *linkpb.RecordsUpdate) error {
 	s.network.mu.Lock()
-	_, there := s.network.controls[s.address]
+	_, reachable := s.network.controlServers[s.address]
 	s.network.mu.Unlock()
-	if !there {
+	if !reachable {
 		return errUnreachable
 	}
-	s.network.relays.note(update)
+	s.network.relays.record(update)
 	select {
 	case s.updates <- update:
 		return nil
@@ -166,7 +166,7 @@
 	}
 }
 
-// Recv implements the client's end.
+// Recv implements the client end of the stream.
 func (s *stream) Recv() (*linkpb.RecordsUpdate, error) {
 	select {
 	case update, ok := <-s.updates:
@@ -179,7 +179,7 @@
 	}
 }
 
-// The rest of both ends' interfaces, which nothing here uses.
+// The remaining methods of the stream interfaces are not used here.
 
 func (s *stream) Context() context.Context     { return s.ctx }
 func (s *stream) SetHeader(metadata.MD) error  { return nil }
@@ -199,7 +199,7 @@
 func (c *dispatchClient) server() (linkpb.DispatchServer, error) {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
-	server, ok := c.network.dispatchs[c.address]
+	server, ok := c.network.dispatchServers[c.address]
 	if !ok {
 		return nil, errUnreachable
 	}
@@ -212,7 +212,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return exchange(ctx, &c.network.control, in, server.Lease)
+	return callCounted(ctx, &c.network.control, in, server.Lease)
 }
 
 // Counts implements linkpb.DispatchClient.
@@ -221,10 +221,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return exchange(ctx, &c.network.control, in, server.Counts)
+	return callCounted(ctx, &c.network.control, in, server.Counts)
 }
 
-// Forward implements linkpb.DispatchClient. It is data, not control, and not counted.
+// Forward implements linkpb.DispatchClient. It is not counted, because it carries requests
+// and not control traffic.
 func (c *dispatchClient) Forward(ctx context.Context, in *linkpb.ForwardRequest, _ ...grpc.CallOption) (*linkpb.ForwardReply, error) {
 	server, err := c.server()
 	if err != nil {
--- a/bench/site.go
+++ b/bench/site.go
@@ -23,20 +23,21 @@
 	"cicadarouter/standin"
 )
 
-// Config is the size of a site: one failure domain with one keyed service.
+// Config is the configuration of a site: one failure domain with one keyed service.
 type Config struct {
 	Hosts   int
 	Pages   int
 	Servers int
 	// Shards is the number of shards for each server.
 	Shards int
-	// HTTP has the servers listen on loopback, for requests and for grants.
+	// HTTP makes the servers listen on loopback for requests and grants, instead of being
+	// called directly.
 	HTTP bool
 	// BasePort is the port of the first server.
 	BasePort int
 }
 
-// The names that a site uses.
+// The fixed parameters of a site.
 const (
 	domainName  = "a"
 	serviceName = "split"
@@ -44,13 +45,13 @@
 	connections = 130
 )
 
-// entryHost is the two daemons of a host.
-type entryHost struct {
+// siteHost is a host: its router and controller daemons.
+type siteHost struct {
 	name       string
 	router     *router.Router
 	front      *router.Front
 	controller *domain.Controller
-	// The two daemons' copies of the records.
+	// The records as each of the two daemons knows them.
 	routerDirectory      *directory.Directory
 	controllerDirectory  *directory.Directory
 	stop, stopController context.CancelFunc
@@ -59,9 +60,9 @@
 // Site runs one failure domain.
 type Site struct {
 	config  Config
-	store   *countedStore
+	store   *countingStore
 	network *network
-	hosts   []*entryHost
+	hosts   []*siteHost
 	fleet   *standin.Fleet
 	servers map[string]*standin.Server
 	running sync.WaitGroup
@@ -71,7 +72,7 @@
 func Start(config Config) (*Site, error) {
 	s := &Site{
 		config:  config,
-		store:   &countedStore{Store: memstore.New()},
+		store:   &countingStore{Store: memstore.New()},
 		network: newNetwork(),
 		servers: map[string]*standin.Server{},
 	}
@@ -90,7 +91,7 @@
 
 func (s *Site) fleetConfig() standin.FleetConfig {
 	return standin.FleetConfig{
-		ServerConfig: standin.ServerConfig{Service: serviceName, Slots: slots, Checked: true, Work: time.Millisecond},
+		ServerConfig: standin.ServerConfig{Service: serviceName, Slots: slots, ChecksTokens: true, ServiceTime: time.Millisecond},
 		Domains:      []string{domainName},
 		Count:        s.config.Servers,
 		IP:           "127.0.0.1",
@@ -107,9 +108,9 @@
 		return err
 	}
 	for i := range config.Count {
-		single := config.ServerConfig
-		single.Name = config.ServerName(i)
-		s.servers[single.Name] = standin.NewServer(single, clock.System(), rand.Uint64()|1)
+		serverConfig := config.ServerConfig
+		serverConfig.Name = config.ServerName(i)
+		s.servers[serverConfig.Name] = standin.NewServer(serverConfig, clock.System(), rand.Uint64()|1)
 	}
 	return nil
 }
@@ -143,39 +144,40 @@
 
 func hostName(index int) string { return fmt.Sprintf("a-%03d", index) }
 
-// hostList is the platform's list without one host.
-func (s *Site) hostList(gone string) []platform.Host {
+// hostList returns the platform's host list without the excluded host.
+func (s *Site) hostList(excluded string) []platform.Host {
 	var hosts []platform.Host
 	for i := range s.config.Hosts {
 		name := hostName(i)
-		if name != gone {
+		if name != excluded {
 			hosts = append(hosts, platform.Host{Name: name, Domain: domainName, Link: name + "/c", RouterLink: name + "/r"})
 		}
 	}
 	return hosts
 }
 
-func (s *Site) startHost(index int) *entryHost {
+func (s *Site) startHost(index int) *siteHost {
 	name := hostName(index)
 	ctx, stop := context.WithCancel(context.Background())
-	controlling, stopController := context.WithCancel(ctx)
+	controllerCtx, stopController := context.WithCancel(ctx)
 	dir := directory.New()
-	h := &entryHost{name: name, stop: stop, stopController: stopController, routerDirectory: dir, controllerDirectory: directory.New()}
+	h := &siteHost{name: name, stop: stop, stopController: stopController, routerDirectory: dir, controllerDirectory: directory.New()}
 	h.controller = domain.NewController(link.Identity{Host: name, Domain: domainName}, ownership.DefaultTerms(),
 		domain.DefaultTiming(), s.store, h.controllerDirectory, s.network, s.dialer(), s.seeds(), clock.System(), logs.Discard())
 	identity := link.Identity{Host: name, Domain: domainName}
 	h.router = router.New(identity, router.DefaultLimits(), dir, s.network, clock.System(), time.Now, rand.Uint64()|1, logs.Discard())
 	h.front = router.NewFront(h.router)
 	s.network.mu.Lock()
-	s.network.controls[name+"/c"] = domain.NewLinkServer(h.controller)
-	s.network.dispatchs[name+"/r"] = router.NewLinkServer(h.router)
+	s.network.controlServers[name+"/c"] = domain.NewLinkServer(h.controller)
+	s.network.dispatchServers[name+"/r"] = router.NewLinkServer(h.router)
 	s.network.mu.Unlock()
-	s.running.Go(func() { h.controller.Run(controlling) })
+	s.running.Go(func() { h.controller.Run(controllerCtx) })
 	s.running.Go(func() { router.Feed(ctx, dir, s.network, identity, []string{name + "/c"}) })
 	return h
 }
 
-// seeds are the links of the first hosts, as the settings of a host would name them.
+// seeds returns the controller addresses of the first hosts, as they would be in a host's
+// settings.
 func (s *Site) seeds() domain.Seeds {
 	var seeds domain.Seeds
 	for i := range min(s.config.Hosts, 3) {
@@ -184,8 +186,8 @@
 	return seeds
 }
 
-// dialer returns the way to backend servers, which counts what a grant and its
-// answer take.
+// dialer returns how controllers reach the servers: over HTTP, or by direct calls whose
+// messages are counted.
 func (s *Site) dialer() domain.ServerDialer {
 	if s.config.HTTP {
 		transport := &http.Transport{MaxIdleConnsPerHost: 2}
@@ -194,66 +196,67 @@
 		}
 	}
 	return func(server record.Server) backend.Control {
-		return &countedControl{server: s.servers[server.Name], count: &s.network.servers}
+		return &countingControl{server: s.servers[server.Name], count: &s.network.servers}
 	}
 }
 
-// httpBytes is what HTTP/1.1 headers add to a grant and its answer.
-const httpBytes = 310
+// httpOverhead is the overhead of HTTP/1.1 headers for a grant and its response.
+const httpOverhead = 310
 
-// countedControl calls a server directly and counts what a wire would carry.
-type countedControl struct {
+// countingControl calls a server directly and counts the messages and bytes that a network
+// would carry.
+type countingControl struct {
 	server *standin.Server
 	count  *traffic
 }
 
 // Grant implements backend.Control.
-func (c *countedControl) Grant(ctx context.Context, grant ownership.Grant) (backend.Report, error) {
+func (c *countingControl) Grant(ctx context.Context, grant ownership.Grant) (backend.Report, error) {
 	report, err := c.server.Grant(ctx, grant)
-	c.note(grant, report)
+	c.countMessages(grant, report)
 	return report, err
 }
 
 // Report implements backend.Control.
-func (c *countedControl) Report(ctx context.Context, page string) (backend.Report, error) {
+func (c *countingControl) Report(ctx context.Context, page string) (backend.Report, error) {
 	report, err := c.server.Report(ctx, page)
-	c.note(page, report)
+	c.countMessages(page, report)
 	return report, err
 }
 
-func (c *countedControl) note(in, out any) {
-	sent, _ := json.Marshal(in)
-	got, _ := json.Marshal(out)
+func (c *countingControl) countMessages(in, out any) {
+	request, _ := json.Marshal(in)
+	response, _ := json.Marshal(out)
 	c.count.messages.Add(2)
-	c.count.bytes.Add(int64(len(sent) + len(got) + httpBytes))
+	c.count.bytes.Add(int64(len(request) + len(response) + httpOverhead))
 }
 
-// kill ends a host's daemons at once, as a lost host would.
-func (s *Site) kill(h *entryHost) {
+// kill makes a host's daemons unreachable and stops them, like the failure of the host.
+func (s *Site) kill(h *siteHost) {
 	s.network.remove(h.name + "/c")
 	s.network.remove(h.name + "/r")
 	h.stop()
 }
 
-// killController ends only a host's controller.
-func (s *Site) killController(h *entryHost) {
+// killController makes a host's controller unreachable and stops it.
+func (s *Site) killController(h *siteHost) {
 	s.network.remove(h.name + "/c")
 	h.stopController()
 }
 
-// killRouter makes only a host's router unreachable.
-func (s *Site) killRouter(h *entryHost) { s.network.remove(h.name + "/r") }
+// killRouter makes a host's router unreachable.
+func (s *Site) killRouter(h *siteHost) { s.network.remove(h.name + "/r") }
 
-// replace starts empty daemons at a lost host's name and addresses.
-func (s *Site) replace(lost *entryHost) {
+// replace starts new daemons, without records, under a killed host's name and addresses.
+func (s *Site) replace(killed *siteHost) {
 	for i, h := range s.hosts {
-		if h == lost {
+		if h == killed {
 			s.hosts[i] = s.startHost(i)
 		}
 	}
 }
 
-// Close ends the site.
+// Close stops the site and waits until it has stopped.
 func (s *Site) Close() {
 	for _, h := range s.hosts {
 		h.stop()
@@ -264,7 +267,7 @@
 	}
 }
 
-// pages returns the pages as the store has them.
+// pages returns the page records in the store.
 func (s *Site) pages() []record.Page {
 	snapshot, _ := s.store.Store.List(context.Background())
 	var pages []record.Page
@@ -289,7 +292,7 @@
 
 // Settle waits until every shard has an owner.
 func (s *Site) Settle(limit time.Duration) error {
-	const poll = 50 * time.Millisecond
+	const pollInterval = 50 * time.Millisecond
 	until := time.Now().Add(limit)
 	for {
 		pages := s.pages()
@@ -307,6 +310,6 @@
 		if time.Now().After(until) {
 			return &SettleError{Pages: len(pages), Unowned: unowned}
 		}
-		time.Sleep(poll)
+		time.Sleep(pollInterval)
 	}
 }
--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -7,26 +7,27 @@
 	"time"
 )
 
-// Sample is what one site costs, for each daemon (two to a host).
+// Sample is the cost of one site without requests. CPU, Heap, Bytes and Messages are per
+// daemon; a host has two daemons.
 type Sample struct {
 	Config
-	// CPU is in share of a core, Heap in bytes, Bytes and Messages per second.
+	// CPU is a fraction of a core. Heap is in bytes. Bytes and Messages are per second.
 	CPU      float64
 	Heap     float64
 	Bytes    float64
 	Messages float64
 	// LinkBytes, RelayBytes and ServerBytes are the parts of Bytes.
 	LinkBytes, RelayBytes, ServerBytes float64
-	// Reads, Writes and Watches are the whole site's calls of the store per second.
+	// Reads, Writes and Watches are the whole site's calls to the store per second.
 	Reads, Writes, Watches float64
-	// Waiting is the number of watches that wait at a time.
+	// Waiting is the number of watches that are waiting at the end of the measurement.
 	Waiting int64
-	// PageBytes is the size of the largest page record.
+	// PageBytes is the size of the largest page record, encoded as JSON.
 	PageBytes int
 }
 
-// reading is the counters at a time.
-type reading struct {
+// counters is the values of the counters at a time.
+type counters struct {
 	at                     time.Time
 	cpu                    time.Duration
 	link, relay, servers   int64
@@ -34,10 +35,10 @@
 	reads, writes, watches int64
 }
 
-func (s *Site) read() reading {
+func (s *Site) readCounters() counters {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
-	return reading{
+	return counters{
 		at:       time.Now(),
 		cpu:      time.Duration(usage.Utime.Nano() + usage.Stime.Nano()),
 		link:     s.network.control.bytes.Load(),
@@ -50,7 +51,7 @@
 	}
 }
 
-// heap returns the live heap.
+// heap returns the size of the live heap in bytes.
 func heap() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -58,9 +59,8 @@
 	return stats.HeapAlloc
 }
 
-// quieten waits until the store has had no writes for a while, at most for a
-// bounded time.
-func (s *Site) quieten() {
+// waitForQuiet waits until the store has had no writes for 3 s, or for about a minute at most.
+func (s *Site) waitForQuiet() {
 	const (
 		quiet = 3 * time.Second
 		limit = 60 * time.Second
@@ -74,7 +74,7 @@
 	}
 }
 
-// Measure starts a site, lets it settle and measures its idle cost for a time.
+// Measure starts a site, waits until it has settled and measures its idle cost.
 func Measure(config Config, settle, measured time.Duration) (Sample, error) {
 	before := heap()
 	site, err := Start(config)
@@ -85,14 +85,14 @@
 	if err := site.Settle(settle); err != nil {
 		return Sample{}, err
 	}
-	site.quieten()
-	from := site.read()
+	site.waitForQuiet()
+	from := site.readCounters()
 	time.Sleep(measured)
-	to := site.read()
+	to := site.readCounters()
 	return site.sample(from, to, heap()-before), nil
 }
 
-func (s *Site) sample(from, to reading, heapBytes uint64) Sample {
+func (s *Site) sample(from, to counters, heapBytes uint64) Sample {
 	seconds := to.at.Sub(from.at).Seconds()
 	daemons := float64(2 * s.config.Hosts)
 	rate := func(a, b int64) float64 { return float64(b-a) / seconds }
--- a/cmd/cicada-soak/main.go
+++ b/cmd/cicada-soak/main.go
@@ -52,13 +52,13 @@
 	defer stop()
 	var runs []soak.Regression
 	for _, seed := range opts.Seeds {
-		runs = append(runs, soak.Regression{Seed: seed, Series: soak.Series(opts.Series)})
+		runs = append(runs, soak.Regression{Seed: seed, FaultList: soak.FaultListVersion(opts.Series)})
 	}
 	if opts.Kept {
 		runs = append(runs, soak.Regressions()...)
 	}
 	for range opts.Fresh {
-		runs = append(runs, soak.Regression{Seed: rand.Uint64() >> 32, Series: soak.CurrentSeries})
+		runs = append(runs, soak.Regression{Seed: rand.Uint64() >> 32, FaultList: soak.CurrentFaults})
 	}
 	for _, run := range runs {
 		seed := run.Seed
@@ -70,16 +70,16 @@
 		if opts.Quiet {
 			print = func(string) {}
 		}
-		result, err := soak.Run(ctx, soak.Options{Program: opts.Program, Dir: dir, Seed: seed, Series: run.Series, Only: opts.Only, Hosts: opts.Hosts, Servers: opts.Servers,
-			Callers: opts.Callers, Length: opts.Length, Every: opts.Every, Print: print})
+		result, err := soak.Run(ctx, soak.Options{Program: opts.Program, Dir: dir, Seed: seed, FaultList: run.FaultList, Only: opts.Only, Hosts: opts.Hosts, Servers: opts.Servers,
+			Callers: opts.Callers, FaultDuration: opts.Length, MeanInterval: opts.Every, Print: print})
 		if err != nil {
 			return failed, eris.Wrapf(err, "seed %d; logs in %s", seed, dir)
 		}
-		fmt.Printf("seed %d: %d faults, %d requests, answers by status %v, %d servers ended by requests, %d broken\n", seed, result.Faults, result.Requests, result.Statuses, result.EndedServers, len(result.Broken))
-		for _, violation := range result.Broken {
+		fmt.Printf("seed %d: %d faults, %d requests, answers by status %v, %d servers ended by requests, %d broken\n", seed, result.Faults, result.Requests, result.Statuses, result.TerminatedServers, len(result.Violations))
+		for _, violation := range result.Violations {
 			fmt.Println("  BROKEN", violation)
 		}
-		if len(result.Broken) > 0 {
+		if len(result.Violations) > 0 {
 			failed++
 			continue
 		}
--- a/load/balancer.go
+++ b/load/balancer.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// balancer stands in for the platform's balancer: it sends callers to entry
-// hosts whose health check passes.
+// balancer simulates the platform's load balancer: it chooses among the entry hosts that
+// pass the health check.
 type balancer struct {
 	entries []Entry
 	client  *http.Client
@@ -22,13 +22,13 @@
 	return &balancer{entries: entries, client: client}
 }
 
-// Pace of the health checks.
+// Interval and timeout of the health checks.
 const (
 	checkEvery   = 300 * time.Millisecond
 	checkTimeout = 200 * time.Millisecond
 )
 
-func (b *balancer) follow(ctx context.Context) {
+func (b *balancer) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		b.check(ctx)
 		time.Sleep(checkEvery)
@@ -39,7 +39,7 @@
 	passed := make([]bool, len(b.entries))
 	var checks sync.WaitGroup
 	for i, entry := range b.entries {
-		checks.Go(func() { passed[i] = b.passes(ctx, entry) })
+		checks.Go(func() { passed[i] = b.isHealthy(ctx, entry) })
 	}
 	checks.Wait()
 	var healthy []string
@@ -53,7 +53,7 @@
 	b.healthy = healthy
 }
 
-func (b *balancer) passes(ctx context.Context, entry Entry) bool {
+func (b *balancer) isHealthy(ctx context.Context, entry Entry) bool {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+entry.Admin+"/healthz", nil)
@@ -68,23 +68,24 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// wait returns once all entry hosts are healthy, or after a while with those
-// that are.
-func (b *balancer) wait(ctx context.Context) {
-	const longestWait = 15 * time.Second
-	until := time.Now().Add(longestWait)
-	for ctx.Err() == nil && time.Now().Before(until) && b.count() < len(b.entries) {
+// waitUntilHealthy waits until all entry hosts are healthy, at most for a limited time.
+func (b *balancer) waitUntilHealthy(ctx context.Context) {
+	const maxWait = 15 * time.Second
+	until := time.Now().Add(maxWait)
+	for ctx.Err() == nil && time.Now().Before(until) && b.healthyCount() < len(b.entries) {
 		time.Sleep(checkTimeout)
 	}
 }
 
-func (b *balancer) count() int {
+func (b *balancer) healthyCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.healthy)
 }
 
-// pick returns the callers' address of an entry host, other than avoid if there is one.
+// pick returns the callers' address of a random healthy entry host, or of any entry host if
+// none is healthy. Among healthy hosts it draws again, up to three times, to get one other
+// than avoid.
 func (b *balancer) pick(avoid string) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/load/experiment.go
+++ b/load/experiment.go
@@ -10,21 +10,23 @@
 	"cicadarouter/host/settings"
 )
 
-// Experiment is what an experiment file describes.
+// Experiment is the content of an experiment file.
 type Experiment struct {
 	Duration time.Duration
 	Seed     int
-	// Entries are entry hosts, each "callers-address admin-address".
+	// Entries are the entry hosts, each written "callers-address/admin-address".
 	Entries []Entry
-	// Fleets are the switches of the backend server stand-ins.
-	Fleets  []string
-	Store   string
+	// Fleets are the addresses of the fake backend servers' control APIs.
+	Fleets []string
+	// Store is the address of the fake platform.
+	Store string
+	// Output is the path of the results, without extension.
 	Output  string
 	Streams []Stream
 	Faults  []Fault
 }
 
-// Entry is an entry host as the balancer sees it.
+// Entry is the pair of addresses of an entry host.
 type Entry struct {
 	Callers string
 	Admin   string
@@ -37,21 +39,24 @@
 	// Rate is in requests per second.
 	Rate float64
 	Keys int
-	// Zipf is the exponent of the keys' popularity; 0 means all alike.
+	// Zipf is the exponent of the keys' Zipf distribution; 0 means a uniform one.
 	Zipf float64
-	// Writes is the share of non-idempotent requests.
+	// Writes is the fraction of requests that are not idempotent.
 	Writes   float64
 	Deadline time.Duration
 	Callers  int
-	// HotShare is the part of requests for the one hot key, which moves every HotEvery.
+	// HotShare is the fraction of requests for the hot key. Another key becomes the hot one
+	// every HotEvery.
 	HotShare float64
 	HotEvery time.Duration
-	// From and Until bound the stream in time; Until 0 means to the end.
+	// From and Until are the start and the end of the stream. If Until is 0, it ends with
+	// the run.
 	From, Until time.Duration
-	Keyed       bool
+	// Keyed is set if requests have keys.
+	Keyed bool
 }
 
-// Fault is something that happens to a backend server stand-in or to the store.
+// Fault is a fault that is injected into a fake backend server or into the store.
 type Fault struct {
 	Name   string
 	At     time.Duration
@@ -60,17 +65,17 @@
 	Target string
 }
 
-// The actions of faults.
+// The kinds of faults.
 const (
-	ActionFreeze = "freeze"
-	ActionDrain  = "drain"
-	ActionShed   = "shed"
-	ActionSlow   = "slow"
-	ActionStore  = "store-down"
-	ActionLose   = "lose-replies"
+	ActionFreeze        = "freeze"
+	ActionDrain         = "drain"
+	ActionShed          = "shed"
+	ActionSlow          = "slow"
+	ActionStoreDown     = "store-down"
+	ActionDropResponses = "lose-replies"
 )
 
-const longest = time.Hour
+const maxDuration = time.Hour
 
 // ReadExperiment reads an experiment file.
 func ReadExperiment(file string) (Experiment, error) {
@@ -81,7 +86,8 @@
 	return ParseExperiment(file, data)
 }
 
-// ParseExperiment is ReadExperiment on data already read.
+// ParseExperiment parses the content of an experiment file. The file name is only for
+// error messages.
 func ParseExperiment(file string, data []byte) (Experiment, error) {
 	var experiment Experiment
 	var entries []string
@@ -108,10 +114,10 @@
 	faultPrefix  = "fault."
 )
 
-type names struct{ streams, faults []string }
+type sections struct{ streams, faults []string }
 
-func sectionNames(file string, data []byte) (names, error) {
-	var found names
+func sectionNames(file string, data []byte) (sections, error) {
+	var found sections
 	loaded, err := ini.Load(data)
 	if err != nil {
 		return found, &settings.FileError{File: file, Cause: err}
@@ -130,7 +136,7 @@
 func runOptions(e *Experiment, _ *[]string) []settings.Option {
 	const addresses = "IP numbers and ports, separated by commas"
 	return []settings.Option{
-		{Section: "run", Name: "duration", Default: "20s", Allowed: "a duration from 1s to 1h", Set: settings.Duration(&e.Duration, time.Second, longest)},
+		{Section: "run", Name: "duration", Default: "20s", Allowed: "a duration from 1s to 1h", Set: settings.Duration(&e.Duration, time.Second, maxDuration)},
 		{Section: "run", Name: "seed", Default: "1", Allowed: "a whole number of at least 0", Set: settings.Int(&e.Seed, 0, 1<<31-1)},
 		{Section: "run", Name: "output", Allowed: "a path for the results, without ending", Set: settings.OptionalText(&e.Output)},
 		{Section: "system", Name: "entries", Required: true, Allowed: "pairs CALLERS/ADMIN of IP numbers and ports, separated by commas", Set: setEntries(&e.Entries)},
@@ -165,9 +171,9 @@
 		{Section: section, Name: "deadline", Default: "3s", Allowed: "a duration from 1ms to 60s", Set: settings.Duration(&s.Deadline, time.Millisecond, time.Minute)},
 		{Section: section, Name: "callers", Default: "20", Allowed: "a whole number from 1 to 100000", Set: settings.Int(&s.Callers, 1, 100_000)},
 		{Section: section, Name: "hot-share", Default: "0", Allowed: "a share from 0 to 1", Set: settings.Float(&s.HotShare, 0, 1)},
-		{Section: section, Name: "hot-every", Default: "1h", Allowed: "a duration from 1s to 1h", Set: settings.Duration(&s.HotEvery, time.Second, longest)},
-		{Section: section, Name: "from", Default: "0s", Allowed: "a duration from 0s to 1h", Set: settings.Duration(&s.From, 0, longest)},
-		{Section: section, Name: "until", Default: "0s", Allowed: "a duration from 0s to 1h; 0s means to the end", Set: settings.Duration(&s.Until, 0, longest)},
+		{Section: section, Name: "hot-every", Default: "1h", Allowed: "a duration from 1s to 1h", Set: settings.Duration(&s.HotEvery, time.Second, maxDuration)},
+		{Section: section, Name: "from", Default: "0s", Allowed: "a duration from 0s to 1h", Set: settings.Duration(&s.From, 0, maxDuration)},
+		{Section: section, Name: "until", Default: "0s", Allowed: "a duration from 0s to 1h; 0s means to the end", Set: settings.Duration(&s.Until, 0, maxDuration)},
 	}
 }
 
@@ -177,10 +183,10 @@
 }
 
 func faultOptions(section string, f *Fault) []settings.Option {
-	actions := []string{ActionFreeze, ActionDrain, ActionShed, ActionSlow, ActionStore, ActionLose}
+	actions := []string{ActionFreeze, ActionDrain, ActionShed, ActionSlow, ActionStoreDown, ActionDropResponses}
 	return []settings.Option{
-		{Section: section, Name: "at", Required: true, Allowed: "a duration from 0s to 1h", Set: settings.Duration(&f.At, 0, longest)},
-		{Section: section, Name: "for", Default: "3s", Allowed: "a duration from 0s to 1h", Set: settings.Duration(&f.For, 0, longest)},
+		{Section: section, Name: "at", Required: true, Allowed: "a duration from 0s to 1h", Set: settings.Duration(&f.At, 0, maxDuration)},
+		{Section: section, Name: "for", Default: "3s", Allowed: "a duration from 0s to 1h", Set: settings.Duration(&f.For, 0, maxDuration)},
 		{Section: section, Name: "action", Required: true, Allowed: strings.Join(actions, ", "), Set: settings.OneOf(&f.Action, actions...)},
 		{Section: section, Name: "target", Allowed: "the name of a backend server", Set: settings.OptionalText(&f.Target)},
 	}
--- a/load/report.go
+++ b/load/report.go
@@ -22,27 +22,28 @@
 	Splits     int            `json:"splits"`
 	Runs       int            `json:"runs"`
 	Violations []Violation    `json:"violations"`
-	// Timeline tells of each second of the run.
+	// Timeline has an entry for each second of the run.
 	Timeline []Second `json:"timeline"`
 	// Served counts the requests that each server ran.
 	Served map[string]int `json:"served"`
-	// Problem is why the run could not be judged, if it could not.
+	// Problem is the error that kept the run from being checked, or "".
 	Problem string `json:"problem,omitempty"`
 }
 
-// StreamReport is the part of one stream.
+// StreamReport is the result of one stream.
 type StreamReport struct {
 	Name     string         `json:"name"`
 	Outcomes map[string]int `json:"outcomes"`
-	// Latencies of calls that were done, from when they were due.
+	// P50, P99 and P999 are latencies of requests with the outcome "done", measured from
+	// when their calls were due.
 	P50  time.Duration `json:"p50"`
 	P99  time.Duration `json:"p99"`
 	P999 time.Duration `json:"p999"`
-	// Imbalance is the most loaded server's requests over the mean.
+	// Imbalance is the maximum number of requests per server divided by the mean.
 	Imbalance float64 `json:"imbalance"`
 	Servers   int     `json:"servers"`
-	// Unavailable is the longest time for which a call that in the end was
-	// done, or given up, had to wait beyond its normal time, by key.
+	// Unavailable is the longest time from when a call was due to the end of one of its
+	// requests, whatever the outcome.
 	Unavailable time.Duration `json:"unavailable"`
 }
 
@@ -68,16 +69,16 @@
 	}
 	report.Timeline = timeline(r.results, r.moves.times(), r.began)
 	if len(r.experiment.Streams) > 0 {
-		noteImbalance(report.Timeline, r.results, runs, r.began, r.experiment.Streams[0].Service)
+		setImbalance(report.Timeline, r.results, runs, r.began, r.experiment.Streams[0].Service)
 	}
-	report.Violations = Judge(r.results, runs)
+	report.Violations = CheckGuarantees(r.results, runs)
 	for _, stream := range r.experiment.Streams {
-		report.Streams = append(report.Streams, streamReport(stream, r.results))
+		report.Streams = append(report.Streams, newStreamReport(stream, r.results))
 	}
 	return report
 }
 
-func streamReport(stream Stream, results []Result) StreamReport {
+func newStreamReport(stream Stream, results []Result) StreamReport {
 	report := StreamReport{Name: stream.Name, Outcomes: map[string]int{}}
 	histogram := newHistogram()
 	served := map[string]int{}
@@ -85,7 +86,7 @@
 		if result.Stream != stream.Name {
 			continue
 		}
-		report.Outcomes[label(result)]++
+		report.Outcomes[outcomeLabel(result)]++
 		if result.Done() {
 			_ = histogram.RecordValue(result.Took.Microseconds())
 			served[result.Server]++
@@ -102,18 +103,18 @@
 
 func newHistogram() *hdrhistogram.Histogram {
 	const (
-		least  = 1
-		most   = 120_000_000 // microseconds
-		digits = 3
+		minMicros = 1
+		maxMicros = 120_000_000
+		digits    = 3
 	)
-	return hdrhistogram.New(least, most, digits)
+	return hdrhistogram.New(minMicros, maxMicros, digits)
 }
 
 func quantile(histogram *hdrhistogram.Histogram, percent float64) time.Duration {
 	return time.Duration(histogram.ValueAtPercentile(percent)) * time.Microsecond
 }
 
-func label(result Result) string {
+func outcomeLabel(result Result) string {
 	outcome := string(result.Final())
 	if outcome == "" {
 		return "connection broke"
@@ -136,7 +137,7 @@
 	return float64(most) * float64(len(served)) / float64(total)
 }
 
-// WriteText writes the report for a person.
+// WriteText writes the report as human-readable text.
 func (r Report) WriteText(out io.Writer) {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(table, "calls\t%d, of which done %d (%.3f%%)\n", r.Calls, r.CallsDone, 100*float64(r.CallsDone)/float64(max(r.Calls, 1)))
@@ -145,8 +146,8 @@
 	_ = table.Flush()
 	fmt.Fprintln(table, "\nSTREAM\tP50\tP99\tP99.9\tLONGEST WAIT\tMAX/MEAN LOAD\tSERVERS\tOUTCOMES")
 	for _, stream := range r.Streams {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%.2f\t%d\t%s\n", stream.Name, short(stream.P50), short(stream.P99), short(stream.P999),
-			short(stream.Unavailable), stream.Imbalance, stream.Servers, outcomes(stream.Outcomes))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%.2f\t%d\t%s\n", stream.Name, formatDuration(stream.P50), formatDuration(stream.P99), formatDuration(stream.P999),
+			formatDuration(stream.Unavailable), stream.Imbalance, stream.Servers, formatOutcomes(stream.Outcomes))
 	}
 	_ = table.Flush()
 	if r.Problem != "" {
@@ -155,13 +156,13 @@
 	fmt.Fprintf(out, "\noracle: %d violations\n", len(r.Violations))
 	const shown = 10
 	for _, violation := range r.Violations[:min(shown, len(r.Violations))] {
-		fmt.Fprintf(out, "  %s: %s\n", violation.Promise, violation.Detail)
+		fmt.Fprintf(out, "  %s: %s\n", violation.Guarantee, violation.Detail)
 	}
 }
 
-func short(d time.Duration) string { return d.Round(10 * time.Microsecond).String() }
+func formatDuration(d time.Duration) string { return d.Round(10 * time.Microsecond).String() }
 
-func outcomes(count map[string]int) string {
+func formatOutcomes(count map[string]int) string {
 	text := ""
 	for _, name := range slices.Sorted(maps.Keys(count)) {
 		if text != "" {
--- a/load/runner.go
+++ b/load/runner.go
@@ -22,20 +22,20 @@
 	began      time.Time
 	results    []Result
 	mu         sync.Mutex
-	working    sync.WaitGroup
+	tasks      sync.WaitGroup
 	started    atomic.Int64
 	ended      atomic.Int64
 	moves      moveCounter
 }
 
-// mostConnections bounds the connections to each entry host.
-const mostConnections = 4096
+// maxConnections is the maximum number of connections to each entry host.
+const maxConnections = 4096
 
 // NewRunner returns a runner.
 func NewRunner(experiment Experiment) *Runner {
 	transport := &http.Transport{
-		MaxIdleConnsPerHost: mostConnections,
-		MaxConnsPerHost:     mostConnections,
+		MaxIdleConnsPerHost: maxConnections,
+		MaxConnsPerHost:     maxConnections,
 		DisableCompression:  true,
 	}
 	client := &http.Client{Transport: transport}
@@ -46,32 +46,34 @@
 	}
 }
 
-// Run sends the streams, then waits for the answers that are due.
+// Run runs the experiment, waits until all calls have ended and returns the report. It
+// calls progress every second until the duration of the run has passed.
 func (r *Runner) Run(ctx context.Context, progress func(Progress)) Report {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go r.balancer.follow(ctx)
+	go r.balancer.run(ctx)
 	go r.moves.follow(ctx, r.experiment.Store)
-	r.balancer.wait(ctx)
+	r.balancer.waitUntilHealthy(ctx)
 	r.began = time.Now()
 	for i, stream := range r.experiment.Streams {
-		r.working.Add(1)
-		go r.stream(ctx, stream, rand.New(rand.NewPCG(uint64(r.experiment.Seed), uint64(i))))
+		r.tasks.Add(1)
+		go r.runStream(ctx, stream, rand.New(rand.NewPCG(uint64(r.experiment.Seed), uint64(i))))
 	}
 	for _, fault := range r.experiment.Faults {
-		r.working.Add(1)
-		go r.fault(ctx, fault)
+		r.tasks.Add(1)
+		go r.injectFault(ctx, fault)
 	}
-	r.tell(ctx, progress)
-	r.working.Wait()
+	r.reportProgress(ctx, progress)
+	r.tasks.Wait()
 	time.Sleep(settleTime)
 	return r.report()
 }
 
-// settleTime lets the servers note what they did last.
+// settleTime is the delay before the servers' records are read, so that the last requests
+// are in them.
 const settleTime = 300 * time.Millisecond
 
-// Progress is how far a run has come.
+// Progress is the state of a run in progress.
 type Progress struct {
 	Elapsed        time.Duration
 	Started, Ended int64
@@ -79,8 +81,8 @@
 	Entries        int
 }
 
-// tell reports progress each second until the streams end.
-func (r *Runner) tell(ctx context.Context, progress func(Progress)) {
+// reportProgress reports progress every second until the duration of the run has passed.
+func (r *Runner) reportProgress(ctx context.Context, progress func(Progress)) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
 	end := time.NewTimer(r.experiment.Duration)
@@ -104,7 +106,7 @@
 		Elapsed: time.Since(r.began),
 		Started: r.started.Load(),
 		Ended:   r.ended.Load(),
-		Entries: r.balancer.count(),
+		Entries: r.balancer.healthyCount(),
 	}
 	for _, result := range r.results {
 		if result.Done() {
@@ -116,9 +118,9 @@
 	return now
 }
 
-// stream sends one stream's requests at random times with the stream's rate.
-func (r *Runner) stream(ctx context.Context, stream Stream, random *rand.Rand) {
-	defer r.working.Done()
+// runStream starts one stream's calls as a Poisson process with the stream's rate.
+func (r *Runner) runStream(ctx context.Context, stream Stream, random *rand.Rand) {
+	defer r.tasks.Done()
 	keys := newKeyChooser(stream, random)
 	end := r.experiment.Duration
 	if stream.Until > 0 {
@@ -140,13 +142,13 @@
 		}
 		time.Sleep(time.Until(call.due))
 		r.started.Add(1)
-		r.working.Add(1)
+		r.tasks.Add(1)
 		go r.perform(ctx, call)
 	}
 }
 
 func (r *Runner) perform(ctx context.Context, call *call) {
-	defer r.working.Done()
+	defer r.tasks.Done()
 	results := call.perform(ctx, r)
 	r.ended.Add(1)
 	r.mu.Lock()
@@ -154,7 +156,8 @@
 	r.results = append(r.results, results...)
 }
 
-// moveCounter counts changes of owner in the store's pages.
+// moveCounter counts the shards that changed owner or were split, from the page records in
+// the store.
 type moveCounter struct {
 	mu      sync.Mutex
 	owners  map[string]map[uint64]string
@@ -163,7 +166,7 @@
 	movedAt []time.Time
 }
 
-// follow watches the store and counts.
+// follow watches the store and counts changes until the context is canceled.
 func (m *moveCounter) follow(ctx context.Context, address string) {
 	if address == "" {
 		return
@@ -180,34 +183,34 @@
 		revision = snapshot.Revision
 		for _, object := range snapshot.Objects {
 			if page, err := record.DecodePage(object.Envelope); err == nil && object.Kind == record.KindPage {
-				m.note(page)
+				m.countChanges(page)
 			}
 		}
 	}
 }
 
-// note compares a page with its last generation.
-func (m *moveCounter) note(page record.Page) {
+// countChanges compares a page with its previous version and counts the changes.
+func (m *moveCounter) countChanges(page record.Page) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.owners == nil {
 		m.owners = map[string]map[uint64]string{}
 	}
-	known := m.owners[page.Name]
-	fresh := map[uint64]string{}
+	oldOwners := m.owners[page.Name]
+	newOwners := map[uint64]string{}
 	for _, shard := range page.Shards {
 		owner := shard.Owner
-		fresh[shard.Low] = owner
-		before, had := known[shard.Low]
+		newOwners[shard.Low] = owner
+		oldOwner, existed := oldOwners[shard.Low]
 		switch {
-		case !had && known != nil:
+		case !existed && oldOwners != nil:
 			m.splits++
-		case had && before != "" && before != owner:
+		case existed && oldOwner != "" && oldOwner != owner:
 			m.moves++
 			m.movedAt = append(m.movedAt, time.Now())
 		}
 	}
-	m.owners[page.Name] = fresh
+	m.owners[page.Name] = newOwners
 }
 
 func (m *moveCounter) counts() (moves, splits int) {
@@ -216,7 +219,7 @@
 	return m.moves, m.splits
 }
 
-// times returns when each shard moved.
+// times returns the times at which shards moved.
 func (m *moveCounter) times() []time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/soak/host.go
+++ b/soak/host.go
@@ -14,30 +14,31 @@
 	"github.com/rotisserie/eris"
 )
 
-// grace is how long after SIGTERM a host is killed.
-const grace = 4 * time.Second
+// stopGrace is how long a host may take to stop after SIGTERM.
+const stopGrace = 4 * time.Second
 
-// host is one cicada-gateway process, started again whenever it ends.
+// host is one cicada-gateway process on a network address of its own. The faults that end
+// it restart it.
 type host struct {
-	name    string
-	program string
-	dir     string
-	callers string
-	ready   string
-	store   *Proxy
-
-	mu       sync.Mutex
-	running  *exec.Cmd
-	gone     chan struct{} // closed when running has ended
-	asked    bool          // the end of running was asked for
-	upSince  time.Time
-	ownEnds  []string
-	planned  []window // planned stops, from SIGTERM to the end of the process
-	overdue  []window // those that did not end in time, until they were killed
-	disturbs []window // pauses and kills
+	name           string
+	program        string
+	dir            string
+	callersAddress string
+	readyAddress   string
+	storeProxy     *Proxy
+
+	mu              sync.Mutex
+	running         *exec.Cmd
+	exited          chan struct{} // closed when running has exited
+	stopRequested   bool          // this package sent SIGTERM or SIGKILL to running
+	upSince         time.Time
+	unexpectedExits []string
+	plannedStops    []window // planned stops, from SIGTERM to the exit of the process
+	overdueStops    []window // planned stops that exceeded the grace time, until the process was killed
+	disturbances    []window // pauses and kills
 }
 
-// window is a span of time.
+// window is a time interval.
 type window struct{ from, to time.Time }
 
 func (w window) overlaps(from, to time.Time) bool { return w.from.Before(to) && from.Before(w.to) }
@@ -46,9 +47,9 @@
 	return slices.ContainsFunc(windows, func(w window) bool { return w.overlaps(from, to) })
 }
 
-// firstPort is the first port of each process. It lies below those that the
-// kernel gives to outgoing connections, one of which took the port of a host
-// that was about to start.
+// firstPort is the first listening port of each process. It is below the kernel's
+// ephemeral port range: an outgoing connection once took the port of a host that was about
+// to start.
 const firstPort = 21000
 
 func newHost(name, program, dir, ip, storeAddress string) (*host, error) {
@@ -56,21 +57,21 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &host{name: name, program: program, dir: dir, store: store}
+	h := &host{name: name, program: program, dir: dir, storeProxy: store}
 	var addresses []string
 	for n := range 4 {
 		addresses = append(addresses, fmt.Sprintf("%s:%d", ip, firstPort+n))
 	}
-	h.callers, h.ready = addresses[0], addresses[1]
+	h.callersAddress, h.readyAddress = addresses[0], addresses[1]
 	settings := fmt.Sprintf("[host]\nname = %s\ndomain = a\n[listen]\ncallers = %s\nready = %s\npeers = %s\nmetrics = %s\n[store]\naddress = %s\n[changes]\nevacuate-within = %v\n[stop]\nleave-for = 500ms\nwithin = %v\n",
-		name, addresses[0], addresses[1], addresses[2], addresses[3], store.Address(), evacuateWithin, grace)
+		name, addresses[0], addresses[1], addresses[2], addresses[3], store.Address(), evacuateWithin, stopGrace)
 	err = os.WriteFile(h.settingsFile(), []byte(settings), 0o600)
 	return h, eris.Wrap(err, "settings of a host")
 }
 
 func (h *host) settingsFile() string { return filepath.Join(h.dir, h.name+".ini") }
 
-// start starts the process, unless it runs.
+// start starts the process unless it is running.
 func (h *host) start() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -88,42 +89,43 @@
 		return eris.Wrapf(err, "starting %s", h.program)
 	}
 	gone := make(chan struct{})
-	h.running, h.gone, h.asked, h.upSince = command, gone, false, time.Now()
-	go h.wait(command, gone)
+	h.running, h.exited, h.stopRequested, h.upSince = command, gone, false, time.Now()
+	go h.waitForExit(command, gone)
 	return nil
 }
 
-func (h *host) wait(command *exec.Cmd, gone chan struct{}) {
+func (h *host) waitForExit(command *exec.Cmd, gone chan struct{}) {
 	err := command.Wait()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.asked {
-		h.ownEnds = append(h.ownEnds, fmt.Sprintf("%s ended by itself: %v", h.name, err))
+	if !h.stopRequested {
+		h.unexpectedExits = append(h.unexpectedExits, fmt.Sprintf("%s ended by itself: %v", h.name, err))
 	}
 	h.running = nil
 	close(gone)
 }
 
-// signal sends a signal to the process, and reports whether it runs.
+// signal sends a signal to the process if it is running, and reports whether it was sent.
+// ends marks a signal that makes the process exit. The channel is closed on exit.
 func (h *host) signal(signal syscall.Signal, ends bool) (gone chan struct{}, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.running == nil {
 		return nil, false
 	}
-	h.asked = h.asked || ends
-	return h.gone, h.running.Process.Signal(signal) == nil
+	h.stopRequested = h.stopRequested || ends
+	return h.exited, h.running.Process.Signal(signal) == nil
 }
 
-// note adds a window that began at a time and ends now.
-func (h *host) note(into *[]window, from time.Time) {
+// recordWindow appends the window from the given time until now.
+func (h *host) recordWindow(windows *[]window, from time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	*into = append(*into, window{from: from, to: time.Now()})
+	*windows = append(*windows, window{from: from, to: time.Now()})
 }
 
-// terminate stops the process as planned work does: SIGTERM, and SIGKILL after
-// the grace time.
+// terminate stops the process as a planned stop does: with SIGTERM, and with SIGKILL one
+// second after the grace time.
 func (h *host) terminate() {
 	from := time.Now()
 	gone, ok := h.signal(syscall.SIGTERM, true)
@@ -132,57 +134,58 @@
 	}
 	select {
 	case <-gone:
-	case <-time.After(grace + time.Second):
-		h.note(&h.overdue, from)
+	case <-time.After(stopGrace + time.Second):
+		h.recordWindow(&h.overdueStops, from)
 		h.kill()
 	}
-	h.note(&h.planned, from)
+	h.recordWindow(&h.plannedStops, from)
 }
 
-// stuck returns the planned stops that did not end in time although the process
-// was neither paused nor killed meanwhile.
-func (h *host) stuck() []string {
+// overdueStopViolations returns a violation for each planned stop that exceeded the grace
+// time although the process was neither paused nor killed during it.
+func (h *host) overdueStopViolations() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var stuck []string
-	for _, stop := range h.overdue {
-		if !anyOverlaps(h.disturbs, stop.from, stop.to) {
-			stuck = append(stuck, h.name+" did not stop within the grace time")
+	var violations []string
+	for _, stop := range h.overdueStops {
+		if !anyOverlaps(h.disturbances, stop.from, stop.to) {
+			violations = append(violations, h.name+" did not stop within the grace time")
 		}
 	}
-	return stuck
+	return violations
 }
 
-// disturbedBetween reports whether the host was stopped, killed or paused in a span.
+// disturbedBetween reports whether the host was stopped, killed or paused at any time in
+// an interval.
 func (h *host) disturbedBetween(from, to time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return anyOverlaps(h.planned, from, to) || anyOverlaps(h.disturbs, from, to) || anyOverlaps(h.overdue, from, to)
+	return anyOverlaps(h.plannedStops, from, to) || anyOverlaps(h.disturbances, from, to) || anyOverlaps(h.overdueStops, from, to)
 }
 
-// kill ends the process at once.
+// kill ends the process with SIGKILL and waits for its exit.
 func (h *host) kill() {
 	from := time.Now()
 	if gone, ok := h.signal(syscall.SIGKILL, true); ok {
 		<-gone
-		h.note(&h.disturbs, from)
+		h.recordWindow(&h.disturbances, from)
 	}
 }
 
-// pause stops the process for a time, as a suspended machine does.
-func (h *host) pause(length time.Duration) {
+// suspend suspends the process with SIGSTOP for a duration, like a suspended machine.
+func (h *host) suspend(length time.Duration) {
 	from := time.Now()
 	if _, ok := h.signal(syscall.SIGSTOP, false); !ok {
 		return
 	}
 	time.Sleep(length)
 	h.signal(syscall.SIGCONT, false)
-	h.note(&h.disturbs, from)
+	h.recordWindow(&h.disturbances, from)
 }
 
-// isReady reports whether the host says that it takes callers.
+// isReady reports whether the host's readiness endpoint answers with status 200.
 func (h *host) isReady(client *http.Client) bool {
-	response, err := client.Get("http://" + h.ready + readyPath)
+	response, err := client.Get("http://" + h.readyAddress + readyPath)
 	if err != nil {
 		return false
 	}
@@ -190,8 +193,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// upFor returns for how long the process has run; 0 if it does not.
-func (h *host) upFor() time.Duration {
+// uptime returns the process's uptime, or 0 if it is not running.
+func (h *host) uptime() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.running == nil {
@@ -202,5 +205,5 @@
 
 func (h *host) close() {
 	h.kill()
-	h.store.Close()
+	h.storeProxy.Close()
 }
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins for what the system runs against: the
-// platform's store and host list, and backend servers. They exist for tests,
-// for the bench and for trying the system out.
+// Package standin provides fakes of the system's dependencies for tests, benchmarks and
+// local trials: the platform's store and host list, and backend servers. It also has the
+// plain proxy that the system is benchmarked against.
 package standin
 
 import (
@@ -20,32 +20,33 @@
 	"cicadarouter/record"
 )
 
-// PlatformFaults are the faults that a platform stand-in can be given.
+// PlatformFaults are the faults that can be injected into a fake platform.
 type PlatformFaults struct {
 	// Down makes every call fail.
 	Down bool `json:"down"`
-	// SlowMillis delays every call.
-	SlowMillis int `json:"slowMillis"`
-	// LoseReplies is how many of the next writes take effect without an answer.
-	LoseReplies int `json:"loseReplies"`
-	// Cut lists failure domains whose calls fail.
-	Cut []string `json:"cut"`
+	// DelayMillis delays every call.
+	DelayMillis int `json:"slowMillis"`
+	// DropResponses is the number of writes from now on that take effect but get no response.
+	DropResponses int `json:"loseReplies"`
+	// UnreachableDomains lists the failure domains whose calls fail.
+	UnreachableDomains []string `json:"cut"`
 }
 
-// PlatformCounts counts the calls that a platform stand-in has got. A watch
-// counts once when it begins to wait.
+// PlatformCounts counts the calls to a fake platform. A watch is counted once, when it
+// starts.
 type PlatformCounts struct {
 	Reads   uint64 `json:"reads"`
 	Writes  uint64 `json:"writes"`
 	Watches uint64 `json:"watches"`
-	// Waiting is the number of watches that wait now.
+	// Waiting is the number of watches that are waiting now.
 	Waiting int64 `json:"waiting"`
 }
 
-// Platform serves a memstore over HTTP. It is safe for concurrent use.
+// Platform is a fake platform: it serves an in-memory store over HTTP. It is safe for
+// concurrent use.
 type Platform struct {
 	store *memstore.Store
-	// HostLag is how late changes of the host list become visible.
+	// HostLag is the delay until changes of the host list become visible.
 	HostLag time.Duration
 
 	mu     sync.Mutex
@@ -66,14 +67,14 @@
 	p.faults = faults
 }
 
-// Counts returns the calls counted so far.
+// Counts returns the numbers of calls so far.
 func (p *Platform) Counts() PlatformCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.counts
 }
 
-// SetHosts replaces the host list after HostLag.
+// SetHosts replaces the host list after the delay HostLag.
 func (p *Platform) SetHosts(hosts []platform.Host) {
 	if p.HostLag <= 0 {
 		p.store.SetHosts(hosts)
@@ -82,19 +83,19 @@
 	time.AfterFunc(p.HostLag, func() { p.store.SetHosts(hosts) })
 }
 
-// Handler returns the HTTP interface: the store under /v1, and the switches of
-// the stand-in itself under /standin.
+// Handler returns the HTTP API: the store under /v1, and the test control API under
+// /standin.
 func (p *Platform) Handler() http.Handler {
 	container := restful.NewContainer()
 	container.Add(p.storeRoutes())
-	container.Add(p.switchRoutes())
+	container.Add(p.controlRoutes())
 	return container
 }
 
 func (p *Platform) storeRoutes() *restful.WebService {
 	routes := new(restful.WebService)
 	routes.Path("/v1").Consumes(restful.MIME_JSON).Produces(restful.MIME_JSON)
-	routes.Filter(p.fail)
+	routes.Filter(p.injectFaults)
 	routes.Route(routes.GET("/records").To(p.list))
 	routes.Route(routes.GET("/records/{kind}/{name}").To(p.get))
 	routes.Route(routes.PUT("/records/{kind}/{name}").To(p.update))
@@ -104,7 +105,7 @@
 	return routes
 }
 
-func (p *Platform) switchRoutes() *restful.WebService {
+func (p *Platform) controlRoutes() *restful.WebService {
 	routes := new(restful.WebService)
 	routes.Path("/standin").Consumes(restful.MIME_JSON).Produces(restful.MIME_JSON)
 	routes.Route(routes.PUT("/faults").To(p.putFaults))
@@ -113,16 +114,16 @@
 	return routes
 }
 
-// fail applies the faults that keep a call from being taken.
-func (p *Platform) fail(request *restful.Request, response *restful.Response, chain *restful.FilterChain) {
+// injectFaults is a filter that injects faults before a call is handled: delays and failures.
+func (p *Platform) injectFaults(request *restful.Request, response *restful.Response, chain *restful.FilterChain) {
 	p.mu.Lock()
 	faults := p.faults
 	p.mu.Unlock()
-	if faults.SlowMillis > 0 {
-		clock.Sleep(request.Request.Context(), time.Duration(faults.SlowMillis)*time.Millisecond)
+	if faults.DelayMillis > 0 {
+		clock.Sleep(request.Request.Context(), time.Duration(faults.DelayMillis)*time.Millisecond)
 	}
 	domain := request.HeaderParameter(httpstore.DomainHeader)
-	if faults.Down || slices.Contains(faults.Cut, domain) {
+	if faults.Down || slices.Contains(faults.UnreachableDomains, domain) {
 		_ = response.WriteErrorString(http.StatusServiceUnavailable, "store is down")
 		return
 	}
@@ -142,13 +143,13 @@
 func (p *Platform) list(request *restful.Request, response *restful.Response) {
 	p.count(func(c *PlatformCounts) { c.Reads++ })
 	snapshot, err := p.store.List(request.Request.Context())
-	answer(response, snapshot, err)
+	respond(response, snapshot, err)
 }
 
 func (p *Platform) get(request *restful.Request, response *restful.Response) {
 	p.count(func(c *PlatformCounts) { c.Reads++ })
 	object, err := p.store.Get(request.Request.Context(), refOf(request))
-	answer(response, object, err)
+	respond(response, object, err)
 }
 
 func (p *Platform) update(request *restful.Request, response *restful.Response) {
@@ -164,10 +165,10 @@
 		return
 	}
 	written, err := p.store.Update(request.Request.Context(), envelope, version)
-	if p.loseReply() {
-		panic(http.ErrAbortHandler) // the write took effect; its reply is lost
+	if p.dropResponse() {
+		panic(http.ErrAbortHandler) // the write took effect, but its response is dropped
 	}
-	answer(response, platform.Object{Envelope: envelope, Version: written}, err)
+	respond(response, platform.Object{Envelope: envelope, Version: written}, err)
 }
 
 func (p *Platform) remove(request *restful.Request, response *restful.Response) {
@@ -178,28 +179,28 @@
 		return
 	}
 	err = p.store.Delete(request.Request.Context(), refOf(request), version)
-	if p.loseReply() {
+	if p.dropResponse() {
 		panic(http.ErrAbortHandler)
 	}
-	answer(response, struct{}{}, err)
+	respond(response, struct{}{}, err)
 }
 
 func parseVersion(request *restful.Request) (uint64, error) {
 	return strconv.ParseUint(request.QueryParameter("version"), 10, 64)
 }
 
-func (p *Platform) loseReply() bool {
+func (p *Platform) dropResponse() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.faults.LoseReplies == 0 {
+	if p.faults.DropResponses == 0 {
 		return false
 	}
-	p.faults.LoseReplies--
+	p.faults.DropResponses--
 	return true
 }
 
-// longestWatch bounds a watch.
-const longestWatch = time.Minute
+// maxWatchDuration is the maximum duration of a watch.
+const maxWatchDuration = time.Minute
 
 func (p *Platform) watch(request *restful.Request, response *restful.Response) {
 	revision, err := strconv.ParseUint(request.QueryParameter("revision"), 10, 64)
@@ -210,21 +211,21 @@
 	}
 	p.count(func(c *PlatformCounts) { c.Watches++; c.Waiting++ })
 	defer p.count(func(c *PlatformCounts) { c.Waiting-- })
-	wait := min(time.Duration(millis)*time.Millisecond, longestWatch)
+	wait := min(time.Duration(millis)*time.Millisecond, maxWatchDuration)
 	snapshot, err := p.store.Watch(request.Request.Context(), revision, wait)
 	p.mu.Lock()
-	cut := p.faults.Down || slices.Contains(p.faults.Cut, request.HeaderParameter(httpstore.DomainHeader))
+	cut := p.faults.Down || slices.Contains(p.faults.UnreachableDomains, request.HeaderParameter(httpstore.DomainHeader))
 	p.mu.Unlock()
 	if cut {
-		panic(http.ErrAbortHandler) // the store went down while the watch waited
+		panic(http.ErrAbortHandler) // the store became unavailable while the watch waited
 	}
-	answer(response, snapshot, err)
+	respond(response, snapshot, err)
 }
 
 func (p *Platform) hosts(request *restful.Request, response *restful.Response) {
 	p.count(func(c *PlatformCounts) { c.Reads++ })
 	hosts, err := p.store.Hosts(request.Request.Context())
-	answer(response, hosts, err)
+	respond(response, hosts, err)
 }
 
 func (p *Platform) putFaults(request *restful.Request, response *restful.Response) {
@@ -234,11 +235,11 @@
 		return
 	}
 	p.SetFaults(faults)
-	answer(response, faults, nil)
+	respond(response, faults, nil)
 }
 
 func (p *Platform) getCounts(_ *restful.Request, response *restful.Response) {
-	answer(response, p.Counts(), nil)
+	respond(response, p.Counts(), nil)
 }
 
 func (p *Platform) putHosts(request *restful.Request, response *restful.Response) {
@@ -248,11 +249,11 @@
 		return
 	}
 	p.SetHosts(hosts)
-	answer(response, hosts, nil)
+	respond(response, hosts, nil)
 }
 
-// answer writes a value, or the status that stands for the error.
-func answer(response *restful.Response, value any, err error) {
+// respond writes the value as JSON, or the HTTP status for the error.
+func respond(response *restful.Response, value any, err error) {
 	response.PrettyPrint(false)
 	var conflict *platform.ConflictError
 	var missing *platform.NotFoundError
