--- a/cmd/cicadactl/commands.go
+++ b/cmd/cicadactl/commands.go
@@ -32,8 +32,8 @@
 		{Name: "status", Short: "where the configuration is in force", Long: "Shows for each failure domain which configuration all its daemons have in force, and who lags.", Data: &statusCommand{globals: shared}},
 		{Name: "report", Short: "service-level burn", Long: "Shows how fast each service spends the budget of its objectives, by failure domain.", Data: &reportCommand{globals: shared}},
 		{Name: "hosted", Short: "state on a hosted platform", Long: "Shows what the store of a hosted platform holds: configuration, servers by service, who controls and owns which keys.", Data: &hostedCommand{globals: shared}},
-		{Name: "release", Short: "let a request pass that is in quarantine", Long: "Ends the quarantine of a request under which servers ended, named by its fingerprint as in 'hosted' and in the hosts' logs, on a hosted platform. Do so when the servers are mended.", Data: &releaseCommand{globals: shared}},
-		{Name: "logs", Short: "what became of requests, from the hosts' logs", Long: "Reads the JSON lines of any number of hosts (files, folders, - for standard input) in one pass, and shows outcomes over time, by service, key, server and host, and who controlled keys; with --request the story of one request.", Data: &logsCommand{globals: shared}},
+		{Name: "release", Short: "let a request pass that is in quarantine", Long: "Ends the quarantine of a request under which servers ended, named by its fingerprint as in 'hosted' and in the hosts' logs, on a hosted platform. Do so once the fault in the servers is fixed.", Data: &releaseCommand{globals: shared}},
+		{Name: "logs", Short: "outcomes of requests, from the hosts' logs", Long: "Reads the JSON lines of any number of hosts (files, folders, - for standard input) in one pass, and shows outcomes over time, by service, key, server and host, and who controlled keys; with --request the events of one request.", Data: &logsCommand{globals: shared}},
 		{Name: "watch", Short: "print changes as they come", Long: "Prints each change of a record until interrupted.", Data: &watchCommand{globals: shared}},
 	}
 }
--- a/gateway/coordination.go
+++ b/gateway/coordination.go
@@ -2,8 +2,8 @@
 
 // coordinationService is the name of a service without servers and requests. Deployments in
 // which no service is divided by key have it, so that they have a controller too: one process,
-// named in the store, that passes on state between hosts, counts them, and allocates places at
-// rate-limited servers.
+// named in the store, that passes on state between hosts, counts them, and grants reservations
+// at rate-limited servers.
 const coordinationService = "cicada-hosts"
 
 // ensureController ensures that there is a controller if no service is divided by key. Once
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -182,8 +182,8 @@
 }
 
 // watchStore watches the store itself. While the whole system starts for the first time, every
-// host hears of each server that registers: with 76 hosts that was two thirds of the calls of
-// a calm day. Changes aren't urgent before the first callers arrive, so the cheaper stale
+// host is notified of each server that registers: with 76 hosts that was two thirds of the
+// calls of a calm day. Changes aren't urgent before the first callers arrive, so the cheaper stale
 // reads are used.
 func (g *Gateway) watchStore(ctx context.Context, kind string, revision uint64, wait time.Duration) (objects.Listing, error) {
 	if g.identity.FirstStart && g.freshness.isStartingUp(g.now()) {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -143,7 +143,7 @@
 	g.failureLogLimit = newLogLimiter(logger, g.clock, "failed request")
 	g.callLogLimit = newLogLimiter(logger, g.clock, "key lease call")
 	g.entryLogLimit = newLogLimiter(logger, g.clock, "invalid server entry")
-	g.noticeLogLimit = newLogLimiter(logger, g.clock, "server notice or place reservation")
+	g.noticeLogLimit = newLogLimiter(logger, g.clock, "server notice or reservation")
 	return g
 }
 
@@ -169,7 +169,7 @@
 	return g.services[name]
 }
 
-// newService returns a service that reserves places at rate-limited servers through this host.
+// newService returns a service that requests reservations at rate-limited servers through this host.
 // The next distribution passes its servers to it. g.mu must be held.
 func (g *Gateway) newService(name string, keyed bool) *service {
 	s := newService(name, g.identity, keyed, g.now)
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -23,7 +23,7 @@
 const (
 	pathLoad  = "/keys/load"
 	pathYield = "/keys/yield"
-	// pathPlaces reserves places at a rate-limited server.
+	// pathPlaces requests reservations at a rate-limited server.
 	pathPlaces = "/servers/places"
 	pathWatch  = "/store/watch"
 	pathList   = "/store/list"
--- a/operator/check.go
+++ b/operator/check.go
@@ -11,7 +11,7 @@
 )
 
 // Check checks each document by itself, then all documents together with the existing
-// records. It returns a *record.CheckError with all errors of the first of these steps
+// records. It returns a *record.ValidationError with all errors of the first of these steps
 // that finds any, and warnings about records that are valid but probably not intended.
 func Check(documents []Document, existing []platform.Object) (warnings []string, err error) {
 	found := &fieldErrors{}
--- a/router/meters.go
+++ b/router/meters.go
@@ -19,7 +19,7 @@
 	forwards *metrics.Counter
 	// requests caches the metrics by their labels, because looking up a metric by
 	// its full name costs more than updating it.
-	requests sync.Map // requestLabels -> *requestMeters
+	requests sync.Map // requestLabels -> *requestMetrics
 }
 
 type requestLabels struct {
--- a/router/page.go
+++ b/router/page.go
@@ -187,7 +187,7 @@
 // grants and probes by the controllers.
 const reservedConnections = 6
 
-// server returns the named server and creates its gate and connection pool on first
+// server returns the named server and creates its limiter and connection pool on first
 // use or when its address has changed. p.mu must be held.
 func (p *page) server(name string) (*server, bool) {
 	srv, ok := p.servers[name]
--- a/router/try.go
+++ b/router/try.go
@@ -39,7 +39,7 @@
 	return p.afterAnswer(ctx, req, chosen, srv, answer)
 }
 
-// enterGate requests a slot from the server's gate. If the request is rejected, the
+// enterGate requests a slot from the server's concurrency limiter. If the request is rejected, the
 // last result is false and the reply says why.
 func (p *page) enterGate(ctx context.Context, req *request, chosen target) (*server, *dispatch.Waiter, dispatch.Reply, bool) {
 	now := p.router.clock.Now()
