--- a/balance/pool.go
+++ b/balance/pool.go
@@ -329,7 +329,7 @@
 		return nil
 	}
 	var best, withoutPermit *Server
-	least, leastWithoutPermit, work := 0.0, 0.0, p.serviceTime(waiter.Objective)
+	minCost, minCostWithoutPermit, work := 0.0, 0.0, p.serviceTime(waiter.Objective)
 	for _, server := range among {
 		if p.preference(now, waiter, server) != wanted || !p.hasRoomIgnoringLimit(now, server) {
 			continue
@@ -337,16 +337,16 @@
 		cost := server.cost(now, p.meanServiceTime, work, p.typicalLoad, p.domain) + tieBreakRange*p.random.Float64()
 		switch {
 		case p.hasPermit(now, server):
-			if best == nil || cost < least {
-				best, least = server, cost
+			if best == nil || cost < minCost {
+				best, minCost = server, cost
 			}
 		case p.mayGetPermit(now, waiter, server):
-			if withoutPermit == nil || cost < leastWithoutPermit {
-				withoutPermit, leastWithoutPermit = server, cost
+			if withoutPermit == nil || cost < minCostWithoutPermit {
+				withoutPermit, minCostWithoutPermit = server, cost
 			}
 		}
 	}
-	if withoutPermit != nil && (best == nil || leastWithoutPermit < least) {
+	if withoutPermit != nil && (best == nil || minCostWithoutPermit < minCost) {
 		withoutPermit.limit.prefetch = true
 	}
 	return best
--- a/domain/controller.go
+++ b/domain/controller.go
@@ -249,10 +249,10 @@
 	return v.voter.HasReadStore()
 }
 
-func (v *lockedVoter) agree(now time.Duration, ask ownership.RenewalRequest) ownership.RenewalResponse {
+func (v *lockedVoter) agree(now time.Duration, request ownership.RenewalRequest) ownership.RenewalResponse {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.voter.Agree(now, ask)
+	return v.voter.Agree(now, request)
 }
 
 func (v *lockedVoter) stop(now time.Duration, page string, generation uint64) ownership.Promise {
--- a/domain/outbox.go
+++ b/domain/outbox.go
@@ -92,16 +92,16 @@
 
 func agreeRequest(from string, renewals []ownership.RenewalMessage) *linkpb.AgreeRequest {
 	request := &linkpb.AgreeRequest{From: from}
-	for _, ask := range renewals {
+	for _, renewal := range renewals {
 		request.Asks = append(request.Asks, &linkpb.Ask{
-			Page:        ask.Request.Page,
-			Generation:  ask.Request.Generation,
-			Dispatcher:  ask.Request.Dispatcher,
-			Run:         ask.Request.DispatcherIncarnation,
-			Released:    ask.Request.ReleasedDispatcher,
-			ReleasedRun: ask.Request.ReleasedIncarnation,
-			Bounded:     ask.Request.Bounded,
-			Round:       ask.Round,
+			Page:        renewal.Request.Page,
+			Generation:  renewal.Request.Generation,
+			Dispatcher:  renewal.Request.Dispatcher,
+			Run:         renewal.Request.DispatcherIncarnation,
+			Released:    renewal.Request.ReleasedDispatcher,
+			ReleasedRun: renewal.Request.ReleasedIncarnation,
+			Bounded:     renewal.Request.Bounded,
+			Round:       renewal.Round,
 		})
 	}
 	return request
--- a/domain/serve.go
+++ b/domain/serve.go
@@ -25,19 +25,19 @@
 // Agree implements linkpb.ControlServer.
 func (s *LinkServer) Agree(_ context.Context, request *linkpb.AgreeRequest) (*linkpb.AgreeReply, error) {
 	reply := &linkpb.AgreeReply{}
-	for _, ask := range request.GetAsks() {
+	for _, renewal := range request.GetAsks() {
 		now := s.c.clock.Now()
-		s.c.lastRenewals.record(ask.GetPage(), request.GetFrom(), now)
+		s.c.lastRenewals.record(renewal.GetPage(), request.GetFrom(), now)
 		answer := s.c.voter.agree(now, ownership.RenewalRequest{
-			Page:                  ask.GetPage(),
-			Generation:            ask.GetGeneration(),
-			Dispatcher:            ask.GetDispatcher(),
-			DispatcherIncarnation: ask.GetRun(),
-			ReleasedDispatcher:    ask.GetReleased(),
-			ReleasedIncarnation:   ask.GetReleasedRun(),
-			Bounded:               ask.GetBounded(),
+			Page:                  renewal.GetPage(),
+			Generation:            renewal.GetGeneration(),
+			Dispatcher:            renewal.GetDispatcher(),
+			DispatcherIncarnation: renewal.GetRun(),
+			ReleasedDispatcher:    renewal.GetReleased(),
+			ReleasedIncarnation:   renewal.GetReleasedRun(),
+			Bounded:               renewal.GetBounded(),
 		})
-		s.recordDispatcher(ask, answer)
+		s.recordDispatcher(renewal, answer)
 		reply.Answers = append(reply.Answers, &linkpb.Answer{
 			Verdict:      uint32(answer.Verdict),
 			Known:        answer.KnownGeneration,
@@ -50,9 +50,9 @@
 
 // recordDispatcher records the dispatcher of a page in the directory, from which
 // routers get it.
-func (s *LinkServer) recordDispatcher(ask *linkpb.Ask, answer ownership.RenewalResponse) {
+func (s *LinkServer) recordDispatcher(renewal *linkpb.Ask, answer ownership.RenewalResponse) {
 	if answer.Verdict == ownership.Agreed {
-		s.c.directory.SetDispatcher(ask.GetPage(), ask.GetDispatcher())
+		s.c.directory.SetDispatcher(renewal.GetPage(), renewal.GetDispatcher())
 	}
 }
 
--- a/gateway/freshness_test.go
+++ b/gateway/freshness_test.go
@@ -49,8 +49,8 @@
 	assert.NilError(t, watchCtx.Err())
 	f.setControlling(time.Second+validFor, false)
 	assert.Assert(t, watchCtx.Err() != nil)
-	const mostForAChange = 2 * time.Second
-	assert.Assert(t, validFor < mostForAChange-idleControlInterval)
+	const maxChangeDelay = 2 * time.Second
+	assert.Assert(t, validFor < maxChangeDelay-idleControlInterval)
 
 	// The controller is cut off from the store but still answers.
 	f.acceptConfirmation(time.Second, confirmationFrom(time.Second, "controller", nil))
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -221,9 +221,9 @@
 	// yet.
 	g.distributeServers()
 	if g.configuration.Update(offered) {
-		for _, doubt := range offered.Warnings {
+		for _, warning := range offered.Warnings {
 			if g.failureLogLimit.allow() {
-				g.log.Warn("configuration has a setting that can't be parsed; the strictest value is used", "version", offered.Version, "error", doubt.Error())
+				g.log.Warn("configuration has a setting that can't be parsed; the strictest value is used", "version", offered.Version, "error", warning.Error())
 			}
 		}
 		g.log.Info("configuration in force", "version", offered.Version, "hosts", len(offered.Hosts), "services", len(offered.Services))
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -218,10 +218,10 @@
 		g.updateHostCount(e.answer.Hosts)
 		receivedAt := g.now()
 		confirmed := receivedAt - time.Duration(e.answer.StoreAgeMs)*time.Millisecond
-		vouch := confirmation{confirmedAt: confirmed, sender: e.to.Address, source: g.sources.upstream(e.to.Address), revisions: e.answer.Revisions}
-		if behind := g.freshness.acceptConfirmation(receivedAt, vouch); len(behind) > 0 {
-			g.sources.skip(vouch.source)
-			g.log.Warn("watches were behind", "kinds", behind, "controller", e.to.Host, "source", vouch.source)
+		received := confirmation{confirmedAt: confirmed, sender: e.to.Address, source: g.sources.upstream(e.to.Address), revisions: e.answer.Revisions}
+		if behind := g.freshness.acceptConfirmation(receivedAt, received); len(behind) > 0 {
+			g.sources.skip(received.source)
+			g.log.Warn("watches were behind", "kinds", behind, "controller", e.to.Host, "source", received.source)
 		}
 	}
 }
--- a/gateway/places.go
+++ b/gateway/places.go
@@ -69,24 +69,24 @@
 
 // requestReservations requests reservations for a service in the background and gives the service the
 // results.
-func (g *Gateway) requestReservations(s *service, wishes []balance.ReservationRequest) {
-	for _, wish := range wishes {
+func (g *Gateway) requestReservations(s *service, requests []balance.ReservationRequest) {
+	for _, request := range requests {
 		go func() {
-			result := g.requestReservation(wish)
-			s.applyReservation(wish.Server, result)
+			result := g.requestReservation(request)
+			s.applyReservation(request.Server, result)
 		}()
 	}
 }
 
 // requestReservation asks the scheduler for reservations at a server.
-func (g *Gateway) requestReservation(wish balance.ReservationRequest) balance.Reservation {
+func (g *Gateway) requestReservation(request balance.ReservationRequest) balance.Reservation {
 	askedAt := g.now()
-	limit, _ := g.serverLimits.latest(wish.Server)
-	request := reservationRequest{Limit: newLimitNotice(notice.NewPeerUpdate(askedAt, wish.Server, limit)), Count: wish.Permits, WithinMicros: wish.Within.Microseconds()}
-	answer, err := g.callScheduler(&request)
+	limit, _ := g.serverLimits.latest(request.Server)
+	message := reservationRequest{Limit: newLimitNotice(notice.NewPeerUpdate(askedAt, request.Server, limit)), Count: request.Permits, WithinMicros: request.Within.Microseconds()}
+	answer, err := g.callScheduler(&message)
 	if err != nil || !answer.IsScheduler {
 		if g.failureLogLimit.allow() {
-			g.log.Info("no reservations granted; the host keeps to its own share of the rate limit", "server", wish.Server.String(), "places", wish.Permits, "error", errorText(err))
+			g.log.Info("no reservations granted; the host keeps to its own share of the rate limit", "server", request.Server.String(), "places", request.Permits, "error", errorText(err))
 		}
 		return balance.Reservation{}
 	}
@@ -96,8 +96,8 @@
 		result.Waits = append(result.Waits, time.Duration(wait)*time.Microsecond)
 	}
 	if g.noticeLogLimit.allow() {
-		g.log.Debug("reservations granted", "server", wish.Server.String(), "asked", wish.Permits, "given", len(result.Waits),
-			"within-ms", wish.Within.Milliseconds(), "full-ms", result.RefusedWait.Milliseconds(), "answered-ms", (g.now() - askedAt).Milliseconds())
+		g.log.Debug("reservations granted", "server", request.Server.String(), "asked", request.Permits, "given", len(result.Waits),
+			"within-ms", request.Within.Milliseconds(), "full-ms", result.RefusedWait.Milliseconds(), "answered-ms", (g.now() - askedAt).Milliseconds())
 	}
 	return result
 }
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -51,12 +51,12 @@
 	g.terminations.mu.Lock()
 	g.terminations.answered.Add(now, fingerprint)
 	before := g.terminations.ledger.Judge(now, fingerprint)
-	acquitted := g.terminations.ledger.Clear(now, fingerprint)
-	if acquitted {
+	cleared := g.terminations.ledger.Clear(now, fingerprint)
+	if cleared {
 		g.terminations.updateSuspecting()
 	}
 	g.terminations.mu.Unlock()
-	if acquitted {
+	if cleared {
 		g.log.Info("request cleared: a server ran it and gave a complete answer", "request", req.ID, "fingerprint", fingerprint.String(),
 			"servers-ended", before.Terminations, "verdict", before.Verdict.String())
 		g.wakeControl()
--- a/gateway/relays_test.go
+++ b/gateway/relays_test.go
@@ -136,9 +136,9 @@
 	// The relays, the controller that the record names and a new controller call the store;
 	// the others use stale reads, and then follow one of these.
 	relays = append(relays, s.assignment().Controller.Address)
-	const mostCalls = 3 // one watch per kind
+	const maxCalls = 3 // one watch per kind
 	for i, proxy := range proxies {
-		if calls := proxy.count(); !slices.Contains(relays, again[i].peers.address) && calls > mostCalls {
+		if calls := proxy.count(); !slices.Contains(relays, again[i].peers.address) && calls > maxCalls {
 			t.Errorf("host %d made %d calls that were not stale reads", i, calls)
 		}
 	}
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -43,7 +43,7 @@
 	dispatchScheduled bool
 
 	// requestReservations requests reservations at rate-limited servers. It does not block.
-	requestReservations func(s *service, wishes []balance.ReservationRequest)
+	requestReservations func(s *service, requests []balance.ReservationRequest)
 }
 
 func newService(name string, identity Identity, keyed bool, now func() time.Duration) *service {
@@ -98,8 +98,8 @@
 
 // reserveForWaiting requests the reservations that waiting requests need. s.mu must be held.
 func (s *service) reserveForWaiting() {
-	if wishes := s.pool.ReservationRequests(s.now()); len(wishes) > 0 {
-		s.requestReservations(s, wishes)
+	if requests := s.pool.ReservationRequests(s.now()); len(requests) > 0 {
+		s.requestReservations(s, requests)
 	}
 }
 
--- a/tools/mutants/poison.go
+++ b/tools/mutants/poison.go
@@ -46,7 +46,7 @@
 		host("request.go", "forget an attempt that may have run", "		req.mayHaveRun = req.mayHaveRun || result.sent && !result.notRun\n", ""),
 		host("quarantine.go", "send no cases to the controller", "	report.Cases, upTo = g.terminations.ledger.ChangesSince(", "	_, upTo = g.terminations.ledger.ChangesSince("),
 		host("peers.go", "send no cases to the hosts", "	answer.Cases, answer.CasesUpTo = g.casesFor(report.KnownCases)\n", ""),
-		host("quarantine.go", "clear no request", "	acquitted := g.terminations.ledger.Clear(now, fingerprint)", "	acquitted := false"),
+		host("quarantine.go", "clear no request", "	cleared := g.terminations.ledger.Clear(now, fingerprint)", "	cleared := false"),
 		host("serverends.go", "blame recently answered requests", "	if g.terminations.answered.Contains(g.now(), blame.Request) {", "	if false {"),
 		host("service.go", "blame requests for planned shutdowns", "return server.Leaving() || brokeOff &&", "return brokeOff &&"),
 		host("service.go", "blame requests for terminations after the entry was removed", "return server.Leaving() || brokeOff &&", "return server.Leaving() || false &&"),
