--- a/gateway/assignment_bench_test.go
+++ b/gateway/assignment_bench_test.go
@@ -40,7 +40,7 @@
 	source := &relayCache{}
 	source.update(Assignments, objects.Listing{Revision: 1, Objects: []objects.Object{object(1)}}, true)
 	g := New(Identity{}, Platform{}, logs.Discard())
-	g.relay.update(Assignments, objects.Listing{Revision: 1, Objects: []objects.Object{object(1)}}, true)
+	g.relayCache.update(Assignments, objects.Listing{Revision: 1, Objects: []objects.Object{object(1)}}, true)
 	made := &deltaCache{}
 	version := 1
 	for b.Loop() {
@@ -57,6 +57,6 @@
 		for _, each := range listing.Objects {
 			g.applyAssignment(each)
 		}
-		g.relay.update(Assignments, listing, false)
+		g.relayCache.update(Assignments, listing, false)
 	}
 }
--- a/gateway/control.go
+++ b/gateway/control.go
@@ -282,7 +282,7 @@
 
 // claimWhenDue claims the controller role once the claim has been due for the given delay.
 func (g *Gateway) claimWhenDue(ctx context.Context, c *serviceControl, now time.Duration, record *keyspace.Record, revision uint64, delay time.Duration) {
-	if g.storeReach.isUnavailable() {
+	if g.storeAvailability.isUnavailable() {
 		// The claim would fail as the last call did. Once the store is reachable again, the
 		// controller has until the end of the delay to show that it is alive.
 		c.claimDueSince = 0
@@ -317,7 +317,7 @@
 // yet: servers take seconds to register, and if thousands of hosts each read all entries
 // meanwhile, they would saturate the store's network link for longer than that.
 func (g *Gateway) claimInitial(ctx context.Context, c *serviceControl, now time.Duration) {
-	if now-c.firstSeen < g.claimDelay(c, 0) || g.storeReach.isUnavailable() || !g.mayClaim() {
+	if now-c.firstSeen < g.claimDelay(c, 0) || g.storeAvailability.isUnavailable() || !g.mayClaim() {
 		return
 	}
 	record := keyspace.NewUnassignedRecord(g.asController(), g.era.Load())
--- a/gateway/deltas.go
+++ b/gateway/deltas.go
@@ -176,7 +176,7 @@
 func (g *Gateway) expandDeltas(ctx context.Context, kind string, answer *watchResponse) (objects.Listing, error) {
 	listing := answer.Listing
 	for _, changed := range answer.Deltas {
-		base, _ := g.relay.versionAt(kind, changed.Name, math.MaxUint64)
+		base, _ := g.relayCache.versionAt(kind, changed.Name, math.MaxUint64)
 		if base.Revision != changed.Base || changed.Delta == nil {
 			return objects.Listing{}, &documentError{Name: changed.Name, Base: changed.Base, Known: base.Revision, Cause: errBaseMismatch}
 		}
--- a/gateway/deltas_test.go
+++ b/gateway/deltas_test.go
@@ -58,7 +58,7 @@
 // hostKnowing returns a host that has listed one version of a document from the store.
 func hostKnowing(object objects.Object, store objects.Store) *Gateway {
 	g := New(Identity{}, Platform{Store: store}, logs.Discard())
-	g.relay.update("documents", canonicalListing(objects.Listing{Revision: object.Revision, Objects: []objects.Object{object}}), true)
+	g.relayCache.update("documents", canonicalListing(objects.Listing{Revision: object.Revision, Objects: []objects.Object{object}}), true)
 	return g
 }
 
--- a/gateway/entries_bench_test.go
+++ b/gateway/entries_bench_test.go
@@ -26,7 +26,7 @@
 		g := New(Identity{Host: "h", Domain: "a"}, Platform{Registry: platform.Registry{}}, logs.Discard())
 		g.services["s"] = g.newService("s", true)
 		reader := &entryReader{gateway: g, reported: map[string]uint64{}}
-		g.relay.update("servers", objects.Listing{}, true)
+		g.relayCache.update("servers", objects.Listing{}, true)
 		for _, encoded := range batches {
 			var answer watchResponse
 			if err := json.Unmarshal(encoded, &answer); err != nil {
@@ -36,7 +36,7 @@
 				g.applyServerChange(reader, object)
 			}
 			g.directoryChanged()
-			g.relay.update("servers", answer.Listing, false)
+			g.relayCache.update("servers", answer.Listing, false)
 		}
 	}
 	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*servers), "us/entry")
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -67,12 +67,12 @@
 			clock.Sleep(ctx, pause)
 			pause = min(2*pause, maxRetryDelay)
 			if !f.prober {
-				g.storeReach.waitAvailable(ctx)
+				g.storeAvailability.waitAvailable(ctx)
 			}
 			continue
 		}
 		if f.prober {
-			g.storeReach.markAvailable()
+			g.storeAvailability.markAvailable()
 		}
 		g.noteEra(f.kind, revision.Era(listing.Revision))
 		if !connected {
@@ -81,7 +81,7 @@
 		} else if len(listing.Objects) > 0 {
 			f.onChanges(listing)
 		}
-		g.relay.update(f.kind, listing, !connected)
+		g.relayCache.update(f.kind, listing, !connected)
 		g.freshness.noteRevision(f.kind, listing.Revision, !connected || len(listing.Objects) > 0)
 		connected, pause, known = true, minRetryDelay, max(known, listing.Revision)
 		if f.batchDelay > 0 && len(listing.Objects) < fullBatch {
@@ -112,7 +112,7 @@
 		clock.Await(watchCtx, plan.confirmationArrived, plan.wait)
 		return listing, true, nil
 	}
-	if f.prober && g.storeReach.isUnavailable() {
+	if f.prober && g.storeAvailability.isUnavailable() {
 		// The other followers wait until any host or the store answers.
 		plan.wait = min(plan.wait, probeWatchWait)
 	}
@@ -213,7 +213,7 @@
 		f.onError(err)
 	}
 	if f.prober && !compacted {
-		g.storeReach.markUnavailable()
+		g.storeAvailability.markUnavailable()
 	}
 	return connected && !compacted
 }
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -110,7 +110,7 @@
 func TestNoClaimWhileStoreUnavailable(t *testing.T) {
 	g := New(Identity{Host: "one"}, Platform{}, logs.Discard())
 	c := &serviceControl{service: newService("s", Identity{Incarnation: 1}, true, g.now), claimDueSince: time.Second}
-	g.storeReach.markUnavailable()
+	g.storeAvailability.markUnavailable()
 	g.claimWhenDue(context.Background(), c, time.Hour, nil, 0, 0)
 	assert.Assert(t, !c.claimInFlight)
 	assert.Equal(t, c.claimDueSince, time.Duration(0), "the delay starts again when the store is back")
@@ -131,7 +131,7 @@
 	defer controller.Close()
 	g := New(Identity{}, Platform{Store: memobjects.New(), Registry: kindNames{}}, logs.Discard())
 	g.freshness.acceptConfirmation(g.now(), confirmationFrom(g.now(), strings.TrimPrefix(controller.URL, "http://"), nil))
-	g.storeReach.markUnavailable()
+	g.storeAvailability.markUnavailable()
 	listing, _, err := g.fetchNext(context.Background(), follower{prober: true, kind: "configurations"}, true, 5)
 	assert.NilError(t, err)
 	assert.Equal(t, listing.Revision, uint64(5))
@@ -142,9 +142,9 @@
 // The followers resume as soon as a controller that has the store answers a report.
 func TestControllerAnswerResumesFollowers(t *testing.T) {
 	g := New(Identity{}, Platform{}, logs.Discard())
-	g.storeReach.markUnavailable()
+	g.storeAvailability.markUnavailable()
 	c := &serviceControl{service: newService("s", Identity{Incarnation: 1}, true, g.now)}
 	ended := &reportResult{control: c, to: keyspace.Controller{Incarnation: 7}, answer: loadAnswer{Incarnation: 7, Controls: true}}
 	ended.apply(g, g.bootClock.Now())
-	assert.Assert(t, !g.storeReach.isUnavailable())
+	assert.Assert(t, !g.storeAvailability.isUnavailable())
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -95,21 +95,21 @@
 	directory *fleet.Directory
 	services  map[string]*service
 
-	stop           shutdown
-	control        control
-	freshness      freshness
-	sources        *sources
-	storeReach     storeAvailability
-	terminations   terminationTracker
-	serverLimits   noticeLedger[float64] // in requests per second
-	leavingServers noticeLedger[bool]
+	stop              shutdown
+	control           control
+	freshness         freshness
+	sources           *sources
+	storeAvailability storeAvailability
+	terminations      terminationTracker
+	serverLimits      noticeLedger[float64] // in requests per second
+	leavingServers    noticeLedger[bool]
 	// applyLimitsMu ensures that services receive limits in the order in which they changed.
 	applyLimitsMu sync.Mutex
 	// leavingProbedAt is when servers that had announced their shutdown were last probed; used by
 	// the control loop only.
 	leavingProbedAt time.Duration
 	hosts           hostCount
-	relay           relayCache
+	relayCache      relayCache
 	era             atomic.Uint64 // the store's era, as last reported by the store
 	storeCalls      storeCalls
 	deltas          deltaCache
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -23,10 +23,10 @@
 const (
 	pathLoad  = "/keys/load"
 	pathYield = "/keys/yield"
-	// pathPlaces requests reservations at a rate-limited server.
-	pathPlaces = "/servers/places"
-	pathWatch  = "/store/watch"
-	pathList   = "/store/list"
+	// pathReservations requests reservations at a rate-limited server.
+	pathReservations = "/servers/places"
+	pathWatch        = "/store/watch"
+	pathList         = "/store/list"
 	// pathSource asks a host whether its copy of the store's state is up to date.
 	pathSource = "/store/source"
 )
@@ -207,7 +207,7 @@
 		c.answeredAt = min(c.answeredAt, now-controllerTimeout)
 	default:
 		c.answeredAt = now
-		g.storeReach.markAvailable() // what this host can't read from the store, it gets from the controller
+		g.storeAvailability.markAvailable() // what this host can't read from the store, it gets from the controller
 		g.sources.updateFromController(e.answer.Relays, e.answer.FollowRelays)
 		c.service.setKeyShares(e.answer.Shares)
 		if e.to.Incarnation == c.answeredBy { // a newer controller gets everything again
@@ -260,10 +260,10 @@
 
 // peerRequest is a request by another host that the control loop answers.
 type peerRequest struct {
-	load   *loadReport
-	yield  *yieldRequest
-	places *reservationRequest
-	answer chan any
+	load        *loadReport
+	yield       *yieldRequest
+	reservation *reservationRequest
+	answer      chan any
 }
 
 // apply implements event.
@@ -271,8 +271,8 @@
 	switch {
 	case p.load != nil:
 		p.answer <- g.handleReport(p.load, now)
-	case p.places != nil:
-		p.answer <- g.grantReservations(p.places, now)
+	case p.reservation != nil:
+		p.answer <- g.grantReservations(p.reservation, now)
 	default:
 		p.answer <- g.handleYield(p.yield)
 	}
@@ -339,10 +339,10 @@
 			g.serveInControlLoop(w, r, &peerRequest{yield: &request})
 		}
 	})
-	mux.HandleFunc("POST "+pathPlaces, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("POST "+pathReservations, func(w http.ResponseWriter, r *http.Request) {
 		var request reservationRequest
 		if g.decodePeerRequest(w, r, &request) {
-			g.serveInControlLoop(w, r, &peerRequest{places: &request})
+			g.serveInControlLoop(w, r, &peerRequest{reservation: &request})
 		}
 	})
 	mux.HandleFunc("POST "+pathWatch, g.handleWatch)
--- a/gateway/places.go
+++ b/gateway/places.go
@@ -114,13 +114,13 @@
 		return g.callOwnScheduler(ctx, request)
 	}
 	var answer reservationReply
-	err := g.callPeer(ctx, reservationTimeout, scheduler.Address, pathPlaces, request, &answer)
+	err := g.callPeer(ctx, reservationTimeout, scheduler.Address, pathReservations, request, &answer)
 	return answer, err
 }
 
 // callOwnScheduler lets this process's control loop handle the call.
 func (g *Gateway) callOwnScheduler(ctx context.Context, request *reservationRequest) (reservationReply, error) {
-	call := &peerRequest{places: request, answer: make(chan any, 1)}
+	call := &peerRequest{reservation: request, answer: make(chan any, 1)}
 	if !g.control.events.Offer(call) {
 		g.metrics.hostCallsRejected.Inc()
 		return reservationReply{}, errControlQueueFull
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -514,7 +514,7 @@
 	if !g.decodePeerRequest(w, r, &request) {
 		return
 	}
-	listing, more, ok := g.relay.page(request.Kind, request.After, listPageSize)
+	listing, more, ok := g.relayCache.page(request.Kind, request.After, listPageSize)
 	if !ok || !request.Columns {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -573,7 +573,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	listing, err := g.relay.watch(r.Context(), request.Kind, request.Revision, time.Duration(request.WaitMs)*time.Millisecond)
+	listing, err := g.relayCache.watch(r.Context(), request.Kind, request.Revision, time.Duration(request.WaitMs)*time.Millisecond)
 	if errors.Is(err, objects.ErrCompacted) {
 		w.WriteHeader(http.StatusGone)
 		return
@@ -583,7 +583,7 @@
 	}
 	answer := &watchResponse{Listing: listing}
 	if !request.Whole {
-		answer = g.deltas.encode(&g.relay, request.Kind, listing, request.Revision)
+		answer = g.deltas.encode(&g.relayCache, request.Kind, listing, request.Revision)
 	}
 	g.writePeerResponse(w, r, answer)
 }
--- a/gateway/scale_test.go
+++ b/gateway/scale_test.go
@@ -131,7 +131,7 @@
 func TestListsPassInPages(t *testing.T) {
 	const servers = 2*listPageSize + 10
 	source := New(Identity{Host: "source"}, Platform{}, logs.Discard())
-	source.relay.update("servers", serverEntries(0, servers), true)
+	source.relayCache.update("servers", serverEntries(0, servers), true)
 	var pages, bodies int
 	handler := source.PeerHandler()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -157,7 +157,7 @@
 // answer for an empty one: they are refused, so that they call the store.
 func TestEarlierHostsAreRefused(t *testing.T) {
 	g := New(Identity{Host: "h"}, Platform{}, logs.Discard())
-	g.relay.update("servers", serverEntries(0, 3), true)
+	g.relayCache.update("servers", serverEntries(0, 3), true)
 	g.freshness.acceptConfirmation(g.now(), confirmationFrom(g.now(), "controller", nil))
 	for path, body := range map[string]string{pathList: `{"kind":"servers"}`, pathWatch: `{"kind":"servers","revision":1,"waitMs":1}`} {
 		recorder := httptest.NewRecorder()
--- a/gateway/serverends.go
+++ b/gateway/serverends.go
@@ -29,10 +29,10 @@
 	// while there is nothing to check.
 	tracking, suspecting atomic.Bool
 
-	mu       sync.Mutex
-	witness  poison.UnansweredTracker
-	answered poison.RecentlyAnswered
-	ledger   poison.Ledger
+	mu         sync.Mutex
+	unanswered poison.UnansweredTracker
+	answered   poison.RecentlyAnswered
+	ledger     poison.Ledger
 }
 
 // updateSuspecting enables the check of requests if any is suspected. e.mu must be held.
@@ -46,7 +46,7 @@
 	}
 	fingerprint, incarnation := req.fingerprint(), server.Incarnation()
 	g.terminations.mu.Lock()
-	ended := g.terminations.witness.NoteUnanswered(g.now(), incarnation, server.Address, fingerprint)
+	ended := g.terminations.unanswered.NoteUnanswered(g.now(), incarnation, server.Address, fingerprint)
 	g.terminations.tracking.Store(true)
 	g.terminations.mu.Unlock()
 	if g.failureLogLimit.allow() {
@@ -104,7 +104,7 @@
 func (g *Gateway) withdrawBlame(server fleet.Incarnation, lived poison.AliveSpan) []poison.Fingerprint {
 	g.terminations.mu.Lock()
 	defer g.terminations.mu.Unlock()
-	g.terminations.witness.NoteAlive(server, lived)
+	g.terminations.unanswered.NoteAlive(server, lived)
 	cleared := g.terminations.ledger.NoteAlive(server, lived)
 	if len(cleared) > 0 {
 		g.terminations.updateSuspecting()
@@ -126,14 +126,14 @@
 func (g *Gateway) replacedServers() []fleet.Incarnation {
 	g.terminations.mu.Lock()
 	defer g.terminations.mu.Unlock()
-	ids, addresses := g.terminations.witness.UnansweredServers()
+	ids, addresses := g.terminations.unanswered.UnansweredServers()
 	present := make(map[string]fleet.Incarnation, len(ids))
 	for id := range ids {
 		if server, listed := g.directory.Get(id); listed {
 			present[id] = server.Incarnation()
 		}
 	}
-	return g.terminations.witness.ReplacedServers(present, g.directory.ByAddress(addresses))
+	return g.terminations.unanswered.ReplacedServers(present, g.directory.ByAddress(addresses))
 }
 
 // noteTerminated records proof that a server has terminated.
@@ -142,7 +142,7 @@
 		return
 	}
 	g.terminations.mu.Lock()
-	blamed := g.terminations.witness.NoteTerminated(g.now(), server)
+	blamed := g.terminations.unanswered.NoteTerminated(g.now(), server)
 	g.terminations.mu.Unlock()
 	g.blameRequests(server, evidence, blamed)
 }
--- a/gateway/sources.go
+++ b/gateway/sources.go
@@ -234,7 +234,7 @@
 			continue
 		}
 		g.sources.resetMisses()
-		g.storeReach.markAvailable() // the relay passes on what this host can't read from the store
+		g.storeAvailability.markAvailable() // the relay passes on what this host can't read from the store
 		behind := g.freshness.acceptConfirmation(g.now(), confirmation{confirmedAt: now - age, sender: address, source: address, revisions: answer.Revisions})
 		if following != address || len(behind) > 0 {
 			g.log.Info("relay vouches for the store's state", "relay", address, "age-ms", answer.AgeMs, "behind", behind)
--- a/router/page.go
+++ b/router/page.go
@@ -39,9 +39,9 @@
 
 // server is a backend server as this router sees it.
 type server struct {
-	record record.Server
-	pool   *backendlink.Pool
-	gate   *dispatch.ConcurrencyLimiter
+	record  record.Server
+	pool    *backendlink.Pool
+	limiter *dispatch.ConcurrencyLimiter
 	// avoidUntil is when requests that can go to several servers may use this one
 	// again after it rejected a request, was draining or did not answer.
 	avoidUntil          time.Duration
@@ -129,7 +129,7 @@
 	}
 	for name, srv := range p.servers {
 		if !ownsShard(fresh, name) {
-			srv.gate.ShedAll(p.router.clock.Now())
+			srv.limiter.ShedAll(p.router.clock.Now())
 		}
 	}
 }
@@ -139,7 +139,7 @@
 // and leave all the time. p.mu must be held.
 func (p *page) removeUnlistedServers() {
 	for name, srv := range p.servers {
-		if _, listed := p.router.directory.Server(name); listed || srv.gate.LoadPerSlot() > 0 {
+		if _, listed := p.router.directory.Server(name); listed || srv.limiter.LoadPerSlot() > 0 {
 			continue
 		}
 		srv.pool.Close()
@@ -197,7 +197,7 @@
 	}
 	if ok && srv.record.Address == current.Address {
 		srv.record = current
-		srv.gate.SetSlots(current.Slots)
+		srv.limiter.SetSlots(current.Slots)
 		return srv, true
 	}
 	if ok {
@@ -207,7 +207,7 @@
 	srv = &server{
 		record:      current,
 		pool:        backendlink.NewPool(current.Address, idle, p.router.limits.AnswerBody),
-		gate:        dispatch.NewConcurrencyLimiter(dispatch.DefaultLimiterPolicy(), current.Slots, dispatch.NewRoundRobin()),
+		limiter:     dispatch.NewConcurrencyLimiter(dispatch.DefaultLimiterPolicy(), current.Slots, dispatch.NewRoundRobin()),
 		timesChosen: p.minTimesChosen(),
 	}
 	p.servers[name] = srv
--- a/router/run.go
+++ b/router/run.go
@@ -179,7 +179,7 @@
 // lessLoaded compares the requests per slot. If they are equal, as in an idle
 // service, the server that was chosen less often per slot wins.
 func lessLoaded(a, b *server) bool {
-	first, second := a.gate.LoadPerSlot(), b.gate.LoadPerSlot()
+	first, second := a.limiter.LoadPerSlot(), b.limiter.LoadPerSlot()
 	if first != second {
 		return first < second
 	}
--- a/router/serve.go
+++ b/router/serve.go
@@ -126,7 +126,7 @@
 			Server:   name,
 			Answered: srv.answered,
 			Failed:   srv.failed && !srv.answered,
-			InFlight: uint32(srv.gate.InFlight()),
+			InFlight: uint32(srv.limiter.InFlight()),
 		})
 		srv.answered = false
 		srv.failed = false
--- a/router/try.go
+++ b/router/try.go
@@ -54,7 +54,7 @@
 	if !ok {
 		return nil, nil, notRun(caller.ReasonUnreachable, time.Second), false
 	}
-	queued, retryAfter := srv.gate.Enqueue(now, waiter)
+	queued, retryAfter := srv.limiter.Enqueue(now, waiter)
 	if !queued {
 		return nil, nil, notRun(caller.ReasonOverload, retryAfter), false
 	}
@@ -65,7 +65,7 @@
 func (p *page) checkAdmitted(srv *server, waiter *dispatch.Waiter) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return srv.gate.Cancel(waiter)
+	return srv.limiter.Cancel(waiter)
 }
 
 // afterShed handles a request that was removed from a server's queue. If its key
@@ -144,13 +144,13 @@
 	defer p.mu.Unlock()
 	now := p.router.clock.Now()
 	if err == nil {
-		srv.gate.Release(now, elapsed)
+		srv.limiter.Release(now, elapsed)
 		srv.answered = true
 		srv.consecutiveFailures = 0
 		p.meter.Add(chosen.shardLow, req.hash, elapsed)
 		return
 	}
-	srv.gate.Release(now, srv.gate.MeanServiceTime())
+	srv.limiter.Release(now, srv.limiter.MeanServiceTime())
 	if errors.Is(err, backendlink.ErrNotSent) || errors.Is(err, context.Canceled) {
 		return
 	}
