--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -67,12 +67,12 @@
 			clock.Sleep(ctx, pause)
 			pause = min(2*pause, maxRetryDelay)
 			if !f.prober {
-				g.storeReach.waitAvailable(ctx)
+				g.storeAvailability.waitAvailable(ctx)
 			}
 			continue
 		}
 		if f.prober {
-			g.storeReach.markAvailable()
+			g.storeAvailability.markAvailable()
 		}
 		g.noteEra(f.kind, revision.Era(listing.Revision))
 		if !connected {
@@ -81,7 +81,7 @@
 		} else if len(listing.Objects) > 0 {
 			f.onChanges(listing)
 		}
-		g.relay.update(f.kind, listing, !connected)
+		g.relayCache.update(f.kind, listing, !connected)
 		g.freshness.noteRevision(f.kind, listing.Revision, !connected || len(listing.Objects) > 0)
 		connected, pause, known = true, minRetryDelay, max(known, listing.Revision)
 		if f.batchDelay > 0 && len(listing.Objects) < fullBatch {
@@ -112,7 +112,7 @@
 		clock.Await(watchCtx, plan.confirmationArrived, plan.wait)
 		return listing, true, nil
 	}
-	if f.prober && g.storeReach.isUnavailable() {
+	if f.prober && g.storeAvailability.isUnavailable() {
 		// The other followers wait until any host or the store answers.
 		plan.wait = min(plan.wait, probeWatchWait)
 	}
@@ -182,8 +182,8 @@
 }
 
 // watchStore watches the store itself. While the whole system starts for the first time, every
-// host hears of each server that registers: with 76 hosts that was two thirds of the calls of
-// a calm day. Changes aren't urgent before the first callers arrive, so the cheaper stale
+// host is notified of each server that registers: with 76 hosts that was two thirds of the
+// calls of a calm day. Changes aren't urgent before the first callers arrive, so the cheaper stale
 // reads are used.
 func (g *Gateway) watchStore(ctx context.Context, kind string, revision uint64, wait time.Duration) (objects.Listing, error) {
 	if g.identity.FirstStart && g.freshness.isStartingUp(g.now()) {
@@ -213,7 +213,7 @@
 		f.onError(err)
 	}
 	if f.prober && !compacted {
-		g.storeReach.markUnavailable()
+		g.storeAvailability.markUnavailable()
 	}
 	return connected && !compacted
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -95,21 +95,21 @@
 	directory *fleet.Directory
 	services  map[string]*service
 
-	stop           shutdown
-	control        control
-	freshness      freshness
-	sources        *sources
-	storeReach     storeAvailability
-	terminations   terminationTracker
-	serverLimits   noticeLedger[float64] // in requests per second
-	leavingServers noticeLedger[bool]
+	stop              shutdown
+	control           control
+	freshness         freshness
+	sources           *sources
+	storeAvailability storeAvailability
+	terminations      terminationTracker
+	serverLimits      noticeLedger[float64] // in requests per second
+	leavingServers    noticeLedger[bool]
 	// applyLimitsMu ensures that services receive limits in the order in which they changed.
 	applyLimitsMu sync.Mutex
 	// leavingProbedAt is when servers that had announced their shutdown were last probed; used by
 	// the control loop only.
 	leavingProbedAt time.Duration
 	hosts           hostCount
-	relay           relayCache
+	relayCache      relayCache
 	era             atomic.Uint64 // the store's era, as last reported by the store
 	storeCalls      storeCalls
 	deltas          deltaCache
@@ -143,7 +143,7 @@
 	g.failureLogLimit = newLogLimiter(logger, g.clock, "failed request")
 	g.callLogLimit = newLogLimiter(logger, g.clock, "key lease call")
 	g.entryLogLimit = newLogLimiter(logger, g.clock, "invalid server entry")
-	g.noticeLogLimit = newLogLimiter(logger, g.clock, "server notice or place reservation")
+	g.noticeLogLimit = newLogLimiter(logger, g.clock, "server notice or reservation")
 	return g
 }
 
@@ -169,7 +169,7 @@
 	return g.services[name]
 }
 
-// newService returns a service that reserves places at rate-limited servers through this host.
+// newService returns a service that requests reservations at rate-limited servers through this host.
 // The next distribution passes its servers to it. g.mu must be held.
 func (g *Gateway) newService(name string, keyed bool) *service {
 	s := newService(name, g.identity, keyed, g.now)
@@ -221,9 +221,9 @@
 	// yet.
 	g.distributeServers()
 	if g.configuration.Update(offered) {
-		for _, doubt := range offered.Warnings {
+		for _, warning := range offered.Warnings {
 			if g.failureLogLimit.allow() {
-				g.log.Warn("configuration has a setting that can't be parsed; the strictest value is used", "version", offered.Version, "error", doubt.Error())
+				g.log.Warn("configuration has a setting that can't be parsed; the strictest value is used", "version", offered.Version, "error", warning.Error())
 			}
 		}
 		g.log.Info("configuration in force", "version", offered.Version, "hosts", len(offered.Hosts), "services", len(offered.Services))
